--- a/features/runtime/settings.feature
+++ b/features/runtime/settings.feature
@@ -55,3 +55,27 @@
   Scenario: No value of any type makes the check raise
     When runtime settings are checked with arbitrary values
     Then each runtime check gave settings or findings
+
+  Scenario: Settings that nothing reads any more are accepted and named once
+    Given a runtime settings file with every setting that was ever accepted
+    Then the runtime settings are taken
+    And the runtime check names each setting without effect, and no other
+    And the runtime settings command accepts the file, with one line that names them
+    And a runtime balancer that starts with the file logs one line that names them
+
+  Scenario Outline: Every placement policy that was ever accepted still is
+    Given a runtime settings file that is complete
+    When the runtime settings have these values
+      | path                | value      |
+      | node.routing.policy | "<policy>" |
+    Then the runtime settings are taken
+    And the runtime check calls these settings without effect: <unread>
+
+    Examples:
+      | policy       | unread                               |
+      | hash         | node.routing.policy = "hash"         |
+      | bounded-load | node.routing.policy = "bounded-load" |
+      | two-choices  | node.routing.policy = "two-choices"  |
+      | hot-cold     | node.routing.policy = "hot-cold"     |
+      | least-loaded | node.routing.policy = "least-loaded" |
+      | token        | none                                 |
--- a/sloepond/api/server.py
+++ b/sloepond/api/server.py
@@ -12,7 +12,6 @@
 from sloepond.api.application import create_app
 from sloepond.api.feed import ConfigurationFeed
 from sloepond.api.state import ApiNode, ApiState
-from sloepond.core.node import Node
 from sloepond.core.token_node import TokenNode
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.daemon import BalancerDaemon
@@ -59,7 +58,7 @@
     :raises OSError: where the address cannot be bound.
     """
     node = daemon.node
-    if not isinstance(node, Node | TokenNode):
+    if not isinstance(node, TokenNode):
         raise TypeError(f"the API cannot show a node of type {type(node).__name__}")
     settings = daemon.settings
     await serve_api(DaemonState(daemon, node), settings.api, settings.api_address, daemon.logger)
--- a/sloepond/cli/balancer.py
+++ b/sloepond/cli/balancer.py
@@ -11,8 +11,6 @@
 import trio
 
 from sloepond.core.messages import Member
-from sloepond.core.node import Node
-from sloepond.core.settings import TOKEN_POLICY
 from sloepond.core.token_node import TokenNode
 from sloepond.runtime.daemon import BalancerDaemon, Extension
 from sloepond.runtime.exit_code import ExitCode
@@ -22,6 +20,7 @@
 from sloepond.runtime.settings import BalancerSettings
 from sloepond.runtime.settings_file import SettingsOverride, load_settings
 from sloepond.runtime.signals import SignalTask
+from sloepond.runtime.unread_settings import unread_warning
 
 
 def balancer(
@@ -72,17 +71,31 @@
         print(*checked.findings, sep="\n", file=sys.stderr)
         return ExitCode.REFUSED
     if check_settings:
+        if checked.unread:
+            print(unread_warning(checked.unread), file=sys.stderr)
         print("settings are valid")
         return ExitCode.STOPPED
-    return _run(checked.settings, settings, overrides)
+    return _run(checked.settings, settings, overrides, checked.unread)
 
 
-def _run(settings: BalancerSettings, file: pathlib.Path, overrides: tuple[SettingsOverride, ...]) -> ExitCode:
+def _run(
+    settings: BalancerSettings,
+    file: pathlib.Path,
+    overrides: tuple[SettingsOverride, ...],
+    unread: tuple[str, ...],
+) -> ExitCode:
+    """Run a balancer until it has stopped.
+
+    :param file: settings file, which SIGHUP reads again with the overrides.
+    :param unread: settings of the file without effect, named in the log once.
+    """
     handler = create_log_handler(settings.log)
     logger = create_logger()
     reloader = SettingsReloader(file, overrides, handler)
     extensions: list[Extension] = [SignalTask(reloader.reload).run, *_api_extension(settings)]
     with handler.applicationbound():
+        if unread:
+            logger.warning("{}", unread_warning(unread))
         try:
             daemon = BalancerDaemon(settings, _make_node, logger)
         except OSError as error:
@@ -92,12 +105,8 @@
         return trio.run(functools.partial(daemon.run, *extensions))
 
 
-def _make_node(
-    identity: Member, settings: BalancerSettings, random_source: random.Random
-) -> Node | TokenNode:
-    if settings.node.routing.policy == TOKEN_POLICY:
-        return TokenNode(identity, settings.node, random_source)
-    return Node(identity, settings.node, random_source)
+def _make_node(identity: Member, settings: BalancerSettings, random_source: random.Random) -> TokenNode:
+    return TokenNode(identity, settings.node, random_source)
 
 
 def _api_extension(settings: BalancerSettings) -> list[Extension]:
--- a/sloepond/demo/balancer_settings.py
+++ b/sloepond/demo/balancer_settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sloepond.core.settings import TOKEN_POLICY, MembershipSettings, NodeSettings, RoutingSettings
+from sloepond.core.settings import MembershipSettings, NodeSettings
 from sloepond.demo.addresses import (
     API_PORT,
     BACKEND_FACING_PORT,
@@ -47,10 +47,7 @@
     key = KeySettings(id=1, secret=secrets.token_hex(_KEY_BYTES))
     token = secrets.token_hex(_TOKEN_BYTES)
     hosts = [FIRST_BALANCER_HOST + index for index in range(len(locations))]
-    membership = MembershipSettings(
-        bootstrap=tuple(_name(host) for host in hosts),
-        seeds=tuple(network.address(host, PEER_PORT) for host in hosts),
-    )
+    membership = MembershipSettings(seeds=tuple(network.address(host, PEER_PORT) for host in hosts))
     planned = []
     for host, location in zip(hosts, locations, strict=True):
         settings = BalancerSettings(
@@ -63,7 +60,7 @@
             keys=(key,),
             platform=PlatformSettings(url=platform_url),
             api=ApiSettings(write_tokens=(token,)),
-            node=NodeSettings(membership=membership, routing=RoutingSettings(policy=TOKEN_POLICY)),
+            node=NodeSettings(membership=membership),
         )
         planned.append(_write(settings, directory, settings.name))
     return planned
--- a/sloepond/runtime/settings_file.py
+++ b/sloepond/runtime/settings_file.py
@@ -13,6 +13,7 @@
 from sloepond.runtime.settings import BalancerSettings
 from sloepond.runtime.settings_rules import check_rules
 from sloepond.runtime.structure import FieldFinding, StructureReader
+from sloepond.runtime.unread_settings import find_unread
 
 FLAGS = "flags"
 """Source named in findings about a value that a flag gave."""
@@ -26,10 +27,14 @@
 
 
 class CheckedSettings(msgspec.Struct, frozen=True):
-    """Settings, or None and the findings that say why not."""
+    """Settings, or None and the findings that say why not.
+
+    :ivar unread: settings of the file that were accepted but have no effect.
+    """
 
     settings: BalancerSettings | None
     findings: tuple[Finding, ...]
+    unread: tuple[str, ...] = ()
 
 
 def load_settings(file: pathlib.Path, overrides: tuple[SettingsOverride, ...] = ()) -> CheckedSettings:
@@ -62,7 +67,7 @@
     if findings:
         overridden = {override.path for override in overrides}
         return CheckedSettings(None, tuple(_place(finding, source, overridden) for finding in findings))
-    return CheckedSettings(settings, ())
+    return CheckedSettings(settings, (), find_unread(document))
 
 
 def _new_findings(known: list[FieldFinding], settings: BalancerSettings) -> list[FieldFinding]:
