--- /dev/null
+++ b/features/steps/token_promise_steps.py
@@ -0,0 +1,287 @@
+"""Steps on the promises of token nodes between callers and back ends that keep streams."""
+
+from __future__ import annotations
+
+import random
+
+import msgspec
+from behave import then
+from configuration_resources import backend, places, service
+from hypothesis import given as for_any
+from hypothesis import settings
+from hypothesis import strategies as st
+
+from sloepond.core.commands import SendToBackend, SendToCaller
+from sloepond.core.events import (
+    BackendReplyReceived,
+    CallerPacketReceived,
+    ConfigurationRead,
+    TimerFired,
+)
+from sloepond.core.messages import Member
+from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReplyKind, FlowKey
+from sloepond.core.settings import ConfigurationSettings, NodeSettings
+from sloepond.core.token_node import TokenNode
+from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.model import BackendState, Location, PlaceSelector
+from sloepond.standins.backend_model import BackendModel, BackendSettings
+from sloepond.standins.content import BackendIdentity
+
+PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=120)
+STEPS = 60
+LEAST_EVENTS = 50
+"""Requests run, requests refused and flows opened over all runs, so that the checks saw enough."""
+NODES = 3
+BACKENDS = 5
+SERVICES = ("archive", "playback")
+DENIED_HALL = "hall-2"
+LOCATION = Location("accra", "zone-a", "hall-0")
+SERVE_S = 0.05
+STEP_S = 0.02
+AT_ONCE = ConfigurationSettings(startup_wait_s=0.0)
+BUSY = BackendSettings(slots=1, queue=1, service_s=SERVE_S, ordered_flows=True)
+
+
+class Caller:
+    """One flow: its packets so far, the back end it was opened at and what was refused."""
+
+    def __init__(self, number, draw):
+        owner = draw.randrange(len(SERVICES))
+        self.service = SERVICES[owner]
+        self.flow = FlowKey(f"10.255.0.{owner + 1}:7000", f"10.1.1.1:{4000 + number}", number)
+        self.packets = []
+        self.token = 0
+        self.backend = None
+        self.requests = 0
+        self.refused = set()
+
+
+class Fleet:
+    """Nodes that share nothing but the platform, and back ends that live on whatever is declared."""
+
+    def __init__(self, seed, may_cancel):
+        self.draw = random.Random(seed)
+        self.may_cancel = may_cancel
+        self.now = 100.0
+        self.generation = 0
+        self.declared = {}
+        self.models = {}
+        self.callers = []
+        self.replies = []
+        self.replying = None
+        self.declare()
+        self.nodes = [self.fresh_node(number) for number in range(NODES)]
+
+    def fresh_node(self, number):
+        member = Member(f"balancer-{number}", 1, f"10.9.0.{number + 1}:7300", LOCATION)
+        node = TokenNode(member, NodeSettings(configuration=AT_ONCE), random.Random(self.draw.random()))
+        node.start(self.now)
+        return node
+
+    def declare(self):
+        """Publish a generation in which each back end serves, drains, stands elsewhere or is gone."""
+        self.generation += 1
+        denied = (PlaceSelector(hall=DENIED_HALL),)
+        resources = [*places(), *(service(name, denied) for name in SERVICES)]
+        for number in range(BACKENDS * len(SERVICES)):
+            fate = self.draw.random()
+            if number >= len(SERVICES) and fate < 0.2:
+                continue
+            is_draining = number >= len(SERVICES) and fate < 0.5
+            state = BackendState.DRAINING if is_draining else BackendState.ACTIVE
+            hall = DENIED_HALL if number in (4, 5) else "hall-0"
+            owner = SERVICES[number % len(SERVICES)]
+            declared = backend(number, owner, hall=hall, state=state)
+            resources.append(declared)
+            self.model_at(declared.spec.address, declared.metadata.name, owner)
+        self.declared[self.generation] = make_snapshot(self.generation, resources)
+
+    def model_at(self, address, name, owner):
+        if address not in self.models:
+            identity = BackendIdentity(name, owner)
+            self.models[address] = BackendModel(identity, BUSY, random.Random(self.draw.random()))
+
+    def handle(self, number, event):
+        """Give a node an event; deliver what it sends, but keep replies back."""
+        node = self.nodes[number]
+        for command in node.handle(event, self.now):
+            if isinstance(command, SendToBackend):
+                self.reach_backend(number, command)
+            elif isinstance(command, SendToCaller):
+                self.told(command.reply)
+
+    def reach_backend(self, number, command):
+        packet, model = command.packet, self.models[command.address]
+        caller = self.callers[packet.flow.incarnation]
+        assert model.identity.service == caller.service, "a packet of another service"
+        if packet.kind is CallerPacketKind.OPEN:
+            self.check_place(number, model)
+        else:
+            assert command.address == caller.backend, "a packet of a flow of another back end"
+        self.keep(number, command.address, model.handle(packet, f"node-{number}", self.now))
+
+    def check_place(self, number, model):
+        """A new flow goes to a back end that is permitted and takes new ones, as far as the node knows."""
+        in_force = self.nodes[number].configuration.in_force
+        known = in_force.backends_by_name.get(model.identity.name)
+        if known is not None:
+            assert known.permitted and known.takes_new_flows, model.identity
+
+    def keep(self, number, address, outputs):
+        self.replies += [(number, address, output.reply) for output in outputs]
+
+    def told(self, reply):
+        caller = self.callers[reply.flow.incarnation]
+        if reply.kind is CallerReplyKind.OPENED and caller.backend is None:
+            caller.token = reply.token
+            caller.backend = self.replying
+        if reply.kind is CallerReplyKind.REFUSED and reply.request_id:
+            caller.refused.add(reply.request_id)
+
+    def run_backends(self):
+        self.now += STEP_S
+        for address, model in self.models.items():
+            for output in model.on_time(self.now):
+                self.keep(int(output.destination.rpartition("-")[2]), address, [output])
+        for number, node in enumerate(self.nodes):
+            if node.next_deadline() <= self.now:
+                self.handle(number, TimerFired())
+
+    def take_generation(self):
+        known = self.draw.choice(sorted(self.declared))
+        self.handle(self.draw.randrange(NODES), ConfigurationRead(self.declared[known]))
+
+    def replace_node(self):
+        number = self.draw.randrange(NODES)
+        self.nodes[number] = self.fresh_node(number)
+
+    def send(self, caller, packet):
+        caller.packets.append(packet)
+        self.handle(self.draw.randrange(NODES), CallerPacketReceived(packet))
+
+    def open_flow(self):
+        caller = Caller(len(self.callers), self.draw)
+        self.callers.append(caller)
+        self.send(caller, CallerPacket(CallerPacketKind.OPEN, caller.flow))
+
+    def request(self):
+        caller = self.opened_caller()
+        if caller is not None:
+            caller.requests += 1
+            kind = CallerPacketKind.REQUEST
+            self.send(
+                caller,
+                CallerPacket(kind, caller.flow, caller.requests, repeatable=False, token=caller.token),
+            )
+
+    def opened_caller(self):
+        return self.draw.choice([None, *(caller for caller in self.callers if caller.token)])
+
+    def copy(self):
+        """Send a packet again that was sent at any time, perhaps as a later attempt."""
+        caller = self.draw.choice([None, *self.callers])
+        if caller is not None:
+            packet = self.draw.choice(caller.packets)
+            attempt = packet.attempt + self.draw.randrange(2)
+            self.send(caller, msgspec.structs.replace(packet, attempt=attempt))
+
+    def cancel(self):
+        caller = self.opened_caller()
+        if self.may_cancel and caller is not None and caller.requests:
+            number = self.draw.randint(1, caller.requests)
+            kind = CallerPacketKind.CANCEL
+            self.send(caller, CallerPacket(kind, caller.flow, number, token=caller.token))
+
+    def deliver_reply(self):
+        if self.replies:
+            index = self.draw.randrange(len(self.replies))
+            number, address, reply = self.replies.pop(index)
+            self.replying = address
+            self.handle(number, BackendReplyReceived(address, reply))
+
+    def lose_reply(self):
+        if self.replies:
+            self.replies.pop(self.draw.randrange(len(self.replies)))
+
+    def step(self):
+        actions = {
+            self.open_flow: 2,
+            self.request: 4,
+            self.copy: 4,
+            self.cancel: 2,
+            self.deliver_reply: 6,
+            self.lose_reply: 1,
+            self.run_backends: 3,
+            self.take_generation: 2,
+            self.declare: 1,
+            self.replace_node: 1,
+        }
+        (action,) = self.draw.choices(list(actions), list(actions.values()))
+        action()
+
+    def run(self):
+        for number in range(NODES):
+            self.handle(number, ConfigurationRead(self.declared[1]))
+        for _ in range(STEPS):
+            self.step()
+        while self.replies:
+            self.deliver_reply()
+        for _ in range(20):
+            self.run_backends()
+            while self.replies:
+                self.deliver_reply()
+        return self
+
+    def executions(self):
+        """Return what ran, as pairs of flow and request."""
+        return [(each.flow, each.request_id) for model in self.models.values() for each in model.executions]
+
+    def check_once(self):
+        ran = self.executions()
+        assert len(ran) == len(set(ran)), ran
+
+    def check_refusals(self):
+        ran = set(self.executions())
+        for caller in self.callers:
+            false = [number for number in caller.refused if (caller.flow, number) in ran]
+            assert not false, (caller.flow, false)
+
+
+def check_fleets(check, may_cancel=False):
+    """Run fleets of any course; return how many requests ran and were refused."""
+    totals = {"ran": 0, "refused": 0, "opened": 0}
+
+    @PROPERTY
+    @for_any(st.integers(0, 2**32))
+    def run(seed):
+        fleet = Fleet(seed, may_cancel).run()
+        check(fleet)
+        totals["ran"] += len(fleet.executions())
+        totals["refused"] += sum(len(caller.refused) for caller in fleet.callers)
+        totals["opened"] += sum(caller.backend is not None for caller in fleet.callers)
+
+    run()
+    assert min(totals.values()) >= LEAST_EVENTS, totals
+
+
+@then("token node property: whatever happens, each packet reaches its own back end or none")
+def reaches_own(context):
+    check_fleets(lambda fleet: None)
+
+
+@then("token node property: whatever happens, no request of a flow runs twice")
+def runs_once(context):
+    check_fleets(Fleet.check_once)
+
+
+@then("token node property: whatever happens, a request that is refused has not run and never will")
+def refusals_hold(context):
+    check_fleets(Fleet.check_refusals)
+
+
+@then(
+    "token node property: whatever happens, a request that is cancelled and refused has not run"
+    " and never will"
+)
+def cancellations_hold(context):
+    check_fleets(Fleet.check_refusals, may_cancel=True)
--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -209,6 +209,7 @@
         if not has_slot and len(self._waiting) >= self.settings.queue:
             self.counters.shed += 1
             self._reply(BackendReplyKind.REFUSED, packet, source, now, outputs)
+            self._keep_answer(outputs[-1].reply)
             return
         held.accepted[packet.request_id] = []
         deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else _NEVER
