--- a/features/lab/checkers.feature
+++ b/features/lab/checkers.feature
@@ -3,7 +3,7 @@
 
   Scenario: The lab finds nothing where nothing is broken
     Given a small lab scenario
-    When the lab runs it with the stateless baseline
+    When the lab runs it with the stateless node
     Then the lab finds no broken promise
 
   Scenario Outline: The lab catches a <node> node
@@ -37,6 +37,6 @@
 
   Scenario: The lab tells flows cut off by faults from broken ones
     Given a small lab scenario that cuts all balancers from the playback back ends for 16 s
-    When the lab runs it with the stateless baseline
+    When the lab runs it with the stateless node
     Then the lab finds no broken promise
     And the lab counts flows as cut off
--- a/features/steps/lab_broken_nodes.py
+++ b/features/steps/lab_broken_nodes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import msgspec
+from lab_stateless_node import StatelessNode
 
 from sloepond.core.commands import Command, SendToCaller, SendToPeer
 from sloepond.core.events import BackendReplyReceived, ConfigurationRead, Event
@@ -16,7 +17,6 @@
     FlowKey,
     Reason,
 )
-from sloepond.lab.baseline import StatelessNode
 from sloepond.resources.compiled import CompiledConfiguration
 
 _SHARED_FLOWS: list[FlowKey] = []
--- a/sloepond/lab/baseline.py
+++ b/features/steps/lab_stateless_node.py
@@ -1,13 +1,16 @@
-"""A stateless baseline: each balancer decides alone from what it knows at the moment.
+"""A node that the broken nodes of the lab's tests are made from.
 
-It takes the rendezvous choice among its own view's eligible back ends and keeps
-it in a local cache.  It replicates nothing, and knows peers not at all.  It is
-here to show what the scenarios break without the core.
+Each process decides alone: it picks a back end by rendezvous hashing over the configuration it
+has read, remembers the pick, and knows no other balancer.  Where nothing fails it keeps every
+promise, so a broken promise in a test comes from what the test's node does wrong.
 """
 
 from __future__ import annotations
 
 import random
+from collections.abc import Sequence
+
+from xxhash import xxh3_64_intdigest
 
 from sloepond.core.caller_packets import backend_packet, caller_reply, refusal_of
 from sloepond.core.commands import (
@@ -33,11 +36,11 @@
     CallerPacketKind,
     FlowKey,
 )
-from sloepond.core.routing.placement import hash_choice
-from sloepond.core.routing.ring import flow_hash
 from sloepond.core.settings import NodeSettings
-from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
+from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledBackend, CompiledConfiguration
 
+INCARNATION_MASK = (1 << 64) - 1
+"""The seed of a hash has 64 bits."""
 STOP_AFTER_S = 3.0
 """Seconds a planned stop goes on, so that the fabric learns of it."""
 
@@ -50,7 +53,7 @@
 
 
 class StatelessNode:
-    """The baseline; see the module.  It has the interface of the core's node."""
+    """See the module; a `sloepond.lab.hosting.LabNode`."""
 
     def __init__(self, identity: Member, settings: NodeSettings, random_source: random.Random) -> None:
         self.identity = identity
@@ -112,4 +115,11 @@
         service = self.configuration.in_force.services_by_address.get(flow.service_address)
         if service is None or not service.placeable:
             return None
-        return hash_choice(flow_hash(flow), service.placeable).address
+        return rendezvous_choice(flow, service.placeable).address
+
+
+def rendezvous_choice(flow: FlowKey, backends: Sequence[CompiledBackend]) -> CompiledBackend:
+    """Return the back end that draws the largest hash of its name and the flow."""
+    text = (flow.caller_address + flow.service_address).encode()
+    seed = xxh3_64_intdigest(text, flow.incarnation & INCARNATION_MASK)
+    return max(backends, key=lambda backend: xxh3_64_intdigest(backend.name.encode(), seed))
--- a/sloepond/cli/lab.py
+++ b/sloepond/cli/lab.py
@@ -1,8 +1,7 @@
-"""Commands of the lab: run scenarios on the simulated fleet and compare policies."""
+"""Commands of the lab: list and run scenarios on the simulated fleet, draw results."""
 
 from __future__ import annotations
 
-import statistics
 import sys
 import time
 from pathlib import Path
@@ -24,17 +23,13 @@
 BAD_INPUT = 2
 
 _SHOWN_EVENTS = 3
-_COMPARED = (
-    "flows",
-    "broken_flows",
-    "outcome_unknown",
-    "refused",
-    "imbalance_p50",
-    "imbalance_p99",
-    "control_bytes_per_second_mean",
-    "data_overhead_bytes_per_packet",
-    "wall_seconds",
+
+POLICY = "token"
+"""Name of the one node that the lab runs."""
+FORMER_POLICIES = frozenset(
+    {"hash", "bounded-load", "two-choices", "hot-cold", "least-loaded", "stateless", "omniscient"}
 )
+"""Names that `--policy` still takes, so that old command lines run; they choose nothing."""
 
 
 def list_scenarios() -> int:
@@ -66,7 +61,7 @@
 
     :param scenario: name of a scenario, or the path of a TOML file.
     :param seed: the same seed gives the same run.
-    :param policy: placement policy, `token`, `stateless` or `omniscient`; the default of the core if empty.
+    :param policy: `token`, the node that is always run; names of former policies are taken with a warning.
     :param json: print exactly one JSON object with the measures.
     :param share: run this share of the flows, over the same time.
     :param result: file to write the whole result to, for `plot`.
@@ -75,8 +70,9 @@
     :returns: exit code, 0 where every promise held, 1 where one broke, 2 for bad input.
     """
     try:
+        _check_policy(policy)
         loaded = scaled(find_scenario(scenario), share)
-        outcome = _run_traced(loaded, seed, policy, trace) if trace else _run_shown(loaded, seed, policy)
+        outcome = _run_traced(loaded, seed, trace) if trace else _run_shown(loaded, seed)
     except ScenarioError as invalid:
         return _refuse(invalid)
     except (msgspec.ValidationError, ValueError) as error:
@@ -91,26 +87,6 @@
     return HOLDS if outcome.holds else BROKEN
 
 
-def compare(scenario: str, *, policy: list[str], seeds: int = 1, share: float = 1.0) -> int:
-    """Run one scenario with several policies and print a table of the means.
-
-    :param scenario: name of a scenario, or the path of a TOML file.
-    :param policy: policies to compare, one after the other.
-    :param seeds: runs of each policy, with seeds 1, 2, ...
-    :param share: run this share of the flows, over the same time.
-    :returns: exit code, 0 where every promise held in every run, 1 where one broke, 2 for bad input.
-    """
-    try:
-        loaded = scaled(find_scenario(scenario), share)
-        outcomes = {name: [_run_shown(loaded, seed + 1, name) for seed in range(seeds)] for name in policy}
-    except ScenarioError as invalid:
-        return _refuse(invalid)
-    except (msgspec.ValidationError, ValueError) as error:
-        return _refuse_text(str(error))
-    _print_comparison(loaded, outcomes)
-    return HOLDS if all(outcome.holds for runs in outcomes.values() for outcome in runs) else BROKEN
-
-
 def plot(result: str, *, output: str = "") -> int:
     """Draw the result file of a run as PNG.
 
@@ -129,21 +105,31 @@
     return HOLDS
 
 
-def _run_shown(scenario: Scenario, seed: int, policy: str) -> LabResult:
+def _check_policy(policy: str) -> None:
+    """Warn of a policy that is gone.
+
+    :raises ValueError: where there never was one of that name.
+    """
+    if policy in ("", POLICY):
+        return
+    if policy not in FORMER_POLICIES:
+        raise ValueError(f"--policy: {policy} is unknown; there is only {POLICY}")
+    sys.stderr.write(f"--policy: {policy} no longer exists; the run uses {POLICY}\n")
+
+
+def _run_shown(scenario: Scenario, seed: int) -> LabResult:
     """Run with a progress bar where standard error is a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
-        return run_scenario(scenario, seed, policy)
+        return run_scenario(scenario, seed)
     with Progress(console=console, transient=True) as bar:
-        task = bar.add_task(f"{scenario.name} {policy} seed {seed}".strip())
-        return run_scenario(
-            scenario, seed, policy, lambda done, total: bar.update(task, completed=done, total=total)
-        )
+        task = bar.add_task(f"{scenario.name} seed {seed}")
+        return run_scenario(scenario, seed, lambda done, total: bar.update(task, completed=done, total=total))
 
 
-def _run_traced(scenario: Scenario, seed: int, policy: str, trace: str) -> LabResult:
+def _run_traced(scenario: Scenario, seed: int, trace: str) -> LabResult:
     started = time.perf_counter()
-    lab_run = LabRun(scenario, seed, policy, None)
+    lab_run = LabRun(scenario, seed)
     FlowTracer(lab_run.world, int(trace, 16), lambda line: print(line, file=sys.stderr)).watch()
     lab_run.run()
     return lab_run.result(time.perf_counter() - started)
@@ -164,18 +150,6 @@
             sys.stderr.write(f"  {violation.at:.3f} s: {violation.detail}\n")
 
 
-def _print_comparison(scenario: Scenario, outcomes: dict[str, list[LabResult]]) -> None:
-    table = Table("policy", *_COMPARED, "promises broken", box=None, title=scenario.name)
-    for name, runs in outcomes.items():
-        means = [
-            f"{statistics.fmean(getattr(outcome.measures, measure) for outcome in runs):.3f}"
-            for measure in _COMPARED
-        ]
-        broken = sorted({promise.name for outcome in runs for promise in outcome.broken_promises})
-        table.add_row(name, *means, ", ".join(broken) or "none")
-    Console(width=None if sys.stdout.isatty() else 240).print(table)
-
-
 def _refuse(invalid: ScenarioError) -> int:
     for finding in invalid.findings:
         sys.stderr.write(f"{finding.place}: {finding.message}\n")
--- a/sloepond/cli/main.py
+++ b/sloepond/cli/main.py
@@ -19,7 +19,6 @@
 from sloepond.cli.endpoints import ENVIRONMENT_HELP, ApiUrls, merge_api_options, parse_api_urls
 from sloepond.cli.exit_codes import EXIT_CODES_HELP, OK
 from sloepond.cli.operator import apply, check, get, status, version, watch
-from sloepond.cli.repeated_options import merge_repeated
 
 CommandFunction = Callable[..., Any]
 CommandTree = dict[str, Any]
@@ -58,17 +57,13 @@
     },
     "lab": {
         "run": CommandReference("lab", "run"),
-        "compare": CommandReference("lab", "compare"),
         "list": CommandReference("lab", "list_scenarios"),
         "plot": CommandReference("lab", "plot"),
-        "bench": CommandReference("bench", "bench"),
     },
 }
 
 DESCRIPTION = "A layer-4 load balancer for operators of regulated data."
 EPILOG = f"{EXIT_CODES_HELP}\n{ENVIRONMENT_HELP}"
-POLICY_OPTION = "--policy"
-"""May be given more than once."""
 INTERRUPTED = 130
 """Exit code after an interrupt from the keyboard, as shells have it."""
 
@@ -95,7 +90,7 @@
             no_negated_flags=True,
             version=__version__,
             argparse_kwargs={"prog": "sloepond", "description": DESCRIPTION, "epilog": EPILOG},
-            argv=merge_repeated(merge_api_options(arguments), POLICY_OPTION),
+            argv=merge_api_options(arguments),
         )
     except KeyboardInterrupt:
         return INTERRUPTED
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -1,4 +1,4 @@
-"""What the lab needs of a node, so that the core and baselines run alike."""
+"""What the lab needs of a node, so that the real one and broken ones run alike."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from sloepond.core.events import Event
 from sloepond.core.messages import Member
 from sloepond.core.settings import NodeSettings
+from sloepond.core.token_node import TokenNode
 from sloepond.resources.compiled import CompiledConfiguration
 
 
@@ -22,7 +23,7 @@
 
 
 class LabNode(Protocol):
-    """A sans-I/O balancer; `sloepond.core.node.Node` is one."""
+    """A sans-I/O balancer."""
 
     @property
     def identity(self) -> Member:
@@ -44,3 +45,6 @@
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
+
+BALANCER_NODE: NodeFactory = TokenNode
+"""The node that balancers run."""
