--- a/features/steps/lab_broken_nodes.py
+++ b/features/steps/lab_broken_nodes.py
@@ -7,7 +7,7 @@
 
 from sloepond.core.commands import Command, SendToCaller, SendToPeer
 from sloepond.core.events import BackendReplyReceived, ConfigurationRead, Event
-from sloepond.core.messages import Heartbeat, MemberState
+from sloepond.core.messages import ConfigurationOffered
 from sloepond.core.packets import (
     BackendReplyKind,
     CallerPacket,
@@ -148,11 +148,11 @@
 
 
 class Talkative(StatelessNode):
-    """Sends itself a heartbeat for each packet, and reads without end."""
+    """Sends itself an offer of a configuration for each packet."""
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
-        heartbeat = Heartbeat(0, 0, 0, MemberState.ACTIVE, 0, "x" * 4_000)
-        return [*super()._caller_packet(packet), SendToPeer(self.identity.address, heartbeat)]
+        offer = ConfigurationOffered(0, "x" * 4_000)
+        return [*super()._caller_packet(packet), SendToPeer(self.identity.address, offer)]
 
 
 class Lopsided(StatelessNode):
--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from sloepond.core.packets import BackendPacket, CallerPacketKind, LoadReport
+from sloepond.core.packets import BackendPacket, CallerPacketKind
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Endpoint
 from sloepond.standins.backend_model import BackendModel, BackendOutput, BackendSettings, Execution
@@ -29,7 +29,6 @@
     :ivar model: the running back end, None while it is down.
     :ivar killed_at: simulated times at which it was killed.
     :ivar isolated_at: last time no balancer could reach it.
-    :ivar claimed_healthy: what its health endpoint says; None for the truth.
     """
 
     def __init__(
@@ -51,7 +50,6 @@
         self._timer_at = float("inf")
         self.killed_at: list[float] = []
         self.isolated_at = -float("inf")
-        self.claimed_healthy: bool | None = None
         self.model: BackendModel | None = None
         self.on_output: OutputSink = _ignore_output
         self.on_execution: ExecutionSink = _ignore_execution
@@ -69,9 +67,8 @@
         self.model = None
         self.killed_at.append(self._queue.now)
 
-    def mislead(self, load_factor: float, lag_s: float, healthy: bool | None) -> None:
-        """Change what the back end reports of itself."""
-        self.claimed_healthy = healthy
+    def mislead(self, load_factor: float, lag_s: float) -> None:
+        """Change the load that the back end reports in its replies."""
         if self.model is not None:
             self.model.settings = msgspec.structs.replace(
                 self.settings, load_factor=load_factor, load_lag_s=lag_s
@@ -91,15 +88,6 @@
             self.on_accepted(self, packet)
         self._act(model, outputs)
 
-    def report(self) -> tuple[LoadReport, bool] | None:
-        """Return what the health endpoint answers, None while the back end is down."""
-        model = self.model
-        if model is None:
-            return None
-        healthy = not model.draining if self.claimed_healthy is None else self.claimed_healthy
-        factor = model.settings.load_factor
-        return LoadReport(round(model.in_flight * factor), round(model.flows * factor)), healthy
-
     def _on_timer(self, model: BackendModel) -> None:
         if model is not self.model or self._timer_at > self._queue.now:
             return
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -12,7 +12,6 @@
 from sloepond.core.commands import (
     Command,
     CompleteStop,
-    ProbeBackend,
     ReadConfiguration,
     ReadMachineList,
     SendToBackend,
@@ -26,7 +25,7 @@
     PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.messages import DATA_MESSAGES, TRANSFER_MESSAGES, ConfigurationPart, Member, PeerMessage
+from sloepond.core.messages import ConfigurationPart, Member, PeerMessage
 from sloepond.core.packets import BackendPacket, BackendReply, CallerPacket, CallerReply
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.engine import EventQueue
@@ -55,14 +54,6 @@
     message: PeerMessage
 
 
-class BytesSent(msgspec.Struct, frozen=True):
-    """Bytes a balancer sent to others, by class."""
-
-    control: int
-    transfer: int
-    data: int
-
-
 class Surroundings(Protocol):
     """What a balancer's commands act upon."""
 
@@ -81,9 +72,6 @@
     def read_machine_list(self, host: BalancerHost) -> None:
         """Ask the platform for its machines."""
 
-    def probe(self, host: BalancerHost, backend: str, address: str) -> None:
-        """Ask a back end for its health and load."""
-
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process has ended after a planned stop."""
 
@@ -93,7 +81,7 @@
 
     :ivar node: the running process, None where there is none.
     :ivar paused: whether the process stands still.
-    :ivar control_bytes: bytes of control messages since `take_bytes`.
+    :ivar control_bytes: bytes sent to other balancers since `take_control_bytes`.
     :ivar available_since: simulated time since when it runs without a pause;
         infinity while it does not.
     """
@@ -129,8 +117,6 @@
         self.configuration_blocked = False
         self.available_since = float("inf")
         self.control_bytes = 0
-        self.data_bytes = 0
-        self.transfer_bytes = 0
         self._envelope = ENVELOPE_BYTES + len(self.name)
 
     # Life of the process
@@ -245,7 +231,7 @@
         self.handle(event)
 
     def receive_result(self, argument: tuple[int, Event]) -> None:
-        """Take the result of a read or probe of the process with the given number."""
+        """Take the result of a read of the process with the given number."""
         process, event = argument
         if self.node is None or process != self._process:
             return
@@ -314,12 +300,10 @@
 
     # Output
 
-    def take_bytes(self) -> BytesSent:
+    def take_control_bytes(self) -> int:
         """Return the bytes sent to other balancers since the last call."""
-        sent = BytesSent(self.control_bytes, self.transfer_bytes, self.data_bytes)
+        sent = self.control_bytes
         self.control_bytes = 0
-        self.transfer_bytes = 0
-        self.data_bytes = 0
         return sent
 
     def _perform(self, commands: list[Command]) -> None:
@@ -337,9 +321,7 @@
 
     def _perform_rarely(self, command: Command) -> None:
         surroundings = self._surroundings
-        if isinstance(command, ProbeBackend):
-            surroundings.probe(self, command.backend, command.address)
-        elif isinstance(command, ReadConfiguration):
+        if isinstance(command, ReadConfiguration):
             surroundings.read_configuration(self, command.known_generation)
         elif isinstance(command, ReadMachineList):
             surroundings.read_machine_list(self)
@@ -349,13 +331,7 @@
 
     def _send_to_peer(self, command: SendToPeer) -> None:
         message = command.message
-        size = len(encode_message(message)) + self._envelope
-        if isinstance(message, DATA_MESSAGES):
-            self.data_bytes += size
-        elif isinstance(message, TRANSFER_MESSAGES):
-            self.transfer_bytes += size
-        else:
-            self.control_bytes += size
+        self.control_bytes += len(encode_message(message)) + self._envelope
         assert self.node is not None
         incarnation = self.node.identity.incarnation
         datagram = PeerDatagram(self.name, incarnation, self.address, message)
--- a/sloepond/lab/checkers/traffic.py
+++ b/sloepond/lab/checkers/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes between balancers, by class, for each balancer and second."""
+"""Control traffic: bytes that balancers send each other, for each balancer and second."""
 
 from __future__ import annotations
 
@@ -12,26 +12,19 @@
 
     def __init__(self) -> None:
         self.control_maximum = 0
-        self.transfer_maximum = 0
         self.control_by_second: list[float] = []
-        self.data_bytes = 0
         self._control_bytes = 0
         self._balancer_seconds = 0
 
-    def second_ended(self, control: list[int], transfer: list[int], data: int) -> None:
-        """Add the bytes each running balancer sent in the past second.
-
-        :param data: bytes of all balancers sent because of callers' packets.
-        """
-        self.data_bytes += data
-        if not control:
+    def second_ended(self, sent: list[int]) -> None:
+        """Add the bytes each running balancer sent in the past second."""
+        if not sent:
             return
-        total = sum(control)
+        total = sum(sent)
         self._control_bytes += total
-        self._balancer_seconds += len(control)
-        self.control_by_second.append(total / len(control))
-        self.control_maximum = max(self.control_maximum, *control)
-        self.transfer_maximum = max(self.transfer_maximum, *transfer)
+        self._balancer_seconds += len(sent)
+        self.control_by_second.append(total / len(sent))
+        self.control_maximum = max(self.control_maximum, *sent)
 
     @property
     def control_mean(self) -> float:
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -228,8 +228,8 @@
         for name in fault.backends:
             self._world.note(f"{name} misleads for {fault.duration_s:g} s")
             host = self._world.backends[name]
-            host.mislead(fault.load_factor, fault.lag_s, fault.healthy)
-            self._later(fault.duration_s, partial(host.mislead, 1.0, 0.0, None))
+            host.mislead(fault.load_factor, fault.lag_s)
+            self._later(fault.duration_s, partial(host.mislead, 1.0, 0.0))
 
     # Configuration
 
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -118,6 +118,8 @@
 class BackendLie(FaultBase, frozen=True, tag="backend-lie"):
     """Health and load of back ends mislead for a while.
 
+    Load reports travel in replies.  No balancer asks a health endpoint, so none is simulated.
+
     :ivar healthy: what the health endpoint claims; None leaves it true.
     :ivar load_factor: multiplies every load report.
     :ivar lag_s: age of every load report.
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -31,8 +31,6 @@
     configuration_reverts: int
     control_bytes_per_second_max: int
     control_bytes_per_second_mean: float
-    transfer_bytes_per_second_max: int
-    data_overhead_bytes_per_packet: float
     simulated_seconds: float
     wall_seconds: float
     events: int
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -95,7 +95,6 @@
         counts = {promise.value: count for promise, count in world.log.counts.items()}
         traffic = self._sampler.traffic
         balance = self._sampler.balance
-        packets = world.fleet.counters.get("caller_packets", 0)
         return Measures(
             flows=world.callers.started,
             flows_open_peak=world.flow_checker.open_peak,
@@ -115,8 +114,6 @@
             configuration_reverts=counts[Promise.CONFIGURATION_REVERTS],
             control_bytes_per_second_max=traffic.control_maximum,
             control_bytes_per_second_mean=_rounded(traffic.control_mean),
-            transfer_bytes_per_second_max=traffic.transfer_maximum,
-            data_overhead_bytes_per_packet=_rounded(traffic.data_bytes / packets if packets else 0.0),
             simulated_seconds=self._end,
             wall_seconds=round(wall_seconds, 3),
             events=world.queue.processed,
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -36,7 +36,7 @@
 
     def _begin_seconds(self, _: None) -> None:
         for host in self._world.fleet.balancers.values():
-            host.take_bytes()
+            host.take_control_bytes()
         self._queue.schedule(self._queue.now + SECOND, self._second_ended)
         self._read_in_flight(None)
 
@@ -99,16 +99,12 @@
         self._queue.schedule(self._queue.now + SECOND, self._second_ended)
 
     def _sample_traffic(self) -> None:
-        control: list[int] = []
-        transfer: list[int] = []
-        data = 0
+        sent: list[int] = []
         for host in self._world.fleet.balancers.values():
-            sent = host.take_bytes()
-            data += sent.data
+            control_bytes = host.take_control_bytes()
             if host.node is not None:
-                control.append(sent.control)
-                transfer.append(sent.transfer)
-        self.traffic.second_ended(control, transfer, data)
+                sent.append(control_bytes)
+        self.traffic.second_ended(sent)
 
     def _read_in_flight(self, _: None) -> None:
         """Read the work of all back ends; the mean over a second becomes one sample."""
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -21,7 +21,6 @@
 from sloepond.lab.hosting import NodeFactory
 from sloepond.lab.network import Network
 from sloepond.lab.platform import Platform
-from sloepond.lab.probing import Probing
 from sloepond.lab.reach import Reach
 from sloepond.lab.result import TimelineEntry
 from sloepond.lab.scenario import Scenario, ServiceModel
@@ -52,7 +51,6 @@
         self._callers_endpoint = self.network.endpoint("callers", None)
         settings = msgspec.convert(scenario.settings, NodeSettings)
         medium = FleetMedium(self.queue, self.network, self.platform, self.streams, self._callers_endpoint)
-        self._probing = Probing(self.queue, self.network, settings.health.probe_timeout_s)
         self.backends: dict[str, BackendHost] = {}
         self._backends_by_address: dict[str, BackendHost] = {}
         self._build_backends(ordered_flows)
@@ -157,7 +155,7 @@
         self.request_checker.executed(execution, now)
         self.flow_checker.executed(execution, now)
 
-    # Reads, probes and ends of balancers
+    # Reads and ends of balancers
 
     def read_configuration(self, host: BalancerHost, known_generation: int) -> None:
         """Answer a read of the configuration after its latency."""
@@ -177,10 +175,6 @@
         event = MachineListRead(self.platform.machines(self.queue.now))
         self.queue.schedule(self.queue.now + delay, host.receive_result, (host.process, event))
 
-    def probe(self, host: BalancerHost, backend: str, address: str) -> None:
-        """Probe a back end; the balancer hears of it in any case."""
-        self._probing.start(host, backend, self._backends_by_address.get(address))
-
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
         self.note(f"{host.name} has stopped")
