--- a/sloepond/core/routing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Flows: partitions, replicas, records and placement."""
--- a/sloepond/core/settings.py
+++ b/sloepond/core/settings.py
@@ -60,7 +60,7 @@
 
     :ivar partitions: number of partitions of the flow space in a cell.
     :ivar replicas: balancers that hold each flow.
-    :ivar policy: name of the placement policy (see `core.routing.placement`), or
+    :ivar policy: name of a placement policy, or
         `token`: packets carry a routing token, and no flow is replicated.
     :ivar record_retry_s: time until a record without answer is sent again.
     :ivar lookup_timeout_s: time a lookup waits for former replicas.
--- a/sloepond/runtime/settings_rules.py
+++ b/sloepond/runtime/settings_rules.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from sloepond.core.routing.placement import POLICY_NAMES
 from sloepond.core.settings import TOKEN_POLICY, MembershipSettings, NodeSettings
 from sloepond.resources.addresses import AddressFailure, canonical_address
 from sloepond.resources.findings import FieldPath
 from sloepond.runtime.settings import ApiSettings, BalancerSettings, KeySettings, PlatformSettings
 from sloepond.runtime.structure import FieldFinding
+from sloepond.runtime.unread_settings import UNREAD_POLICIES
 from sloepond.wire.authentication import (
     MAXIMUM_KEY_ID,
     MAXIMUM_KEYS,
@@ -23,7 +23,7 @@
     KeyRing,
 )
 
-POLICIES = (*POLICY_NAMES, TOKEN_POLICY)
+POLICIES = (*UNREAD_POLICIES, TOKEN_POLICY)
 MINIMUM_TOKEN_CHARACTERS = 16
 MAXIMUM_REPLICAS = 7
 MAXIMUM_PARTITIONS = 65_536
@@ -48,8 +48,6 @@
 
 Findings = Iterator[FieldFinding]
 
-POLICIES = (*POLICY_NAMES, TOKEN_POLICY)
-
 
 def check_rules(settings: BalancerSettings) -> list[FieldFinding]:
     """Return every rule that `settings` break, in the order of the fields."""
--- a/sloepond/runtime/unread_settings.py
+++ b/sloepond/runtime/unread_settings.py
@@ -71,6 +71,9 @@
 }
 """Names of the fields that nothing reads, by the path of their table in the settings file."""
 
+UNREAD_POLICIES = ("hash", "bounded-load", "two-choices", "hot-cold", "least-loaded")
+"""Names of placement policies that are accepted; whichever is given, `token` is what runs."""
+
 _POLICY_PATH: FieldPath = ("node", "routing", "policy")
 
 
