--- a/features/runtime/daemon.feature
+++ b/features/runtime/daemon.feature
@@ -27,12 +27,6 @@
     When a runtime node sends 40 messages of 100 bytes to each of two peers
     Then the runtime peers get them in order, in 4 datagrams each
 
-  Scenario: A probe ends with the back end's load, or without an answer
-    Given a runtime probe driver
-    Then an answer of the probed runtime back end ends its probe
-    And an answer of another runtime back end does not
-    And a runtime probe without an answer ends at its deadline
-
   Scenario: The configuration is read from the platform
     Given a runtime daemon beside a stand-in platform
     When the runtime platform gets a configuration and then goes down
--- a/features/steps/configuration_resources.py
+++ b/features/steps/configuration_resources.py
@@ -1,4 +1,4 @@
-"""Resources for steps on configuration and health."""
+"""Resources for steps on configuration."""
 
 from __future__ import annotations
 
--- a/sloepond/core/commands.py
+++ b/sloepond/core/commands.py
@@ -40,13 +40,6 @@
     """Read the platform's list of machines."""
 
 
-class ProbeBackend(msgspec.Struct, frozen=True):
-    """Ask a back end for its health and load; answer with `BackendProbed`."""
-
-    backend: str
-    address: str
-
-
 class TransitionKind(enum.StrEnum):
     """Changes of state worth a log line."""
 
@@ -60,10 +53,7 @@
     CONFIGURATION_REJECTED = "configuration-rejected"
     CONFIGURATION_SERVICE_DOWN = "configuration-service-down"
     CONFIGURATION_SERVICE_UP = "configuration-service-up"
-    BACKEND_EJECTED = "backend-ejected"
-    BACKEND_RESTORED = "backend-restored"
     STALL_DETECTED = "stall-detected"
-    TRANSFER_COMPLETED = "transfer-completed"
 
 
 class RecordTransition(msgspec.Struct, frozen=True):
@@ -88,7 +78,6 @@
     | SendToPeer
     | ReadConfiguration
     | ReadMachineList
-    | ProbeBackend
     | RecordTransition
     | CompleteStop
 )
--- a/sloepond/core/events.py
+++ b/sloepond/core/events.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from sloepond.core.messages import Member, PeerMessage
-from sloepond.core.packets import BackendReply, CallerPacket, LoadReport
+from sloepond.core.packets import BackendReply, CallerPacket
 from sloepond.resources.model import ConfigurationSnapshot
 
 
@@ -65,18 +65,6 @@
     members: tuple[Member, ...]
 
 
-class BackendProbed(msgspec.Struct, frozen=True):
-    """A probe asked for by `ProbeBackend` ended.
-
-    :ivar report: None where the back end did not answer in time.
-    :ivar healthy: what the back end claims of itself.
-    """
-
-    backend: str
-    report: LoadReport | None
-    healthy: bool
-
-
 class StopRequested(msgspec.Struct, frozen=True):
     """The operator asked for a planned stop."""
 
@@ -90,6 +78,5 @@
     | ConfigurationReadUnchanged
     | ConfigurationReadFailed
     | MachineListRead
-    | BackendProbed
     | StopRequested
 )
--- a/sloepond/core/health/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Health and load of back ends."""
--- a/sloepond/runtime/activity.py
+++ b/sloepond/runtime/activity.py
@@ -1,6 +1,6 @@
 """Whether a balancer is busy with more than its routine.
 
-An idle balancer wakes for heartbeats, probes and polls only.  These need no
+An idle balancer wakes for heartbeats and polls only.  These need no
 precise timers, so the daemon then lets timers coalesce; each wake of an idle
 process costs more than the work it does.
 """
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from sloepond.core.events import (
-    BackendProbed,
     ConfigurationReadUnchanged,
     Event,
     MachineListRead,
@@ -23,7 +22,7 @@
 RENEWAL_S = 0.5
 """Time after such an event in which further ones are not looked at, in seconds."""
 
-_ROUTINE_EVENTS = frozenset({BackendProbed, ConfigurationReadUnchanged, MachineListRead, TimerFired})
+_ROUTINE_EVENTS = frozenset({ConfigurationReadUnchanged, MachineListRead, TimerFired})
 
 
 def is_routine(event: Event) -> bool:
--- a/sloepond/runtime/command_writer.py
+++ b/sloepond/runtime/command_writer.py
@@ -9,7 +9,6 @@
 
 from sloepond.core.commands import (
     CompleteStop,
-    ProbeBackend,
     ReadConfiguration,
     ReadMachineList,
     RecordTransition,
@@ -20,7 +19,6 @@
 )
 from sloepond.runtime.packet_sender import PacketSender
 from sloepond.runtime.platform_reader import PlatformReader
-from sloepond.runtime.probing import ProbeDriver
 
 _WARNINGS = frozenset(
     {
@@ -28,7 +26,6 @@
         TransitionKind.MEMBER_SUSPECTED,
         TransitionKind.CONFIGURATION_REJECTED,
         TransitionKind.CONFIGURATION_SERVICE_DOWN,
-        TransitionKind.BACKEND_EJECTED,
         TransitionKind.STALL_DETECTED,
     }
 )
@@ -44,7 +41,6 @@
 class CommandWriter:
     """Carries out commands.
 
-    :param clock: returns seconds of the node's clock.
     :param complete_stop: ends the daemon.
     :ivar writers: what carries out each type of command.
     """
@@ -53,14 +49,10 @@
         self,
         sender: PacketSender,
         reader: PlatformReader,
-        probes: ProbeDriver,
         logger: logbook.Logger,
-        clock: Callable[[], float],
         complete_stop: Callable[[], None],
     ) -> None:
-        self._probes = probes
         self._logger = logger
-        self._clock = clock
         self._complete_stop = complete_stop
         self.writers: CommandWriters = {
             SendToCaller: sender.send_to_caller,
@@ -68,14 +60,10 @@
             SendToPeer: sender.send_to_peer,
             ReadConfiguration: reader.read_configuration,
             ReadMachineList: reader.read_machine_list,
-            ProbeBackend: self._probe,
             RecordTransition: self._record_transition,
             CompleteStop: self._end,
         }
 
-    def _probe(self, command: ProbeBackend) -> None:
-        self._probes.start(command, self._clock())
-
     def _record_transition(self, command: RecordTransition) -> None:
         log = self._logger.warning if command.kind in _WARNINGS else self._logger.info
         log("{}", command.detail, extra={"kind": command.kind.value, "subject": command.subject})
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -18,7 +18,6 @@
 from sloepond.runtime.packet_sender import DaemonSockets, PacketSender
 from sloepond.runtime.peer_outbox import PeerOutbox
 from sloepond.runtime.platform_reader import PlatformReader
-from sloepond.runtime.probing import KeepaliveProbeDriver
 from sloepond.runtime.receiver import Receiver
 from sloepond.runtime.settings import BalancerSettings
 from sloepond.runtime.settings_rules import read_key_ring
@@ -60,13 +59,10 @@
         self.sockets = DaemonSockets(settings, self.node.counters)
         self._outbox = PeerOutbox(self.node, self.sockets.peer, self.authenticator, self.traffic)
         sender = PacketSender(self.sockets, self._outbox, settings.fabric_address)
-        self._probes = KeepaliveProbeDriver(
-            settings.backend_address, settings.node.health.probe_timeout_s, sender.send_to_backend
-        )
-        writer = CommandWriter(sender, reader, self._probes, logger, monotonic_seconds, complete_stop)
+        writer = CommandWriter(sender, reader, logger, complete_stop)
         self.dispatcher = Dispatcher(self.node, monotonic_seconds, writer.writers, logger)
         self._receiver = Receiver(
-            self.node.counters, self.authenticator, self.traffic, self._probes, self.dispatcher.dispatch
+            self.node.counters, self.authenticator, self.traffic, self.dispatcher.dispatch
         )
         self._takers = {
             self.sockets.edge: self._receiver.take_from_edge,
@@ -96,14 +92,12 @@
 
     def next_deadline(self) -> float:
         """Return when `on_time` is next needed, in seconds of the monotonic clock."""
-        return min(self.node.next_deadline(), self._probes.next_deadline())
+        return self.node.next_deadline()
 
     def on_time(self) -> None:
         """Do what is due."""
         now = monotonic_seconds()
         self.traffic.sample(now)
-        for probed in self._probes.on_time(now):
-            self.dispatcher.dispatch(probed)
         if self.node.next_deadline() <= now:
             self.dispatcher.dispatch(TimerFired())
         self._outbox.flush()
--- a/sloepond/runtime/receiver.py
+++ b/sloepond/runtime/receiver.py
@@ -13,7 +13,6 @@
 )
 from sloepond.core.messages import PeerMessage
 from sloepond.runtime.addresses import SocketAddress, format_address
-from sloepond.runtime.probing import ProbeDriver, is_probe_reply
 from sloepond.runtime.traffic import TrafficMeter
 from sloepond.wire.authentication import Authenticator
 from sloepond.wire.codec import decode_bundle, encode_message
@@ -38,13 +37,11 @@
         counters: Counters,
         authenticator: Authenticator,
         traffic: TrafficMeter,
-        probes: ProbeDriver,
         dispatch: Callable[[Event], None],
     ) -> None:
         self._counters = counters
         self._authenticator = authenticator
         self._traffic = traffic
-        self._probes = probes
         self._dispatch = dispatch
 
     def take_from_edge(self, datagram: bytes, source: SocketAddress) -> None:
@@ -60,14 +57,8 @@
         reply = decode_backend_reply(datagram)
         if isinstance(reply, DecodeFailure):
             self._count_decode_failure(reply)
-            return
-        address = format_address(source)
-        if not is_probe_reply(reply):
-            self._dispatch(BackendReplyReceived(address, reply))
-            return
-        probed = self._probes.take_reply(address, reply)
-        if probed is not None:
-            self._dispatch(probed)
+        else:
+            self._dispatch(BackendReplyReceived(format_address(source), reply))
 
     def take_from_peer(self, datagram: bytes, source: SocketAddress) -> None:
         """Take another balancer's datagram."""
