--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -18,10 +18,10 @@
 import sys
 import time
 
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.events import BackendsRead, RoutesRead
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.routes import Route, RouteConfiguration, Share
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
 from sloepond.platform.packet_codec import FLAG_ACK, FLAG_SYN, HEAD, EchoPacketCodec
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.forwarding.data_path import DataPath
--- a/features/steps/forwarding_bootstrap_steps.py
+++ b/features/steps/forwarding_bootstrap_steps.py
@@ -11,17 +11,17 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.commands import FetchKnowledge, SendToPeer
+from sloepond.core.forwarding.commands import FetchSnapshot, SendToPeer
 from sloepond.core.forwarding.events import (
     BackendsRead,
     FetchFailed,
-    KnowledgeReceived,
     PeerMessageReceived,
+    SnapshotReceived,
     Subject,
     TimerFired,
 )
-from sloepond.core.forwarding.peer_messages import Heartbeat, Knowledge, KnownBackend
-from sloepond.core.forwarding.readers import Role
+from sloepond.core.forwarding.peers.messages import Heartbeat, KnownBackend, Snapshot
+from sloepond.core.forwarding.peers.reader_election import Role
 
 REST_S = 8.0
 """Time after which a fleet has settled: readers are elected, peers know one another."""
@@ -61,7 +61,7 @@
 
     def listeners(self):
         """Return the addresses of balancers that do not read the store."""
-        return [ip for ip, node in self.nodes.items() if node.role is Role.LISTENER]
+        return [ip for ip, node in self.nodes.items() if node.role is Role.FOLLOWER]
 
 
 @given("a simulated fleet of {count:d} balancers at rest")
@@ -130,17 +130,17 @@
 @when("that peer tells all it knew of the store {age:d} seconds ago")
 def tells_old(context, age):
     harness = context.harness
-    assert [fetch.ip for fetch in harness.all(FetchKnowledge)] == ["10.1.0.2"]
+    assert [fetch.ip for fetch in harness.all(FetchSnapshot)] == ["10.1.0.2"]
     harness.now += 0.01
     known = tuple(KnownBackend(each, 0.0) for each in records())
-    harness.handle(KnowledgeReceived("10.1.0.2", Knowledge(ROUTES, float(age), known, float(age), 23)))
+    harness.handle(SnapshotReceived("10.1.0.2", Snapshot(ROUTES, float(age), known, float(age), 23)))
     harness.run_to(harness.now + 0.001, TimerFired())
 
 
 @when("that peer turns forwarding away")
 def turns_away(context):
     harness = context.harness
-    assert [fetch.ip for fetch in harness.all(FetchKnowledge)] == ["10.1.0.2"]
+    assert [fetch.ip for fetch in harness.all(FetchSnapshot)] == ["10.1.0.2"]
     assert all(harness.reads(subject) == [] for subject in SUBJECTS)
     harness.now += 0.01
     harness.handle(FetchFailed("10.1.0.2"))
--- a/features/steps/forwarding_client_steps.py
+++ b/features/steps/forwarding_client_steps.py
@@ -13,9 +13,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend_records import Endpoint
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.events import RoutesRead, StoreCallFailed, StoreFailure, Subject
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.platform.store import PlatformStoreCodec, quote
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.http_client import LONGEST_CALL_S, HttpClient, HttpConnection
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -12,10 +12,6 @@
 from hypothesis import given as for_all
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.cold_openings import ColdLimit
-from sloepond.core.forwarding.evacuated_zones import EvacuatedZones
-from sloepond.core.forwarding.evacuations import Evacuations
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
@@ -27,9 +23,13 @@
     TimerFired,
 )
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.places import PlaceRules
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.routes import ColdStart, Route, RouteConfiguration, Share
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.placement.slow_start import SlowStartLimit
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, Share
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 WITHOUT_SHRINKING = (Phase.explicit, Phase.generate)
@@ -38,7 +38,7 @@
     derandomize=True, deadline=None, database=None, max_examples=6, phases=WITHOUT_SHRINKING
 )
 ZONES = ("north", "south", "west")
-LIMIT = ColdLimit(factor=1.5, slack_per_s=5.0)
+LIMIT = SlowStartLimit(factor=1.5, slack_per_s=5.0)
 COLD_S = 2.0
 COLD_STARTS = (ColdStart("booking", COLD_S, 0.0),)
 WARM_ROUTES = RouteConfiguration(ROUTES.version, ROUTES.routes, cold_starts=COLD_STARTS)
@@ -47,7 +47,7 @@
 
 def zoned_records(numbers, revision=1):
     """Return back ends of one service, one zone after the other."""
-    return tuple(record(number, zone=ZONES[number % 3], revision=revision) for number in numbers)
+    return tuple(record(number, hall=ZONES[number % 3], revision=revision) for number in numbers)
 
 
 @then("forwarding property: zones evacuated and taken back are known to a fleet with losses within 2 seconds")
@@ -108,10 +108,10 @@
         told = list(written)
         chance.shuffle(told)
         for revision in told:
-            evacuations.take(EvacuatedZones(revision, tuple(sorted(written[revision]))), 1.0)
+            evacuations.take(EvacuatedHalls(revision, tuple(sorted(written[revision]))), 1.0)
         newest = written[max(written)]
-        assert set(evacuations.known.zones) == newest
-        assert {backend.zone for backend in directory.candidates("booking")} == set(ZONES) - newest
+        assert set(evacuations.known.halls) == newest
+        assert {backend.hall for backend in directory.candidates("booking")} == set(ZONES) - newest
 
     check()
 
@@ -152,7 +152,7 @@
                     decision = harness.node.decide(
                         segment(port=port, opening=True, copies=copies), harness.now
                     )
-                    assert decision.backend is None or decision.backend.zone not in zones
+                    assert decision.backend is None or decision.backend.hall not in zones
                     assert len(zones) < 3 or (decision.reset and not decision.hold)
 
     check()
@@ -160,7 +160,7 @@
 
 @given("a forwarding node that spares back ends after a start")
 def sparing_node(context):
-    node = fresh_node(cold_limit=ColdLimit(factor=1.5, slack_per_s=0.0))
+    node = fresh_node(slow_start_limit=SlowStartLimit(factor=1.5, slack_per_s=0.0))
     context.harness = Harness(node).configure(WARM_ROUTES, zoned_records(range(1, 7)))
     context.harness.run_to(context.harness.now + 6.0, TimerFired())
 
@@ -181,7 +181,7 @@
         decision = harness.node.decide(segment(STREAM, port, opening=True), harness.now)
         assert decision.hold or decision.backend is not None
         if decision.backend is not None:
-            zones[harness.now - begun < COLD_S].add(decision.backend.zone)
+            zones[harness.now - begun < COLD_S].add(decision.backend.hall)
         harness.run_to(harness.now + 0.05, TimerFired())
     assert zones[True] == {"north", "west"}
     assert zones[False] == set(ZONES)
@@ -226,7 +226,7 @@
 
 def cold_fleet(seed, share_cold, count=20):
     """Return a fleet of which a share of the back ends has just started, and their names."""
-    fleet = Fleet(count, seed, cold_limit=LIMIT)
+    fleet = Fleet(count, seed, slow_start_limit=LIMIT)
     fleet.store.configure(
         [Route("r0", 443, (Share("booking", 1),))], fleet.now, (ColdStart("booking", 60.0, 0.0),)
     )
@@ -310,7 +310,7 @@
             for copies in range(3):
                 opening = segment(homed.key, step, opening=True, copies=copies)
                 decision = harness.node.decide(opening, harness.now)
-                assert decision.backend is None or REGIONS[decision.backend.zone] == "here"
+                assert decision.backend is None or REGIONS[decision.backend.hall] == "here"
 
     check()
 
--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -14,17 +14,23 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.commands import ResetFlows
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import PeerMessageReceived, TimerFired
-from sloepond.core.forwarding.failing_backends import JUDGES, FailingBackends
-from sloepond.core.forwarding.failure_judge import FAILURES, FAILURES_OF_ONE, LASTS_S, WINDOW_S, FailureJudge
-from sloepond.core.forwarding.peer_messages import BackendFailing
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.rendezvous import assigned
-from sloepond.core.forwarding.waiting_requests import PATIENCE_FACTOR, PATIENCE_S, WaitingRequests
+from sloepond.core.forwarding.health.failing_backends import JUDGES, FailingBackends
+from sloepond.core.forwarding.health.failure_judge import (
+    FAILURES,
+    FAILURES_OF_ONE,
+    LASTS_S,
+    WINDOW_S,
+    FailureJudge,
+)
+from sloepond.core.forwarding.load.waiting_requests import PATIENCE_FACTOR, PATIENCE_S, WaitingRequests
+from sloepond.core.forwarding.peers.messages import BackendFailing
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.placement.rendezvous import assigned
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backends import BackendDirectory
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=150)
 SETTLED_S = 6.0
--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -9,26 +9,24 @@
 import msgspec
 from forwarding_model import record
 
-from sloepond.core.forwarding.backend_records import BackendState
 from sloepond.core.forwarding.commands import (
-    FetchKnowledge,
     FetchRoutes,
+    FetchSnapshot,
     ProbeStore,
     ReadSubject,
     SendToPeer,
     WatchSubject,
 )
-from sloepond.core.forwarding.evacuated_zones import ZoneChange
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
     DepartedBackend,
-    KnowledgeReceived,
     PeerMessageReceived,
     PeersJoined,
     RoutesChanged,
     RoutesRead,
-    RoutesTold,
+    RoutesReceived,
+    SnapshotReceived,
     StoreCallFailed,
     StoreFailure,
     StoreProbed,
@@ -36,8 +34,10 @@
     TimerFired,
 )
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.readers import Role
-from sloepond.core.forwarding.routes import Route, RouteConfiguration, Share
+from sloepond.core.forwarding.peers.reader_election import Role
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
+from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
 
 ANSWER_S = 0.01
 TIMEOUT_S = 0.7
@@ -85,7 +85,9 @@
             self.evacuated.add(zone)
         else:
             self.evacuated.discard(zone)
-        self.log.append((now, Subject.ROUTES, self.revision, ZoneChange(zone, self.revision, is_evacuated)))
+        self.log.append(
+            (now, Subject.ROUTES, self.revision, EvacuationChange(zone, self.revision, is_evacuated))
+        )
 
     def configure(self, routes, now, cold_starts=()):
         """Write a version of the routes."""
@@ -120,8 +122,8 @@
         values = tuple(change for _, change in found)
         if command.subject is Subject.BACKENDS:
             return BackendsChanged(self.revision, values)
-        zones = tuple(change for change in values if isinstance(change, ZoneChange))
-        configurations = tuple(change for change in values if not isinstance(change, ZoneChange))
+        zones = tuple(change for change in values if isinstance(change, EvacuationChange))
+        configurations = tuple(change for change in values if not isinstance(change, EvacuationChange))
         return RoutesChanged(self.revision, configurations, zones)
 
 
@@ -180,7 +182,7 @@
         for command in commands:
             if isinstance(command, SendToPeer):
                 self.send(ip, command)
-            elif isinstance(command, FetchKnowledge):
+            elif isinstance(command, FetchSnapshot):
                 self.fetch(ip, node, command.ip)
             elif isinstance(command, FetchRoutes):
                 self.fetch_routes(ip, node, command)
@@ -203,9 +205,9 @@
         target = self.nodes.get(peer)
         if target is None or self.group.get(ip) != self.group.get(peer):
             return
-        knowledge = target.peer_knowledge(self.now)
-        if knowledge is not None:
-            self.later(ANSWER_S, ip, node, KnowledgeReceived(peer, knowledge))
+        snapshot = target.peer_snapshot(self.now)
+        if snapshot is not None:
+            self.later(ANSWER_S, ip, node, SnapshotReceived(peer, snapshot))
 
     def fetch_routes(self, ip, node, command):
         """Bring the differences that a peer keeps."""
@@ -213,7 +215,7 @@
         if target is not None and self.group.get(ip) == self.group.get(command.ip):
             deltas = target.routes_since(command.version)
             if deltas:
-                self.later(ANSWER_S, ip, node, RoutesTold(command.ip, deltas))
+                self.later(ANSWER_S, ip, node, RoutesReceived(command.ip, deltas))
 
     def refuse(self, ips):
         """Have the store turn some nodes away; their watches are cut."""
@@ -303,7 +305,7 @@
         wanted = {route.key: route for route in self.store.routes.routes}
         if node.routes.version != self.store.routes.version or routes != wanted:
             return False
-        if set(node.evacuations.known.zones) != self.store.evacuated:
+        if set(node.evacuations.known.halls) != self.store.evacuated:
             return False
         listed = {b.name: b.state for b in node.backends if b.state is not BackendState.DEPARTED}
         return listed == {entry.name: entry.state for entry in self.store.backends.values()}
--- a/features/steps/forwarding_latency_steps.py
+++ b/features/steps/forwarding_latency_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from sloepond.core.forwarding.events import TimerFired
-from sloepond.core.forwarding.latency_estimate import LatencyEstimate
+from sloepond.core.forwarding.load.latency_estimate import LatencyEstimate
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=80)
 FAST_S = 0.05
--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -9,17 +9,17 @@
 from hypothesis import given as for_all
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend_records import BackendState
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.events import BackendsChanged, PeerMessageReceived, Subject, TimerFired
-from sloepond.core.forwarding.list_digest import NO_DIGEST
-from sloepond.core.forwarding.peer_messages import (
+from sloepond.core.forwarding.peers.messages import (
     Changes,
-    ChangesTold,
+    ChangesReply,
     Confirmation,
     KnownBackend,
 )
-from sloepond.core.forwarding.readers import Role
+from sloepond.core.forwarding.peers.reader_election import Role
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
 
 SMALL_FLEET = 7
 SETTLED_S = 6.0
@@ -56,7 +56,7 @@
     def check(seed, since_probe_s, before_s):
         fleet = Fleet(SMALL_FLEET, seed, loss=LOSS, capacity=CAPACITY)
         fleet.run(SETTLED_S + since_probe_s)
-        served = next(ip for ip, node in fleet.nodes.items() if node.role is Role.LISTENER)
+        served = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
         fleet.refuse(ip for ip in fleet.ips if ip != served)
         fleet.run(before_s)
         fleet.store.put(LEAVING, fleet.now, BackendState.LEAVING)
@@ -77,7 +77,7 @@
     context.told = record(LEAVING + 100, revision=revision)
     told = (KnownBackend(context.told, 0.0),)
     changes = Changes(7, None, revision - 1, revision, revision, told)
-    context.harness.handle(PeerMessageReceived(PEER, ChangesTold(changes)))
+    context.harness.handle(PeerMessageReceived(PEER, ChangesReply(changes)))
 
 
 @when("a watch answers late and tells of a ready back end of revision {revision:d}")
@@ -90,7 +90,7 @@
 def told_of_left(context):
     context.told = record(LEAVING + 100, "alone", revision=130, state=BackendState.DEPARTED)
     told = (KnownBackend(context.told, 0.5, said_leaving=True),)
-    context.harness.handle(PeerMessageReceived(PEER, ChangesTold(Changes(7, None, 125, 130, 130, told))))
+    context.harness.handle(PeerMessageReceived(PEER, ChangesReply(Changes(7, None, 125, 130, 130, told))))
 
 
 @then("forwarding gives that back end no new flow")
@@ -117,7 +117,7 @@
     context.asked_at = None
     for number in range(1, 30):
         changes = Changes(
-            7, None, revision, revision, directory.changes.latest, list_digest=directory.list_digest
+            7, None, revision, revision, directory.changes.latest, list_checksum=directory.list_checksum
         )
         confirmation = Confirmation(READERS[number % 3], 1.0, number, False, 0.0, changes)
         harness.handle(PeerMessageReceived(PEER, confirmation))
@@ -145,11 +145,11 @@
             chance.shuffle(order)
             for number, revision in order:
                 directory.put(record(number, revision=revision), 1.0)
-        assert (one.list_digest == other.list_digest) == (first == second)
-        assert NO_DIGEST not in (one.list_digest, other.list_digest)
+        assert (one.list_checksum == other.list_checksum) == (first == second)
+        assert NO_CHECKSUM not in (one.list_checksum, other.list_checksum)
         one.listed([record(number, revision=at) for number, at in second.items()], 100, 2.0)
         newer = all(first.get(number, 0) <= at for number, at in second.items())
-        assert (one.list_digest == other.list_digest) >= newer
+        assert (one.list_checksum == other.list_checksum) >= newer
 
     check()
 
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -25,10 +25,10 @@
     StopRequested,
     TimerFired,
 )
+from sloepond.core.forwarding.lifecycle.planned_stop import LEAST_FORWARD_S
+from sloepond.core.forwarding.lifecycle.stall_guard import STALL_TRUST_S
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.planned_stop import LEAST_FORWARD_S
-from sloepond.core.forwarding.readers import Role
-from sloepond.core.forwarding.stall_guard import STALL_TRUST_S
+from sloepond.core.forwarding.peers.reader_election import Role
 
 GRACE_S = 6.0
 
@@ -74,7 +74,7 @@
     harness = context.harness
     hear_readers(harness)
     harness.run_to(harness.now + 0.5, TimerFired())
-    assert harness.node.role is Role.LISTENER
+    assert harness.node.role is Role.FOLLOWER
     harness.commands.clear()
     harness.now += 3.0
     harness.handle(TimerFired())
@@ -117,7 +117,7 @@
     assert not harness.node.is_ready
     decision = harness.node.decide(segment(STREAM, opening=True), harness.now)
     assert decision.refusal is Refusal.NOT_CONFIGURED and not decision.reset
-    assert fresh_node().peer_knowledge(0.0) is None
+    assert fresh_node().peer_snapshot(0.0) is None
 
 
 @when("forwarding has read the list of back ends only")
--- a/features/steps/forwarding_loop_steps.py
+++ b/features/steps/forwarding_loop_steps.py
@@ -158,7 +158,7 @@
 
 
 def connected(context):
-    """Return a connection to the listener of the scenario."""
+    """Return a connection to the follower of the scenario."""
     client = socket.create_connection(context.listener.getsockname(), PATIENCE_S)
     context.add_cleanup(client.close)
     return client
@@ -189,7 +189,7 @@
 
 
 class FullListener(SimulatedStream):
-    """A listener with a connection that cannot be accepted until there are descriptors."""
+    """A follower with a connection that cannot be accepted until there are descriptors."""
 
     def __init__(self, free_at, clock):
         super().__init__()
--- a/features/steps/forwarding_metrics_steps.py
+++ b/features/steps/forwarding_metrics_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from prometheus_client.parser import text_string_to_metric_families
 
-from sloepond.core.forwarding.latency import BOUNDS_S, LatencyHistogram
+from sloepond.core.forwarding.load.latency import BOUNDS_S, LatencyHistogram
 from sloepond.runtime.forwarding.metrics import metrics_page
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -4,7 +4,6 @@
 
 import random
 
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -16,9 +15,16 @@
 )
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.peer_messages import Changes, Confirmation
-from sloepond.core.forwarding.readers import CHECK_INTERVAL_S, CLAIM_WAIT_S, START_S, URGENT_DELAY_S, Role
-from sloepond.core.forwarding.routes import Route, RouteConfiguration, Share
+from sloepond.core.forwarding.peers.messages import Changes, Confirmation
+from sloepond.core.forwarding.peers.reader_election import (
+    CHECK_INTERVAL_S,
+    CLAIM_WAIT_S,
+    START_S,
+    URGENT_DELAY_S,
+    Role,
+)
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
 
 STREAM = 1 << 16 | 443
 EXPORT = 2 << 16 | 443
@@ -38,7 +44,7 @@
 )
 
 
-def record(number, service="booking", revision=1, state=BackendState.READY, cold_s=0.0, zone="north"):
+def record(number, service="booking", revision=1, state=BackendState.READY, cold_s=0.0, hall="north"):
     """Return a back end; its address depends on its number only."""
     return BackendRecord(
         f"i-{number:08x}",
@@ -46,7 +52,7 @@
         service,
         f"10.0.0.{number % 250 + 1}",
         8000,
-        zone,
+        hall,
         2,
         state,
         cold_s,
@@ -147,7 +153,7 @@
 
 
 def hear_readers(harness):
-    """Let three readers confirm what the node knows, so that it stays a listener."""
+    """Let three readers confirm what the node knows, so that it stays a follower."""
     changes = Changes(7, None, 10, 10, 0)
     for identity in (11, 12, 13):
         confirmation = Confirmation(identity, 1.0, 1, False, 0.0, changes)
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -23,8 +23,6 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.admission import LONGEST_HOLD_S
-from sloepond.core.forwarding.backend_records import BackendState
 from sloepond.core.forwarding.commands import ForwardHeld
 from sloepond.core.forwarding.events import (
     BackendsChanged,
@@ -33,11 +31,13 @@
     OpeningHeld,
     TimerFired,
 )
-from sloepond.core.forwarding.flow_observer import FlowObserver
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
+from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.places import PlaceRules
-from sloepond.core.forwarding.routes import Share, WeightedTurns
-from sloepond.core.forwarding.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.placement.admission import LONGEST_HOLD_S
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.routes import Share, WeightedTurns
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 SETTLED_S = 5.0
@@ -80,7 +80,7 @@
     def check(changes):
         places = PlaceRules({"booking": frozenset({"north", "south"})})
         harness = Harness(fresh_node(places=places)).configure(
-            backends=(record(90, zone="south"), record(91, zone="west"))
+            backends=(record(90, hall="south"), record(91, hall="west"))
         )
         forbidden = {91}
         revision = 20
--- a/features/steps/forwarding_platform_steps.py
+++ b/features/steps/forwarding_platform_steps.py
@@ -12,10 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend import ForwardingBackend, token_of
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
-from sloepond.core.forwarding.evacuated_zones import ZoneChange
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
@@ -26,7 +23,10 @@
     StoreFailure,
     Subject,
 )
-from sloepond.core.forwarding.routes import ColdStart, Share
+from sloepond.core.forwarding.state.backend import ForwardingBackend, token_of
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
+from sloepond.core.forwarding.state.routes import ColdStart, Share
 from sloepond.platform.packet_codec import EchoPacketCodec
 from sloepond.platform.settings import parse_settings
 from sloepond.platform.store import PlatformStoreCodec
@@ -143,7 +143,7 @@
 @then("platform settings are read from lines")
 def settings_lines(context):
     read = parse_settings(SETTINGS)
-    assert (read.name, read.zone, read.ip) == ("front-osu-hall-1", "osu-hall", "10.1.0.10")
+    assert (read.name, read.hall, read.ip) == ("front-osu-hall-1", "osu-hall", "10.1.0.10")
     assert (read.edge, read.readiness) == ("10.1.0.10:8172", "10.1.0.10:8167")
     assert read.store == "10.200.1.7:8169"
     assert read.peer_port == 7720
@@ -189,7 +189,7 @@
     events = [item("op/config", CONFIGURATION, 32), item("op/evacuate/tema-hall", b"{}", 33), back]
     changed = STORE.decode_watch(WatchSubject(Subject.ROUTES, 31, 1.0), encode({"events": events, "at": 41}))
     assert [c.version for c in changed.configurations] == [7]
-    assert changed.zones == (ZoneChange("tema-hall", 33, True), ZoneChange("osu-hall", 34, False))
+    assert changed.halls == (EvacuationChange("tema-hall", 33, True), EvacuationChange("osu-hall", 34, False))
 
 
 @then("platform property: any answer of the store becomes an event")
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -11,8 +11,6 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend_records import BackendState, Endpoint
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.commands import CheckBackend, ResetFlows, SendToPeer
 from sloepond.core.forwarding.events import (
     BackendChecked,
@@ -23,10 +21,12 @@
     PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.forwarding.flow_resets import RESETS_A_STEP
+from sloepond.core.forwarding.health.flow_resets import RESETS_A_STEP
+from sloepond.core.forwarding.health.reachability import CHECKS_PER_S
 from sloepond.core.forwarding.packets import Refusal, last_segment
-from sloepond.core.forwarding.peer_messages import BackendUnreachable, Heartbeat, KnownBackend
-from sloepond.core.forwarding.reachability import CHECKS_PER_S
+from sloepond.core.forwarding.peers.messages import BackendUnreachable, Heartbeat, KnownBackend
+from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
+from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.reachability_check import CHECK_S, ReachabilityCheck
 
@@ -163,7 +163,7 @@
     old = record(number)
     heir = record(90, "roster", revision=70)
     heir = type(heir)(
-        heir.name, heir.number, heir.service, old.host, old.port, heir.zone, heir.slots, heir.state, 0.0, 70
+        heir.name, heir.number, heir.service, old.host, old.port, heir.hall, heir.slots, heir.state, 0.0, 70
     )
     context.harness.handle(BackendsChanged(70, (heir,)))
 
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -11,14 +11,14 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend_records import BackendState
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.evacuations import Evacuations
-from sloepond.core.forwarding.news import News
-from sloepond.core.forwarding.readers import READERS, Role
-from sloepond.core.forwarding.route_delta import difference
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.routes import RouteConfiguration
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.reader_election import READERS, Role
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.route_delta import difference
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.state.routes import RouteConfiguration
 
 FLEET_PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=8)
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=80)
@@ -28,7 +28,7 @@
 def news_of(backends):
     """Return what tells and takes changes of back ends."""
     routes = RouteTable(random.Random(1))
-    return News(routes, backends, Evacuations(routes, backends))
+    return ChangeGossip(routes, backends, Evacuations(routes, backends))
 
 
 @given("a simulated fleet of {count:d} forwarding nodes")
@@ -153,7 +153,7 @@
 @when("one listener of the forwarding fleet is cut off from all others and the operator changes a route")
 def cut_off(context):
     fleet = context.fleet
-    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.LISTENER)
+    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
     fleet.group = {listener: 1}
     change_something(fleet, 0)
 
@@ -192,7 +192,7 @@
     fleet = context.fleet
     fleet.store.remove(4, fleet.now)
     fleet.run(1.2)
-    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.LISTENER)
+    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
     fleet.start(listener)
 
 
@@ -236,7 +236,7 @@
     )
     def check(rounds, chance):
         reader, listener = BackendDirectory(), BackendDirectory()
-        news, taken = (news_of(each) for each in (reader, listener))
+        gossip, taken = (news_of(each) for each in (reader, listener))
         revision, known = 0, 0
         for at, numbers in enumerate(rounds):
             for number in numbers:
@@ -246,7 +246,7 @@
                     reader.depart(name, revision, float(at))
                 else:
                     reader.put(record(number, revision=revision), float(at))
-            parts = list(news.confirmed_changes(revision, float(at)))
+            parts = list(gossip.confirmed_changes(revision, float(at)))
             chance.shuffle(parts)
             for changes in parts:
                 if chance.random() < 0.3:
--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -11,14 +11,14 @@
 
 from sloepond.core.forwarding.commands import CompleteStop
 from sloepond.core.forwarding.events import StopRequested, TimerFired
-from sloepond.core.forwarding.planned_stop import (
+from sloepond.core.forwarding.lifecycle.planned_stop import (
     LEAST_FORWARD_S,
     LONGEST_READY_S,
     QUIET_S,
     STOP_MARGIN_S,
+    HallBalancers,
     PlannedStop,
     StopReason,
-    ZoneBalancers,
 )
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=200)
@@ -48,7 +48,7 @@
         super().__init__(count, kill_after_s=kill_after_s)
         self.run(SETTLED_S)
         assert not self.behind()
-        self.zone = [ip for ip, node in self.nodes.items() if node.is_ready and self.zone_of(ip) == 0]
+        self.hall = [ip for ip, node in self.nodes.items() if node.is_ready and self.zone_of(ip) == 0]
         self.asked = {}
         self.next_question = self.now
 
@@ -76,14 +76,14 @@
 
     def ask_all(self):
         """Ask all balancers of the zone whether they are ready."""
-        for ip in self.zone:
+        for ip in self.hall:
             node = self.nodes.get(ip)
             is_ready = node is not None and node.says_ready(self.now)
             self.misses[ip] = 0 if is_ready else self.misses.get(ip, 0) + 1
 
     def used(self):
         """Return the balancers routers send to."""
-        listed = [ip for ip in self.zone if self.now - self.ended.get(ip, self.now) < FORGET_S]
+        listed = [ip for ip in self.hall if self.now - self.ended.get(ip, self.now) < FORGET_S]
         ready = [ip for ip in listed if self.misses.get(ip, 0) < 2]
         return ready if 2 * len(ready) >= len(listed) else listed
 
@@ -115,7 +115,7 @@
 @when("{count:d} balancers of a zone are asked to stop")
 def zone_stops(context, count):
     fleet = context.fleet
-    context.last = [ip for ip in fleet.zone if ip in fleet.nodes][:count]
+    context.last = [ip for ip in fleet.hall if ip in fleet.nodes][:count]
     for ip in context.last:
         fleet.stop(ip)
 
@@ -124,7 +124,7 @@
 def more_stop(context, count, seconds):
     fleet = context.fleet
     fleet.route(seconds)
-    context.last = [ip for ip in fleet.zone if ip not in fleet.asked][:count]
+    context.last = [ip for ip in fleet.hall if ip not in fleet.asked][:count]
     for ip in context.last:
         fleet.stop(ip)
     context.were_ready = [fleet.nodes[ip].says_ready(fleet.now) for ip in context.last]
@@ -132,7 +132,7 @@
 
 @when("{count:d} balancers of a zone are killed")
 def zone_killed(context, count):
-    for ip in context.fleet.zone[:count]:
+    for ip in context.fleet.hall[:count]:
         context.fleet.kill(ip)
 
 
@@ -165,7 +165,7 @@
 def none_ready(context, seconds):
     fleet = context.fleet
     fleet.route(seconds)
-    assert not any(fleet.nodes[ip].says_ready(fleet.now) for ip in fleet.zone if ip in fleet.nodes)
+    assert not any(fleet.nodes[ip].says_ready(fleet.now) for ip in fleet.hall if ip in fleet.nodes)
 
 
 @then("all that were asked have ended within {seconds:g} seconds of that")
@@ -190,7 +190,7 @@
     for kill_after_s in (GRACE_S, 0.0):
         fleet = RoutedFleet(18, kill_after_s)
         for begin in range(0, count, 2):
-            for ip in fleet.zone[begin : min(begin + 2, count)]:
+            for ip in fleet.hall[begin : min(begin + 2, count)]:
                 fleet.stop(ip)
             fleet.route(1.0)
         fleet.route(8.0)
@@ -237,7 +237,7 @@
 
 @then("a planned stop ends in time, never while packets come or all of the zone are used, for any course")
 def ends_for_any_course(context):
-    zones = st.builds(ZoneBalancers, st.integers(0, 10), st.integers(0, 10))
+    zones = st.builds(HallBalancers, st.integers(0, 10), st.integers(0, 10))
     steps = st.lists(st.tuples(st.floats(0.01, 0.6), st.booleans(), zones), min_size=20, max_size=120)
 
     @PROPERTY
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -21,9 +21,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend_records import BackendState
 from sloepond.core.forwarding.commands import (
-    FetchKnowledge,
+    FetchSnapshot,
     ProbeStore,
     ReadSubject,
     SendToPeer,
@@ -31,10 +30,10 @@
 )
 from sloepond.core.forwarding.events import (
     BackendsRead,
-    KnowledgeReceived,
     PeerMessageReceived,
     RoutesChanged,
     RoutesRead,
+    SnapshotReceived,
     StoreCallFailed,
     StoreFailure,
     StoreHeard,
@@ -42,15 +41,16 @@
     Subject,
     TimerFired,
 )
-from sloepond.core.forwarding.follower import CONFIRM_AFTER_S, Follower
-from sloepond.core.forwarding.peer_messages import (
+from sloepond.core.forwarding.peers.messages import (
     Changes,
-    ChangesAsked,
+    ChangesRequest,
     Confirmation,
     Heartbeat,
-    Knowledge,
     KnownBackend,
+    Snapshot,
 )
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.store.watcher import CONFIRM_AFTER_S, StoreWatcher
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 GRACE_S = 6.0
@@ -110,12 +110,12 @@
     @PROPERTY
     @for_all(st.lists(st.tuples(st.integers(0, 3), FAILURES), min_size=5, max_size=60), st.integers(0, 99))
     def check(steps, seed):
-        follower = Follower(Subject.ROUTES, random.Random(seed))
-        follower.begin_watching(0.0)
+        watcher = StoreWatcher(Subject.ROUTES, random.Random(seed))
+        watcher.begin_watching(0.0)
         now, reading, watching, trusted, revision = 0.0, False, False, False, 0
         for action, failure in steps:
-            now = max(now + 0.01, min(follower.next_deadline(), now + 0.7))
-            for call in follower.on_time(now):
+            now = max(now + 0.01, min(watcher.next_deadline(), now + 0.7))
+            for call in watcher.on_time(now):
                 if isinstance(call, ReadSubject):
                     assert not reading
                     reading = True
@@ -125,20 +125,20 @@
             revision += 1
             if action == 0 and reading:
                 reading, trusted = False, True
-                follower.read(revision, now)
+                watcher.read(revision, now)
             elif action == 1 and watching:
                 watching = False
-                follower.watched(revision, now)
+                watcher.watched(revision, now)
             elif action == 2 and watching:
                 watching = trusted = False
-                follower.failed(failure, True, now)
+                watcher.failed(failure, True, now)
             elif action == 3 and reading:
                 reading = trusted = False
-                follower.failed(failure, False, now)
+                watcher.failed(failure, False, now)
             else:
                 revision -= 1
-            revision = follower.revision
-        assert reading or watching or follower.next_deadline() < now + 30.0
+            revision = watcher.revision
+        assert reading or watching or watcher.next_deadline() < now + 30.0
 
     check()
 
@@ -148,14 +148,14 @@
     @PROPERTY
     @for_all(FAILURES, st.integers(0, 99))
     def check(failure, seed):
-        follower = Follower(Subject.BACKENDS, random.Random(seed))
-        follower.begin_watching(0.0)
+        watcher = StoreWatcher(Subject.BACKENDS, random.Random(seed))
+        watcher.begin_watching(0.0)
         now, calls = 0.0, 0
         while now < 20.0:
-            for call in follower.on_time(now):
+            for call in watcher.on_time(now):
                 calls += 1
-                follower.failed(failure, isinstance(call, WatchSubject), now)
-            now = max(now + 0.001, follower.next_deadline())
+                watcher.failed(failure, isinstance(call, WatchSubject), now)
+            now = max(now + 0.001, watcher.next_deadline())
         assert 20 <= calls <= 60
 
     check()
@@ -180,7 +180,7 @@
 def asks_peer(context):
     harness = context.harness
     harness.run_to(context.heard_at + 0.2, TimerFired())
-    asked = [command for command in harness.all(SendToPeer) if isinstance(command.message, ChangesAsked)]
+    asked = [command for command in harness.all(SendToPeer) if isinstance(command.message, ChangesRequest)]
     assert [command.ip for command in asked] == ["10.1.0.2"]
     assert asked[0].message.routes_version == 7
 
@@ -232,16 +232,16 @@
 @then("forwarding asks the peer for all it knows within {span:f} seconds")
 def asks_for_all(context, span):
     context.harness.run_to(context.begun + span, TimerFired())
-    assert [fetch.ip for fetch in context.harness.all(FetchKnowledge)][:1] == ["10.1.0.2"]
+    assert [fetch.ip for fetch in context.harness.all(FetchSnapshot)][:1] == ["10.1.0.2"]
 
 
 @when("forwarding is told all a peer knows")
 def told_all(context):
     harness = context.harness
-    assert len(harness.all(FetchKnowledge)) == 1
+    assert len(harness.all(FetchSnapshot)) == 1
     departed = record(30, state=BackendState.DEPARTED)
     known = tuple(KnownBackend(r, 0.0) for r in records()) + (KnownBackend(departed, 12.0),)
-    harness.handle(KnowledgeReceived("10.1.0.2", Knowledge(ROUTES, 3.0, known, 3.0)))
+    harness.handle(SnapshotReceived("10.1.0.2", Snapshot(ROUTES, 3.0, known, 3.0)))
 
 
 @then("forwarding is ready and forwards to back ends that left the list")
@@ -276,13 +276,13 @@
 @then("forwarding asks nobody for all it knows within a second")
 def asks_nobody(context):
     context.harness.run_to(context.harness.now + 1.0, TimerFired())
-    assert context.harness.all(FetchKnowledge) == []
+    assert context.harness.all(FetchSnapshot) == []
 
 
 @then("forwarding asks a peer in another zone soon after")
 def asks_elsewhere(context):
     context.harness.run_to(context.harness.now + 0.5, TimerFired())
-    assert context.harness.all(FetchKnowledge) != []
+    assert context.harness.all(FetchSnapshot) != []
 
 
 @when("forwarding hears a peer in its own zone")
@@ -293,14 +293,14 @@
 @then("forwarding asks only that peer from then on")
 def asks_own_zone(context):
     context.harness.run_to(context.harness.now + 0.9, TimerFired())
-    asked = context.harness.all(FetchKnowledge)
+    asked = context.harness.all(FetchSnapshot)
     assert asked and {command.ip for command in asked} == {"10.1.0.9"}
 
 
 @when("forwarding hears a part of an answer of the store each tenth of a second for {seconds:f} seconds")
 def hears_parts(context, seconds):
     harness = context.harness
-    harness.all(FetchKnowledge)
+    harness.all(FetchSnapshot)
     for _ in range(round(seconds * 10)):
         harness.handle(StoreHeard())
         harness.run_to(harness.now + 0.1, TimerFired())
@@ -309,14 +309,14 @@
 @then("forwarding has asked nobody meanwhile and asks a peer 0.3 seconds after the last part")
 def asked_nobody(context):
     harness = context.harness
-    assert harness.all(FetchKnowledge) == []
+    assert harness.all(FetchSnapshot) == []
     harness.run_to(harness.now + 0.21, TimerFired())
-    assert len(harness.all(FetchKnowledge)) == 1
+    assert len(harness.all(FetchSnapshot)) == 1
 
 
 @then("forwarding has asked a peer meanwhile")
 def asked_meanwhile(context):
-    assert context.harness.all(FetchKnowledge) != []
+    assert context.harness.all(FetchSnapshot) != []
 
 
 @when("forwarding hears of 3 changed back ends before it has read the list")
@@ -339,7 +339,7 @@
 @when("forwarding is told the list and the routes by a peer")
 def told_list(context):
     known = tuple(KnownBackend(each, 0.0) for each in records())
-    context.harness.handle(KnowledgeReceived("10.1.0.3", Knowledge(ROUTES, 0.0, known, 0.0, 23)))
+    context.harness.handle(SnapshotReceived("10.1.0.3", Snapshot(ROUTES, 0.0, known, 0.0, 23)))
 
 
 @then("forwarding is ready and knows all changes since the list")
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -10,9 +10,6 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.backend import TOKEN_MASK, token_of
-from sloepond.core.forwarding.backend_records import BackendState
-from sloepond.core.forwarding.backends import DEPARTED_MEMORY_S, BackendDirectory
 from sloepond.core.forwarding.commands import ForwardHeld, SendToPeer
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -22,7 +19,10 @@
     UnknownTokenMet,
 )
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.peer_messages import TokenAsked, TokenFound
+from sloepond.core.forwarding.peers.messages import TokenReply, TokenRequest
+from sloepond.core.forwarding.state.backend import TOKEN_MASK, token_of
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.backends import DEPARTED_MEMORY_S, BackendDirectory
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 BALANCERS = 3
@@ -194,10 +194,10 @@
 def packet_held(context):
     harness = context.harness
     asked = harness.all(SendToPeer)
-    assert [c.message for c in asked] == [TokenAsked(77)] * 3
+    assert [c.message for c in asked] == [TokenRequest(77)] * 3
     assert harness.all(ForwardHeld) == []
     harness.now += 0.01
-    harness.handle(PeerMessageReceived("10.1.0.2", TokenFound(context.unknown, 4.0)))
+    harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(context.unknown, 4.0)))
     assert harness.all(ForwardHeld) == [ForwardHeld((b"packet",))]
     assert harness.node.decide(segment(token=77), harness.now).backend.number == 77
     assert harness.node.backends.candidates("roster") != []
@@ -218,8 +218,8 @@
     harness.run_to(harness.now + 0.2, TimerFired())
     assert harness.node.counters.held_packets_dropped == 1
     harness.handle(UnknownTokenMet(78, b"copy"))
-    assert [c for c in harness.all(SendToPeer) if isinstance(c.message, TokenAsked)] == []
-    harness.handle(PeerMessageReceived("10.1.0.2", TokenFound(record(78), 0.0)))
+    assert [c for c in harness.all(SendToPeer) if isinstance(c.message, TokenRequest)] == []
+    harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(record(78), 0.0)))
     assert harness.all(ForwardHeld) == []
 
 
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import Endpoint
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.peer_messages import PeerMessage
+from sloepond.core.forwarding.peers.messages import PeerMessage
+from sloepond.core.forwarding.state.backend_records import Endpoint
 
 
 class ReadSubject(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
     message: PeerMessage
 
 
-class FetchKnowledge(msgspec.Struct, frozen=True):
+class FetchSnapshot(msgspec.Struct, frozen=True):
     """Ask a peer for all it knows."""
 
     ip: str
@@ -100,7 +100,7 @@
     STORE_LOST = "store_lost"
     STORE_REGAINED = "store_regained"
     ROUTES_IN_FORCE = "routes_in_force"
-    ZONES_EVACUATED = "zones_evacuated"
+    HALLS_EVACUATED = "zones_evacuated"
     BACKEND_CHANGED = "backend_changed"
     BACKEND_PASSED_OVER = "backend_passed_over"
     BACKEND_CHECKED = "backend_checked"
@@ -138,7 +138,7 @@
     | ProbeStore
     | CheckBackend
     | SendToPeer
-    | FetchKnowledge
+    | FetchSnapshot
     | FetchRoutes
     | ForwardHeld
     | ResetFlows
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import BackendRecord
-from sloepond.core.forwarding.evacuated_zones import ZoneChange
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.peer_messages import Knowledge, PeerMessage
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.routes import RouteConfiguration
+from sloepond.core.forwarding.peers.messages import PeerMessage, Snapshot
+from sloepond.core.forwarding.state.backend_records import BackendRecord
+from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.state.routes import RouteConfiguration
 
 
 class Subject(enum.IntEnum):
@@ -37,7 +37,7 @@
     """What operators have written was read whole; no routes if there are none yet.
 
     :ivar revision: the store's revision at the read.
-    :ivar evacuated: the zones that are evacuated.
+    :ivar evacuated: the halls that are evacuated.
     """
 
     revision: int
@@ -53,11 +53,11 @@
 
 
 class RoutesChanged(msgspec.Struct, frozen=True):
-    """A watch answered: the routes as they were written, oldest first, and zones that changed."""
+    """A watch answered: the routes as they were written, oldest first, and halls that changed."""
 
     revision: int
     configurations: tuple[RouteConfiguration, ...]
-    zones: tuple[ZoneChange, ...] = ()
+    halls: tuple[EvacuationChange, ...] = ()
 
 
 class DepartedBackend(msgspec.Struct, frozen=True):
@@ -133,11 +133,11 @@
     message: PeerMessage
 
 
-class KnowledgeReceived(msgspec.Struct, frozen=True):
+class SnapshotReceived(msgspec.Struct, frozen=True):
     """A peer has told all it knows."""
 
     ip: str
-    knowledge: Knowledge
+    snapshot: Snapshot
 
 
 class FetchFailed(msgspec.Struct, frozen=True):
@@ -146,7 +146,7 @@
     ip: str
 
 
-class RoutesTold(msgspec.Struct, frozen=True):
+class RoutesReceived(msgspec.Struct, frozen=True):
     """A peer has told differences that lead to its version of the routes.
 
     :ivar deltas: each applies to the version that the one before leads to.
@@ -199,9 +199,9 @@
     | StoreHeard
     | PeersJoined
     | PeerMessageReceived
-    | KnowledgeReceived
+    | SnapshotReceived
     | FetchFailed
-    | RoutesTold
+    | RoutesReceived
     | OpeningHeld
     | UnknownTokenMet
     | BackendSuspected
--- a/sloepond/core/forwarding/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.commands import CheckBackend, Command, LogKind, ResetFlows, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import BackendChecked, CheckResult
-from sloepond.core.forwarding.flow_observer import FlowObserver
-from sloepond.core.forwarding.flow_resets import FlowResets
-from sloepond.core.forwarding.peer_exchange import PeerExchange
-from sloepond.core.forwarding.reachability import Reachability
+from sloepond.core.forwarding.health.flow_resets import FlowResets
+from sloepond.core.forwarding.health.reachability import Reachability
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
+from sloepond.core.forwarding.peers.exchange import PeerExchange
+from sloepond.core.forwarding.state.backends import BackendDirectory
 
 OPENING_SILENCE_S = 0.08
 """Time without a packet after a flow's opening one that makes its back end to be checked.
-The next one comes after two ways between zones and two to the caller, about 6 ms."""
+The next one comes after two ways between halls and two to the caller, about 6 ms."""
 
 
 class BackendChecks:
--- a/sloepond/core/forwarding/failing_backends.py
+++ b/sloepond/core/forwarding/health/failing_backends.py
@@ -10,16 +10,16 @@
 import random
 from collections.abc import Sequence
 
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.backend_records import BackendState
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.commands import Command, LogKind, SendToPeer, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.failure_judge import LASTS_S, WINDOW_S, FailureJudge
-from sloepond.core.forwarding.peer_messages import BackendFailing, FailureMessage, RequestUnanswered
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.rendezvous import assigned
-from sloepond.core.forwarding.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.health.failure_judge import LASTS_S, WINDOW_S, FailureJudge
+from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.peers.messages import BackendFailing, FailureMessage, RequestUnanswered
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.placement.rendezvous import assigned
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend_records import BackendState
+from sloepond.core.forwarding.state.backends import BackendDirectory
 
 JUDGES = 2
 """Balancers assigned to each back end: one may be gone or unknown to some."""
--- a/sloepond/core/forwarding/flow_resets.py
+++ b/sloepond/core/forwarding/health/flow_resets.py
@@ -10,9 +10,9 @@
 import collections
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.flow_observer import FlowObserver, SeenFlow
+from sloepond.core.forwarding.load.flow_observer import FlowObserver, SeenFlow
 from sloepond.core.forwarding.packets import Segment, last_segment
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 RESETS_A_STEP = 100
 """Resets sent at once, so that packets of other flows are not held up: 100 take about 2 ms."""
--- a/sloepond/core/forwarding/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -9,10 +9,10 @@
 
 import random
 
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.backend_records import BackendState, Endpoint
-from sloepond.core.forwarding.backends import DEPARTED_MEMORY_S, BackendDirectory
 from sloepond.core.forwarding.events import CheckResult
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
+from sloepond.core.forwarding.state.backends import DEPARTED_MEMORY_S, BackendDirectory
 
 CHECK_INTERVAL_S = 1.0
 """Least time between two checks of one back end."""
@@ -56,7 +56,7 @@
         return True
 
     def control(self, suspect: ForwardingBackend, now: float) -> Endpoint | None:
-        """Return a back end that is listed and not suspected itself, in the same zone if possible."""
+        """Return a back end that is listed and not suspected itself, in the same hall if possible."""
         usable = [
             backend
             for backend in self._backends
@@ -66,7 +66,7 @@
             and not backend.is_unreachable(now)
         ]
         drawn = self._random.sample(usable, min(CONTROL_DRAWS, len(usable)))
-        drawn.sort(key=lambda backend: backend.zone != suspect.zone)
+        drawn.sort(key=lambda backend: backend.hall != suspect.hall)
         if not drawn:
             return None
         self._controls[suspect.name] = drawn[0]
--- /dev/null
+++ b/sloepond/core/forwarding/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Start, planned stop, and waking after a stall."""
--- a/sloepond/core/forwarding/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -1,8 +1,8 @@
 """How long a stopping balancer forwards on: as long as routers may still send packets to it.
 
 Routers drop a balancer soon after it says that it is not ready, but where fewer than half
-of the balancers of a zone are ready they use all of them, those that stop too.  So what
-counts is whether packets still come, and how many balancers of the zone are ready.
+of the balancers of a hall are ready they use all of them, those that stop too.  So what
+counts is whether packets still come, and how many balancers of the hall are ready.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 """How long a stopping balancer says that it is ready at most.  Routers must have dropped it
 4 s after the request to stop; they take up to 1.0 s for that, more on a slow machine."""
 READY_SHARE = 0.5
-"""Share of a zone's balancers below which routers use all of them."""
+"""Share of a hall's balancers below which routers use all of them."""
 
 
 class StopReason(enum.Enum):
@@ -36,8 +36,8 @@
     TIME_LIMIT = "time_limit"
 
 
-class ZoneBalancers(msgspec.Struct, frozen=True):
-    """The balancers of a zone as far as one of them knows, that one included.
+class HallBalancers(msgspec.Struct, frozen=True):
+    """The balancers of a hall as far as one of them knows, that one included.
 
     :ivar ready: those that routers should use.
     :ivar others: those that stop, have stopped lately, are silent, or know no routes yet.
@@ -82,14 +82,14 @@
         self.packets += 1
         self._last_packet_at = now
 
-    def stays_ready(self, zone: ZoneBalancers, now: float) -> bool:
+    def stays_ready(self, hall: HallBalancers, now: float) -> bool:
         """Tell whether a stopping balancer still says that it is ready.
 
-        It does while too few of its zone are ready without it, so that routers go on using
+        It does while too few of its hall are ready without it, so that routers go on using
         the ready ones only, and none of those that have ended.
         """
         longest_s = min(LONGEST_READY_S, self._longest_s - LEAST_FORWARD_S)
-        return now < self._requested_at + longest_s and zone.all_are_used
+        return now < self._requested_at + longest_s and hall.all_are_used
 
     def next_deadline(self) -> float:
         """Return when `review` has something to decide."""
@@ -99,7 +99,7 @@
         """Return seconds since the request."""
         return now - self._requested_at
 
-    def review(self, zone: ZoneBalancers, now: float) -> StopReason | None:
+    def review(self, hall: HallBalancers, now: float) -> StopReason | None:
         """Return why the process may end now, None where it forwards on."""
         if now < self._review_at:
             return None
@@ -108,7 +108,7 @@
             self._review_at = NEVER
             return StopReason.TIME_LIMIT
         quiet_at = self._last_packet_at + QUIET_S
-        if now >= quiet_at and not zone.all_are_used:
+        if now >= quiet_at and not hall.all_are_used:
             self._review_at = NEVER
             return StopReason.QUIET
         self._review_at = min(ends_at, quiet_at if quiet_at > now else now + QUIET_S)
--- a/sloepond/core/forwarding/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.follower import Follower
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 STALL_S = 0.6
 """Lateness of a timer above which the process counts as having slept."""
@@ -21,12 +21,12 @@
 class StallGuard:
     """Whether what is known may be acted on.
 
-    :param followers: are made to read everything again.
+    :param watchers: are made to read everything again.
     :ivar may_place: whether new flows may be placed.
     """
 
-    def __init__(self, followers: Iterable[Follower]) -> None:
-        self._followers = tuple(followers)
+    def __init__(self, watchers: Iterable[StoreWatcher]) -> None:
+        self._watchers = tuple(watchers)
         self._stalled_at = -NEVER
         self._trust_again_at = NEVER
         self.may_place = True
@@ -40,8 +40,8 @@
         self.may_place = False
         self._stalled_at = now
         self._trust_again_at = now + STALL_TRUST_S
-        for follower in self._followers:
-            follower.distrust(now)
+        for watcher in self._watchers:
+            watcher.distrust(now)
 
     def on_time(self, now: float) -> None:
         """Trust what is known where confirming it takes too long."""
@@ -50,7 +50,7 @@
 
     def store_answered(self) -> None:
         """Trust what is known once all of it was read after the stall."""
-        if all(follower.confirmed_at > self._stalled_at for follower in self._followers):
+        if all(watcher.confirmed_at > self._stalled_at for watcher in self._watchers):
             self._trust()
 
     def _trust(self) -> None:
--- a/sloepond/core/forwarding/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -1,12 +1,12 @@
-"""Carries a planned stop out: tells peers, counts the balancers of the zone, ends."""
+"""Carries a planned stop out: tells peers, counts the balancers of the hall, ends."""
 
 from __future__ import annotations
 
 from sloepond.core.forwarding.commands import Command, CompleteStop, LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.peer_exchange import PeerExchange
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.planned_stop import LEAST_FORWARD_S, PlannedStop, ZoneBalancers
+from sloepond.core.forwarding.lifecycle.planned_stop import LEAST_FORWARD_S, HallBalancers, PlannedStop
+from sloepond.core.forwarding.peers.exchange import PeerExchange
+from sloepond.core.forwarding.peers.peer_table import PeerTable
 
 
 class StopProcedure:
@@ -29,20 +29,20 @@
         """Whether the balancer stops."""
         return self._stop.is_requested
 
-    def zone_balancers(self, is_configured: bool, now: float) -> ZoneBalancers:
-        """Return how many balancers of the zone are ready, this one included.
+    def hall_balancers(self, is_configured: bool, now: float) -> HallBalancers:
+        """Return how many balancers of the hall are ready, this one included.
 
         :param is_configured: whether this one knows routes and back ends.
         """
-        ready, others = self._peers.zone_count(now)
+        ready, others = self._peers.hall_count(now)
         is_ready = is_configured and not self.is_requested
-        return ZoneBalancers(ready + is_ready, others + (not is_ready))
+        return HallBalancers(ready + is_ready, others + (not is_ready))
 
     def says_ready(self, is_configured: bool, now: float) -> bool:
         """Tell whether routers are told to send packets here."""
         if not self.is_requested:
             return is_configured
-        return is_configured and self._stop.stays_ready(self.zone_balancers(is_configured, now), now)
+        return is_configured and self._stop.stays_ready(self.hall_balancers(is_configured, now), now)
 
     def take_commands(self) -> list[Command]:
         """Return what is to be done, and forget it."""
@@ -65,19 +65,19 @@
             return
         self._stop.request(now)
         self._exchange.leave(now)
-        zone = self.zone_balancers(is_configured, now)
-        detail = f"forwards_on_s={LEAST_FORWARD_S} zone_ready={zone.ready} zone_others={zone.others}"
+        hall = self.hall_balancers(is_configured, now)
+        detail = f"forwards_on_s={LEAST_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
         self._commands.append(WriteLog(LogKind.STOPPING, "process", detail))
 
     def on_time(self, is_configured: bool, now: float) -> None:
         """End where routers send no packets here any more, or too little time is left."""
-        zone = self.zone_balancers(is_configured, now)
-        reason = self._stop.review(zone, now)
+        hall = self.hall_balancers(is_configured, now)
+        reason = self._stop.review(hall, now)
         if reason is None:
             return
         detail = (
             f"reason={reason.value} after_s={self._stop.elapsed_s(now):.2f} "
-            f"packets={self._stop.packets} zone_ready={zone.ready} zone_others={zone.others}"
+            f"packets={self._stop.packets} zone_ready={hall.ready} zone_others={hall.others}"
         )
         self._commands.append(WriteLog(LogKind.STOP_COMPLETED, "process", detail))
         self._commands.append(CompleteStop())
--- /dev/null
+++ b/sloepond/core/forwarding/load/__init__.py
@@ -0,0 +1,1 @@
+"""What callers' packets tell about back ends: requests under way, latencies, unanswered requests."""
--- a/sloepond/core/forwarding/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -11,10 +11,10 @@
 from typing import NamedTuple
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.latency import LatencyHistogram
+from sloepond.core.forwarding.load.latency import LatencyHistogram
+from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 MAXIMUM_FLOWS = 20_000
 """Flows observed at once; the one that rested longest is forgotten for a new one."""
--- a/sloepond/core/forwarding/waiting_requests.py
+++ b/sloepond/core/forwarding/load/waiting_requests.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.latency_estimate import LatencyEstimate
+from sloepond.core.forwarding.load.latency_estimate import LatencyEstimate
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 PATIENCE_S = 0.5
 """Wait from which a request counts as unanswered.  Callers acknowledge answers of one packet
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -9,10 +9,6 @@
 import random
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend import Decision
-from sloepond.core.forwarding.backend_checks import OPENING_SILENCE_S, BackendChecks
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.cold_openings import ColdLimit, ColdOpenings
 from sloepond.core.forwarding.commands import (
     Command,
     ForwardHeld,
@@ -20,19 +16,17 @@
     WriteLog,
 )
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.dissemination import Dissemination
-from sloepond.core.forwarding.evacuations import Evacuations
 from sloepond.core.forwarding.events import (
     BackendChecked,
     BackendSuspected,
     Event,
     FetchFailed,
-    KnowledgeReceived,
     OpeningHeld,
     PeerMessageReceived,
     PeersJoined,
-    RoutesTold,
+    RoutesReceived,
     SettingsChanged,
+    SnapshotReceived,
     StopRequested,
     StoreCallFailed,
     StoreEvent,
@@ -42,26 +36,32 @@
     TimerFired,
     UnknownTokenMet,
 )
-from sloepond.core.forwarding.failing_backends import FailingBackends
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.forwarder import Forwarder
-from sloepond.core.forwarding.latency import LatencyHistogram
-from sloepond.core.forwarding.news import News
-from sloepond.core.forwarding.own_reads import CHANGE_LIMIT_S
+from sloepond.core.forwarding.health.backend_checks import OPENING_SILENCE_S, BackendChecks
+from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.reachability import Reachability
+from sloepond.core.forwarding.lifecycle.planned_stop import HallBalancers
+from sloepond.core.forwarding.lifecycle.stall_guard import STALL_S, StallGuard
+from sloepond.core.forwarding.lifecycle.stop_procedure import StopProcedure
+from sloepond.core.forwarding.load.latency import LatencyHistogram
+from sloepond.core.forwarding.load.waiting_requests import PATIENCE_S, WaitingRequests
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.peer_exchange import PeerExchange
-from sloepond.core.forwarding.peer_messages import Knowledge
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.places import ANYWHERE, PlaceRules
-from sloepond.core.forwarding.planned_stop import ZoneBalancers
-from sloepond.core.forwarding.reachability import Reachability
-from sloepond.core.forwarding.readers import ReaderElection, Role
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.stall_guard import STALL_S, StallGuard
-from sloepond.core.forwarding.stop_procedure import StopProcedure
-from sloepond.core.forwarding.store_answers import StoreAnswers
-from sloepond.core.forwarding.waiting_requests import PATIENCE_S, WaitingRequests
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.dissemination import Dissemination
+from sloepond.core.forwarding.peers.exchange import PeerExchange
+from sloepond.core.forwarding.peers.messages import Snapshot
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.peers.reader_election import ReaderElection, Role
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.placement.forwarder import Forwarder
+from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.placement.slow_start import SlowStart, SlowStartLimit
+from sloepond.core.forwarding.state.backend import Decision
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.store.staleness_bound import CHANGE_LIMIT_S
+from sloepond.core.forwarding.store.store_answers import StoreAnswers
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 IDENTITY_BITS = 63
 HOUSEKEEPING_S = 0.5
@@ -71,26 +71,26 @@
 class ForwardingNode:
     """One balancer.
 
-    :param zone: zone of this balancer.
+    :param hall: hall of this balancer.
     :param random_source: seeded by the caller.
     :param ip: address at which peers reach this balancer.
     :param seeds: addresses of balancers that may be up.
     :param places: where flows may go.
     :param capacity: share of a core it may use.
-    :param cold_limit: what bounds new flows of back ends that are slow from their start.
+    :param slow_start_limit: what bounds new flows of back ends that are slow from their start.
     :param kill_after_s: time from the request to stop after which the process is killed.
     :param change_limit_s: time within which a change must be in force, 0 where the settings name none.
     """
 
     def __init__(
         self,
-        zone: str,
+        hall: str,
         random_source: random.Random,
         ip: str = "",
         seeds: tuple[str, ...] = (),
         places: PlaceRules = ANYWHERE,
         capacity: float = 1.0,
-        cold_limit: ColdLimit | None = None,
+        slow_start_limit: SlowStartLimit | None = None,
         kill_after_s: float = 0.0,
         change_limit_s: float = 0.0,
     ) -> None:
@@ -98,21 +98,21 @@
         self.routes = RouteTable(random_source)
         self.backends = BackendDirectory(places)
         self.evacuations = Evacuations(self.routes, self.backends)
-        self._followers = {
-            Subject.ROUTES: Follower(Subject.ROUTES, random_source),
-            Subject.BACKENDS: Follower(Subject.BACKENDS, random_source),
+        self._watchers = {
+            Subject.ROUTES: StoreWatcher(Subject.ROUTES, random_source),
+            Subject.BACKENDS: StoreWatcher(Subject.BACKENDS, random_source),
         }
-        self._stall_guard = StallGuard(self._followers.values())
-        peers = PeerTable(ip, zone, seeds, random_source)
-        self._cold_openings = ColdOpenings(ip, peers, self.routes, cold_limit)
+        self._stall_guard = StallGuard(self._watchers.values())
+        peers = PeerTable(ip, hall, seeds, random_source)
+        self._slow_start = SlowStart(ip, peers, self.routes, slow_start_limit)
         waiting = WaitingRequests()
         self._failing = FailingBackends(ip, peers, self.backends, waiting, self.counters, random_source)
         self._forwarder = Forwarder(
-            zone,
+            hall,
             self.routes,
             self.backends,
             self._stall_guard,
-            self._cold_openings,
+            self._slow_start,
             self._failing,
             waiting,
             self.counters,
@@ -121,8 +121,8 @@
         reachability = Reachability(self.backends, random_source)
         self._dissemination = Dissemination(
             ReaderElection(random_source.getrandbits(IDENTITY_BITS), capacity, random_source),
-            self._followers,
-            News(self.routes, self.backends, self.evacuations),
+            self._watchers,
+            ChangeGossip(self.routes, self.backends, self.evacuations),
             peers,
             self.counters,
             random_source,
@@ -132,17 +132,17 @@
             self.routes,
             self.backends,
             self.evacuations,
-            self._followers,
+            self._watchers,
             self._dissemination,
             self.counters,
         )
         self._exchange = PeerExchange(
-            zone,
+            hall,
             peers,
             self.routes,
             self.backends,
             self.evacuations,
-            self._followers,
+            self._watchers,
             self._dissemination,
             reachability,
             self._failing,
@@ -182,9 +182,9 @@
         """Tell whether routers are told to send packets here."""
         return self._stop.says_ready(self.is_configured, now)
 
-    def zone_balancers(self, now: float) -> ZoneBalancers:
-        """Return how many balancers of the zone are ready, this one included."""
-        return self._stop.zone_balancers(self.is_configured, now)
+    def hall_balancers(self, now: float) -> HallBalancers:
+        """Return how many balancers of the hall are ready, this one included."""
+        return self._stop.hall_balancers(self.is_configured, now)
 
     @property
     def role(self) -> Role:
@@ -213,11 +213,11 @@
         """Return seconds since the store or a reader of it confirmed the back ends."""
         return self._dissemination.age.of(Subject.BACKENDS, now)
 
-    def knowledge(self, now: float) -> str:
+    def snapshot(self, now: float) -> str:
         """Return versions and ages of what is known, for a log line."""
         return (
             f"routes={self.routes.version} routes_age_s={self.routes_age(now):.2f} "
-            f"backends_rev={self._followers[Subject.BACKENDS].revision} "
+            f"backends_rev={self._watchers[Subject.BACKENDS].revision} "
             f"backends_age_s={self.backends_age(now):.2f}"
         )
 
@@ -226,14 +226,14 @@
         self._now = now
         self._housekeeping_at = now + HOUSEKEEPING_S
         self._forwarder.admission.start(now)
-        self._cold_openings.start(now)
+        self._slow_start.start(now)
         self._exchange.bootstrap.begin(now)
         self._ask_store()
         return self._finish()
 
-    def peer_knowledge(self, now: float) -> Knowledge | None:
+    def peer_snapshot(self, now: float) -> Snapshot | None:
         """Return all that is known here, None where that is nothing."""
-        return self._exchange.knowledge(now) if self.is_configured else None
+        return self._exchange.snapshot(now) if self.is_configured else None
 
     def routes_since(self, version: int) -> tuple[RouteDelta, ...]:
         """Return the differences that lead from a version of the routes to the one in force."""
@@ -290,9 +290,9 @@
     def _take_from_others(
         self,
         event: PeerMessageReceived
-        | KnowledgeReceived
+        | SnapshotReceived
         | FetchFailed
-        | RoutesTold
+        | RoutesReceived
         | UnknownTokenMet
         | BackendSuspected
         | BackendChecked,
@@ -301,12 +301,12 @@
         if isinstance(event, PeerMessageReceived):
             self._exchange.message_received(event, self._now)
             self._checks.told_by_peers(self._now)
-        elif isinstance(event, KnowledgeReceived):
-            self._exchange.knowledge_received(event, self._now)
+        elif isinstance(event, SnapshotReceived):
+            self._exchange.snapshot_received(event, self._now)
         elif isinstance(event, FetchFailed):
             self._exchange.bootstrap.fetch_failed(event.ip, self._now)
-        elif isinstance(event, RoutesTold):
-            self._dissemination.routes_told(event.ip, event.deltas, self._now)
+        elif isinstance(event, RoutesReceived):
+            self._dissemination.routes_received(event.ip, event.deltas, self._now)
         elif isinstance(event, UnknownTokenMet):
             self._exchange.unknown_token(event, self._now)
         elif isinstance(event, BackendSuspected):
@@ -345,7 +345,7 @@
             self._failing.next_deadline(),
         )
         if self._dissemination.may_read_store:
-            reads = [follower.next_deadline() for follower in self._followers.values()]
+            reads = [watcher.next_deadline() for watcher in self._watchers.values()]
             deadline = min(deadline, *reads)
         self._deadline = deadline
         commands = self._commands
@@ -355,8 +355,8 @@
     def _ask_store(self) -> None:
         if not self._dissemination.may_read_store:
             return
-        for follower in self._followers.values():
-            self._commands.extend(follower.on_time(self._now))
+        for watcher in self._watchers.values():
+            self._commands.extend(watcher.on_time(self._now))
 
     def _log_told(self) -> None:
         """Write a line for each back end that peers have told of newly."""
@@ -383,7 +383,7 @@
             self._forwarder.observer.forget_resting(self._now)
             self._forwarder.observer.expire_requests(self._now)
             self._forwarder.admission.forget_admitted(self._now)
-            self._cold_openings.forget(self._now)
+            self._slow_start.forget(self._now)
             self._failing.forget(self._now)
             self._forwarder.admission.balancers = self._exchange.balancers
             self._dissemination.forget(self._now)
--- /dev/null
+++ b/sloepond/core/forwarding/peers/__init__.py
@@ -0,0 +1,1 @@
+"""What balancers exchange: membership by peer sampling, gossip, reader election, anti-entropy."""
--- a/sloepond/core/forwarding/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -10,11 +10,11 @@
 from sloepond.core.forwarding.commands import Command, LogKind, SendToPeer, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import Subject
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.list_digest import NO_DIGEST
-from sloepond.core.forwarding.news import News
-from sloepond.core.forwarding.peer_messages import Changes, ChangesAsked
-from sloepond.core.forwarding.peers import PeerTable
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.messages import Changes, ChangesRequest
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 CATCH_UP_S = (0.1, 0.2, 0.2, 0.2)
 """Waits of a balancer that knows less than a peer: before it asks that peer, before it
@@ -42,14 +42,14 @@
 
     def __init__(
         self,
-        news: News,
-        followers: dict[Subject, Follower],
+        gossip: ChangeGossip,
+        watchers: dict[Subject, StoreWatcher],
         peers: PeerTable,
         counters: ForwardingCounters,
         random_source: random.Random,
     ) -> None:
-        self._news = news
-        self._followers = followers
+        self._gossip = gossip
+        self._watchers = watchers
         self._peers = peers
         self._counters = counters
         self._random = random_source
@@ -87,7 +87,7 @@
         A peer that holds another list knows of some change up to its own revision, though it may
         not know of which.
         """
-        is_other_list = changes.list_digest not in (NO_DIGEST, self._news.list_digest)
+        is_other_list = changes.list_checksum not in (NO_CHECKSUM, self._gossip.list_checksum)
         return changes.revision if is_other_list else min(changes.changed_at, changes.revision)
 
     def brings_news(self, changes: Changes) -> bool:
@@ -102,8 +102,8 @@
     def known(self, subject: Subject) -> int:
         """Return the version or the revision up to which a subject is known here."""
         if subject is Subject.ROUTES:
-            return self._news.routes_version
-        return self._followers[subject].revision
+            return self._gossip.routes_version
+        return self._watchers[subject].revision
 
     def _ask(self, subject: Subject, missing: Missing, now: float) -> None:
         """Ask for what a peer knows, unless it has come meanwhile.
@@ -123,12 +123,12 @@
             return
         missing.due = now + CATCH_UP_S[missing.step]
         asked = [missing.peer] if missing.step == 1 else self._peers.choose_near(now)
-        question = ChangesAsked(self.known(Subject.ROUTES), self.known(Subject.BACKENDS))
+        question = ChangesRequest(self.known(Subject.ROUTES), self.known(Subject.BACKENDS))
         self._counters.peer_messages_sent += len(asked)
         self._commands.extend(SendToPeer(ip, question) for ip in asked)
 
     def _read(self, subject: Subject, now: float) -> None:
         self._counters.behind_peers += 1
-        self._followers[subject].distrust(now + READ_SPREAD_S * self._random.random())
+        self._watchers[subject].distrust(now + READ_SPREAD_S * self._random.random())
         detail = f"told={self._told[subject]} known={self.known(subject)}"
         self._commands.append(WriteLog(LogKind.BEHIND_PEER, subject.name.lower(), detail))
--- a/sloepond/core/forwarding/news.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.evacuations import Evacuations
-from sloepond.core.forwarding.list_digest import NO_DIGEST
-from sloepond.core.forwarding.peer_messages import Changes, KnownBackend
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.route_table import RouteTable
+from sloepond.core.forwarding.peers.messages import Changes, KnownBackend
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.state.route_table import RouteTable
 
 MAXIMUM_BACKENDS = 12
 """Back ends in one message, so that it fits a datagram."""
@@ -30,7 +30,7 @@
 """How long a change of the routes is repeated."""
 
 
-class News:
+class ChangeGossip:
     """Builds and takes messages about changes."""
 
     def __init__(self, routes: RouteTable, backends: BackendDirectory, evacuations: Evacuations) -> None:
@@ -46,9 +46,9 @@
         return self._routes.version
 
     @property
-    def list_digest(self) -> int:
+    def list_checksum(self) -> int:
         """Digest of the back ends that are listed."""
-        return self._backends.list_digest
+        return self._backends.list_checksum
 
     def routes_taken(self, now: float) -> None:
         """Note that a version of the routes has come into force."""
@@ -92,7 +92,7 @@
         return True
 
     def take_evacuated(self, changes: Changes, now: float) -> bool:
-        """Take the evacuated zones if they are newer; return whether they differ."""
+        """Take the evacuated halls if they are newer; return whether they differ."""
         return self._evacuations.take(changes.evacuated, now)
 
     def take_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
@@ -109,7 +109,7 @@
         That the sender names no later change does not tell it: a balancer that has started lately
         never heard of what had left the list before.
         """
-        is_list_alike = changes.list_digest == self.list_digest
+        is_list_alike = changes.list_checksum == self.list_checksum
         knows_base = revision >= changes.base_revision or is_list_alike
         return max(revision, changes.revision) if knows_base else revision
 
@@ -150,11 +150,11 @@
         *,
         is_all: bool,
     ) -> Changes:
-        """Return a message about back ends between two revisions; it always holds the evacuated zones.
+        """Return a message about back ends between two revisions; it always holds the evacuated halls.
 
         :param is_all: whether all is known up to `revision` and no further.
         """
         latest = self._backends.changes.latest
         known = self._evacuations.known
-        digest = self.list_digest if is_all else NO_DIGEST
+        digest = self.list_checksum if is_all else NO_CHECKSUM
         return Changes(self._routes.version, delta, base, revision, latest, told, known, digest)
--- a/sloepond/core/forwarding/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -5,18 +5,18 @@
 import random
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.catch_up import READ_SPREAD_S, CatchUp
 from sloepond.core.forwarding.commands import Command, FetchRoutes, LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import Subject
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.knowledge_age import KnowledgeAge
-from sloepond.core.forwarding.list_comparison import ListComparison
-from sloepond.core.forwarding.list_digest import NO_DIGEST
-from sloepond.core.forwarding.news import News
-from sloepond.core.forwarding.peer_messages import Changes, KnownBackend
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.route_delta import RouteDelta
+from sloepond.core.forwarding.peers.catch_up import READ_SPREAD_S, CatchUp
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.list_comparison import ListComparison
+from sloepond.core.forwarding.peers.messages import Changes, KnownBackend
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.store.staleness import Staleness
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 FETCH_INTERVAL_S = 0.5
 """How long a peer is given to tell large differences before another one is asked."""
@@ -25,25 +25,25 @@
 class ChangeIntake:
     """Changes as peers tell them; each method that takes some returns whether any was new.
 
-    :param followers: what is asked of the store itself.
+    :param watchers: what is asked of the store itself.
     :param age: is told what peers confirm.
     """
 
     def __init__(
         self,
-        followers: dict[Subject, Follower],
-        news: News,
+        watchers: dict[Subject, StoreWatcher],
+        gossip: ChangeGossip,
         peers: PeerTable,
-        age: KnowledgeAge,
+        age: Staleness,
         counters: ForwardingCounters,
         random_source: random.Random,
     ) -> None:
-        self._followers = followers
-        self._news = news
+        self._watchers = watchers
+        self._gossip = gossip
         self._age = age
         self._counters = counters
         self._random = random_source
-        self._catch_up = CatchUp(news, followers, peers, counters, random_source)
+        self._catch_up = CatchUp(gossip, watchers, peers, counters, random_source)
         self._comparison = ListComparison()
         self._fetch_again_at = -NEVER
         self._changed: list[KnownBackend] = []
@@ -80,14 +80,14 @@
 
         :param age_s: seconds since the store confirmed them to the reader who tells them.
         """
-        follower = self._followers[Subject.BACKENDS]
+        watcher = self._watchers[Subject.BACKENDS]
         are_routes_new = self._take_routes(ip, changes.route_delta, now)
         self._take_evacuated(ip, changes, now)
-        changed = self._news.take_backends(changes, follower.known_beyond(changes.revision), now)
+        changed = self._gossip.take_backends(changes, watcher.known_beyond(changes.revision), now)
         self._changed.extend(changed)
-        revision = self._news.advanced(changes, follower.revision)
-        if revision > follower.revision:
-            follower.informed(revision, now)
+        revision = self._gossip.advanced(changes, watcher.revision)
+        if revision > watcher.revision:
+            watcher.informed(revision, now)
         self._catch_up.compare(ip, changes, now)
         for subject in Subject:
             if not self._catch_up.is_behind(subject):
@@ -114,29 +114,29 @@
         Whoever knows less asks for what it lacks; of two that take their lists for complete up to
         one revision, only the store can tell which one is wrong.
         """
-        follower = self._followers[Subject.BACKENDS]
-        if changes.list_digest == NO_DIGEST or follower.revision != changes.revision:
+        watcher = self._watchers[Subject.BACKENDS]
+        if changes.list_checksum == NO_CHECKSUM or watcher.revision != changes.revision:
             return
-        is_alike = changes.list_digest == self._news.list_digest
+        is_alike = changes.list_checksum == self._gossip.list_checksum
         if not self._comparison.compare(is_alike, now):
             return
-        follower.doubt(now + READ_SPREAD_S * self._random.random())
+        watcher.doubt(now + READ_SPREAD_S * self._random.random())
         self._counters.lists_differing += 1
-        detail = f"from={ip} rev={follower.revision} told_rev={changes.revision}"
+        detail = f"from={ip} rev={watcher.revision} told_rev={changes.revision}"
         self._commands.append(WriteLog(LogKind.LIST_DIFFERS, "backends", detail))
 
     def _take_routes(self, ip: str, delta: RouteDelta | None, now: float) -> bool:
-        if delta is None or not self._news.take_routes(delta, now):
+        if delta is None or not self._gossip.take_routes(delta, now):
             return False
-        self._followers[Subject.ROUTES].informed(0, now)
+        self._watchers[Subject.ROUTES].informed(0, now)
         self._counters.configurations_taken += 1
         detail = f"from={ip} changed={len(delta.changed)} removed={len(delta.removed)}"
         self._commands.append(WriteLog(LogKind.ROUTES_IN_FORCE, str(delta.version), detail))
         return True
 
     def _take_evacuated(self, ip: str, changes: Changes, now: float) -> None:
-        if not self._news.take_evacuated(changes, now):
+        if not self._gossip.take_evacuated(changes, now):
             return
         evacuated = changes.evacuated
         detail = f"from={ip} rev={evacuated.revision}"
-        self._commands.append(WriteLog(LogKind.ZONES_EVACUATED, ",".join(evacuated.zones) or "none", detail))
+        self._commands.append(WriteLog(LogKind.HALLS_EVACUATED, ",".join(evacuated.halls) or "none", detail))
--- a/sloepond/core/forwarding/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -5,28 +5,28 @@
 import random
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.change_intake import ChangeIntake
 from sloepond.core.forwarding.commands import Command, LogKind, ProbeStore, SendToPeer, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import StoreCallFailed, StoreProbed, Subject
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.heard_confirmations import HeardConfirmations, without_changes
-from sloepond.core.forwarding.knowledge_age import KnowledgeAge
-from sloepond.core.forwarding.missed_changes import KnownState, MissedChanges
-from sloepond.core.forwarding.news import News
-from sloepond.core.forwarding.own_reads import CHANGE_LIMIT_S, OwnReads
-from sloepond.core.forwarding.peer_messages import (
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.change_intake import ChangeIntake
+from sloepond.core.forwarding.peers.messages import (
     Changes,
-    ChangesAsked,
-    ChangesTold,
+    ChangesReply,
+    ChangesRequest,
     Confirmation,
-    ConfirmationsAsked,
+    ConfirmationsRequest,
     PeerMessage,
 )
-from sloepond.core.forwarding.peers import PeerTable
-from sloepond.core.forwarding.readers import FRESH_S, ReaderElection, Role
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.store_contact import StoreContact
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.peers.reader_election import FRESH_S, ReaderElection, Role
+from sloepond.core.forwarding.peers.recent_confirmations import RecentConfirmations, without_changes
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.store.missed_changes import KnownState, MissedChanges
+from sloepond.core.forwarding.store.staleness import Staleness
+from sloepond.core.forwarding.store.staleness_bound import CHANGE_LIMIT_S, StalenessBound
+from sloepond.core.forwarding.store.store_contact import StoreContact
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 PULL_AFTER_S = 0.9
 """Age of what is known at which a balancer asks peers for the last confirmations."""
@@ -41,7 +41,7 @@
 class Dissemination:
     """Elects readers, sends and takes confirmations, catches up.
 
-    :param followers: what is asked of the store itself.
+    :param watchers: what is asked of the store itself.
     :param change_limit_s: time within which a change must be in force.
     :ivar age: how old what is known is.
     :ivar intake: takes changes that peers tell.
@@ -50,33 +50,33 @@
     def __init__(
         self,
         election: ReaderElection,
-        followers: dict[Subject, Follower],
-        news: News,
+        watchers: dict[Subject, StoreWatcher],
+        gossip: ChangeGossip,
         peers: PeerTable,
         counters: ForwardingCounters,
         random_source: random.Random,
         change_limit_s: float = CHANGE_LIMIT_S,
     ) -> None:
         self.election = election
-        self._followers = followers
-        self._news = news
+        self._watchers = watchers
+        self._gossip = gossip
         self._peers = peers
         self._counters = counters
         self._random = random_source
         self._contact = StoreContact(random_source)
-        self._own_reads = OwnReads(change_limit_s, random.Random(election.identity))
+        self._staleness_bound = StalenessBound(change_limit_s, random.Random(election.identity))
         self._commands: list[Command] = []
         self._number = 0
         self._confirm_at = NEVER
         self._pull_at = NEVER
-        self._heard = HeardConfirmations()
-        self.age = KnowledgeAge(followers)
+        self._heard = RecentConfirmations()
+        self.age = Staleness(watchers)
         self._missed = MissedChanges()
-        self.intake = ChangeIntake(followers, news, peers, self.age, counters, random_source)
+        self.intake = ChangeIntake(watchers, gossip, peers, self.age, counters, random_source)
         self._heard_peer_at = -NEVER
 
     def start(self, now: float) -> None:
-        """Begin as a listener."""
+        """Begin as a follower."""
         self.election.start(now)
         self._pull_at = now
 
@@ -99,7 +99,9 @@
     def on_time(self, now: float) -> None:
         """Do what is due."""
         self._review_role(now)
-        if now >= self._own_read_at and self._own_reads.is_due(self.age.confirmed_at, len(self._peers), now):
+        if now >= self._own_read_at and self._staleness_bound.is_due(
+            self.age.confirmed_at, len(self._peers), now
+        ):
             self._contact.request_probe(now)
         if self._contact.on_time(now, self._wants_store):
             self._commands.append(ProbeStore())
@@ -116,7 +118,7 @@
 
     def routes_read(self, now: float) -> None:
         """Note that the store has brought a newer version of the routes."""
-        self._news.routes_taken(now)
+        self._gossip.routes_taken(now)
         self.news_taken(now)
 
     def store_answered(self, now: float) -> None:
@@ -145,16 +147,16 @@
         """When this balancer asks the store itself; a reader does so all the time."""
         if self.election.is_reader or self.age.confirmed_at == -NEVER:
             return NEVER
-        return self._own_reads.next_deadline(self.age.confirmed_at)
+        return self._staleness_bound.next_deadline(self.age.confirmed_at)
 
     @property
     def _wants_store(self) -> bool:
-        return any(follower.next_deadline() < NEVER for follower in self._followers.values())
+        return any(watcher.next_deadline() < NEVER for watcher in self._watchers.values())
 
     def probe_ended(self, event: StoreProbed, now: float) -> None:
         """Take the end of a probe; one that failed means that the watches may hang."""
         self._contact.probe_ended()
-        is_own_read = self._own_reads.ended()
+        is_own_read = self._staleness_bound.ended()
         if event.failure is None:
             self._note_store_revision(event.revision, now)
             self.store_answered(now)
@@ -164,15 +166,15 @@
         self._contact.failed(event.failure, now)
         self.election.store_failed(now)
         if self.election.is_reader:
-            for follower in self._followers.values():
-                follower.distrust(now)
+            for watcher in self._watchers.values():
+                watcher.distrust(now)
 
     def _read_what_is_old(self, now: float) -> None:
         """Read what no reader has confirmed lately: the store answers this balancer."""
-        for subject, follower in self._followers.items():
+        for subject, watcher in self._watchers.items():
             if not self.election.is_reader and self.age.of(subject, now) >= FRESH_S:
                 self._counters.own_reads += 1
-                follower.distrust(now)
+                watcher.distrust(now)
 
     def confirmation_received(self, ip: str, message: Confirmation, now: float) -> None:
         """Take a confirmation or a claim, and pass a new one on."""
@@ -198,19 +200,19 @@
         for message in self._heard.recent(now):
             self._send([ip], message)
 
-    def changes_asked(self, ip: str, message: ChangesAsked, now: float) -> None:
+    def changes_asked(self, ip: str, message: ChangesRequest, now: float) -> None:
         """Answer a peer that lacks changes."""
         self._heard_peer_at = now
-        own = self._followers[Subject.BACKENDS].revision
-        for changes in self._news.answer(message.routes_version, message.revision, own, now):
-            self._send([ip], ChangesTold(changes))
+        own = self._watchers[Subject.BACKENDS].revision
+        for changes in self._gossip.answer(message.routes_version, message.revision, own, now):
+            self._send([ip], ChangesReply(changes))
 
-    def changes_told(self, ip: str, message: ChangesTold, now: float) -> None:
+    def changes_told(self, ip: str, message: ChangesReply, now: float) -> None:
         """Take the answer of a peer."""
         self._heard_peer_at = now
         self._note_taken(self.intake.take_answer(ip, message.changes, now), now)
 
-    def routes_told(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> None:
+    def routes_received(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> None:
         """Take differences of the routes that a peer was asked for."""
         self._heard_peer_at = now
         self._note_taken(self.intake.take_fetched_routes(ip, deltas, now), now)
@@ -245,7 +247,7 @@
             f"age_s={self.age.oldest(now):.2f}"
         )
         self._commands.append(WriteLog(LogKind.ROLE_CHANGED, role.value, detail))
-        if role is Role.CLAIMANT:
+        if role is Role.CANDIDATE:
             self._claim(now)
         elif role is Role.READER:
             self._begin_reading(now)
@@ -259,26 +261,26 @@
     def _begin_reading(self, now: float) -> None:
         self._contact.begin(now)
         self._missed.begin()
-        for follower in self._followers.values():
-            follower.begin_watching(now)
+        for watcher in self._watchers.values():
+            watcher.begin_watching(now)
 
     def _end_reading(self) -> None:
         self._confirm_at = NEVER
         self._contact.end()
-        for follower in self._followers.values():
-            follower.end_watching()
+        for watcher in self._watchers.values():
+            watcher.end_watching()
 
     def _confirm(self, now: float) -> None:
         """Tell peers what is known here, if the store answers and all of it was read."""
-        is_sound = not self.election.is_failing and all(f.is_sound for f in self._followers.values())
+        is_sound = not self.election.is_failing and all(f.is_sound for f in self._watchers.values())
         self._confirm_at = NEVER
         if not self.election.is_reader or not is_sound:
             return
         age_s = max(0.0, now - self._contact.answered_at)
         for subject in Subject:
             self.age.confirmed(subject, now - age_s)
-        revision = self._followers[Subject.BACKENDS].revision
-        for changes in self._news.confirmed_changes(revision, now):
+        revision = self._watchers[Subject.BACKENDS].revision
+        for changes in self._gossip.confirmed_changes(revision, now):
             message = self._message(False, age_s, changes)
             self._heard.note(message, now)
             self._send(self._peers.choose_near(now), message)
@@ -290,7 +292,7 @@
             self._pull_at = now + max(PULL_AFTER_S - age_s, PULL_INTERVAL_S)
             return
         self._pull_at = now + PULL_INTERVAL_S
-        self._send(self._peers.choose(now), ConfirmationsAsked())
+        self._send(self._peers.choose(now), ConfirmationsRequest())
 
     def _message(self, is_claim: bool, age_s: float, changes: Changes) -> Confirmation:
         self._number += 1
@@ -302,14 +304,14 @@
         if not self.election.is_reader:
             return
         known = KnownState(
-            max(follower.revision for follower in self._followers.values()),
-            self._news.routes_version,
-            self._news.list_digest,
+            max(watcher.revision for watcher in self._watchers.values()),
+            self._gossip.routes_version,
+            self._gossip.list_checksum,
         )
         if not self._missed.probed(revision, known, now):
             return
-        for follower in self._followers.values():
-            follower.doubt(now)
+        for watcher in self._watchers.values():
+            watcher.doubt(now)
         self._counters.changes_missed += 1
         detail = f"store_rev={revision} known_rev={known.revision}"
         self._commands.append(WriteLog(LogKind.CHANGE_MISSED, "store", detail))
--- a/sloepond/core/forwarding/peer_exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -5,8 +5,6 @@
 import random
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.bootstrap import Bootstrap
 from sloepond.core.forwarding.commands import (
     Command,
     ForwardHeld,
@@ -15,60 +13,62 @@
     WriteLog,
 )
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.dissemination import Dissemination
-from sloepond.core.forwarding.evacuations import Evacuations
 from sloepond.core.forwarding.events import (
-    KnowledgeReceived,
     PeerMessageReceived,
+    SnapshotReceived,
     Subject,
     UnknownTokenMet,
 )
-from sloepond.core.forwarding.failing_backends import FailingBackends
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.peer_messages import (
+from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.reachability import Reachability
+from sloepond.core.forwarding.lifecycle.bootstrap import Bootstrap
+from sloepond.core.forwarding.peers.dissemination import Dissemination
+from sloepond.core.forwarding.peers.messages import (
     BackendUnreachable,
-    ChangesAsked,
-    ChangesTold,
+    ChangesReply,
+    ChangesRequest,
     Confirmation,
-    ConfirmationsAsked,
+    ConfirmationsRequest,
     FailureMessage,
     Heartbeat,
-    Knowledge,
     KnownBackend,
     PeerMessage,
-    TokenAsked,
-    TokenFound,
+    Snapshot,
+    TokenReply,
+    TokenRequest,
 )
-from sloepond.core.forwarding.peers import HEARTBEAT_INTERVAL_S, SHARED_PEERS, PeerTable
-from sloepond.core.forwarding.reachability import Reachability
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.token_lookup import HOLD_S, TokenLookup
+from sloepond.core.forwarding.peers.peer_table import HEARTBEAT_INTERVAL_S, SHARED_PEERS, PeerTable
+from sloepond.core.forwarding.peers.token_lookup import HOLD_S, TokenLookup
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 
 class PeerExchange:
     """Takes what peers say and decides what they are told.
 
     :ivar bootstrap: what a fresh balancer asks.
-    :param followers: what is asked of the store.
+    :param watchers: what is asked of the store.
     :param dissemination: takes what peers say about changes.
     :param failing: takes what they say of requests left unanswered.
     """
 
     def __init__(
         self,
-        zone: str,
+        hall: str,
         peers: PeerTable,
         routes: RouteTable,
         backends: BackendDirectory,
         evacuations: Evacuations,
-        followers: dict[Subject, Follower],
+        watchers: dict[Subject, StoreWatcher],
         dissemination: Dissemination,
         reachability: Reachability,
         failing: FailingBackends,
         counters: ForwardingCounters,
         random_source: random.Random,
     ) -> None:
-        self._zone = zone
+        self._hall = hall
         self._peers = peers
         self._dissemination = dissemination
         self._reachability = reachability
@@ -76,7 +76,7 @@
         self._routes = routes
         self._backends = backends
         self._evacuations = evacuations
-        self._followers = followers
+        self._watchers = watchers
         self._counters = counters
         self._random = random_source
         self._lookup = TokenLookup()
@@ -84,7 +84,7 @@
         self._suspected: list[str] = []
         self._heartbeat_at = NEVER
         self._expire_at = NEVER
-        self.bootstrap = Bootstrap(zone, peers, routes, backends, followers)
+        self.bootstrap = Bootstrap(hall, peers, routes, backends, watchers)
         self.is_leaving = False
 
     @property
@@ -124,9 +124,9 @@
         self._heartbeat_at = min(self._heartbeat_at, now + 0.05)
 
     def leave(self, now: float) -> None:
-        """Tell peers that this balancer stops: first those of the zone, whose routers it concerns."""
+        """Tell peers that this balancer stops: first those of the hall, whose routers it concerns."""
         self.is_leaving = True
-        self._send(self._peers.choose_zone(now), self._heartbeat(now))
+        self._send(self._peers.choose_in_hall(now), self._heartbeat(now))
         self.hurry_heartbeat(now)
 
     def message_received(self, event: PeerMessageReceived, now: float) -> None:
@@ -135,9 +135,9 @@
         message = event.message
         if isinstance(message, Heartbeat):
             self._heartbeat_received(event.ip, message, now)
-        elif isinstance(message, TokenAsked):
+        elif isinstance(message, TokenRequest):
             self._answer_token(event.ip, message.token, now)
-        elif isinstance(message, TokenFound):
+        elif isinstance(message, TokenReply):
             self._token_found(message, now)
         elif isinstance(message, BackendUnreachable):
             self._suspected_by_peer(message.name, now)
@@ -151,7 +151,7 @@
         knows_few_peers = len(message.known_peers) < SHARED_PEERS and self._peers.is_new(ip, now)
         knows_nothing = not message.routes_version and self._routes.version > 0
         if knows_few_peers or knows_nothing:
-            self._send([ip], self._heartbeat(now, message.zone))
+            self._send([ip], self._heartbeat(now, message.hall))
         self._peers.heard(ip, message, now)
         self._dissemination.peer_heard(ip, message.routes_version, message.backends_revision, now)
         self._introduce(self.bootstrap.peer_heard(ip, message, now), now)
@@ -162,47 +162,50 @@
             self._send(list(ips), self._heartbeat(now))
 
     def _disseminated(
-        self, ip: str, message: Confirmation | ChangesAsked | ChangesTold | ConfirmationsAsked, now: float
+        self,
+        ip: str,
+        message: Confirmation | ChangesRequest | ChangesReply | ConfirmationsRequest,
+        now: float,
     ) -> None:
-        if isinstance(message, ConfirmationsAsked):
+        if isinstance(message, ConfirmationsRequest):
             self._dissemination.confirmations_asked(ip, now)
         elif isinstance(message, Confirmation):
             self._dissemination.confirmation_received(ip, message, now)
-        elif isinstance(message, ChangesAsked):
+        elif isinstance(message, ChangesRequest):
             self._dissemination.changes_asked(ip, message, now)
         else:
             self._dissemination.changes_told(ip, message, now)
 
-    def knowledge(self, now: float) -> Knowledge:
+    def snapshot(self, now: float) -> Snapshot:
         """Return all that is known here."""
         backends = tuple(backend.as_known(now) for backend in self._backends)
-        return Knowledge(
+        return Snapshot(
             self._routes.in_force,
             self._dissemination.age.of(Subject.ROUTES, now),
             backends,
             self._dissemination.age.of(Subject.BACKENDS, now),
-            self._followers[Subject.BACKENDS].revision,
+            self._watchers[Subject.BACKENDS].revision,
             self._evacuations.known,
         )
 
-    def knowledge_received(self, event: KnowledgeReceived, now: float) -> None:
+    def snapshot_received(self, event: SnapshotReceived, now: float) -> None:
         """Take what a peer knows where nothing newer is known here."""
-        knowledge = event.knowledge
+        snapshot = event.snapshot
         is_first = not self._backends.is_listed
-        is_newer = self._routes.take(knowledge.routes)
-        complete_to = self._followers[Subject.BACKENDS].known_beyond(knowledge.revision)
-        added = sum(self._backends.take(known, complete_to, now) for known in knowledge.backends)
-        self._evacuations.take(knowledge.evacuated, now)
+        is_newer = self._routes.take(snapshot.routes)
+        complete_to = self._watchers[Subject.BACKENDS].known_beyond(snapshot.revision)
+        added = sum(self._backends.take(known, complete_to, now) for known in snapshot.backends)
+        self._evacuations.take(snapshot.evacuated, now)
         if is_first:
-            self._backends.list_begins(knowledge.revision)
-            self._followers[Subject.BACKENDS].informed(knowledge.revision, now)
-            self._followers[Subject.ROUTES].informed(0, now)
-        self.bootstrap.knowledge_taken(knowledge, now)
+            self._backends.list_begins(snapshot.revision)
+            self._watchers[Subject.BACKENDS].informed(snapshot.revision, now)
+            self._watchers[Subject.ROUTES].informed(0, now)
+        self.bootstrap.snapshot_taken(snapshot, now)
         self._counters.knowledge_taken += 1
         detail = (
-            f"routes={knowledge.routes.version} newer={is_newer} routes_age_s={knowledge.routes_age_s:.2f} "
-            f"backends_added={added} backends_age_s={knowledge.backends_age_s:.2f} "
-            f"evacuated={','.join(self._evacuations.known.zones) or 'none'}"
+            f"routes={snapshot.routes.version} newer={is_newer} routes_age_s={snapshot.routes_age_s:.2f} "
+            f"backends_added={added} backends_age_s={snapshot.backends_age_s:.2f} "
+            f"evacuated={','.join(self._evacuations.known.halls) or 'none'}"
         )
         self._commands.append(WriteLog(LogKind.KNOWLEDGE_TAKEN, event.ip, detail))
 
@@ -213,7 +216,7 @@
         self._counters.tokens_looked_up += 1
         self._expire_at = min(self._expire_at, now + HOLD_S)
         asked = self._peers.choose(now)
-        self._send(asked, TokenAsked(event.token))
+        self._send(asked, TokenRequest(event.token))
         self._commands.append(WriteLog(LogKind.TOKEN_LOOKED_UP, f"{event.token:08x}", f"asked={len(asked)}"))
 
     def tell_unreachable(self, name: str, now: float) -> None:
@@ -236,10 +239,10 @@
         self._heartbeat_at = now + HEARTBEAT_INTERVAL_S * (0.8 + 0.4 * self._random.random())
         self._send(self._peers.choose(now), self._heartbeat(now))
 
-    def _heartbeat(self, now: float, zone: str = "") -> Heartbeat:
+    def _heartbeat(self, now: float, hall: str = "") -> Heartbeat:
         changed_at = self._backends.changes.latest
-        shared = self._peers.share(now, zone)
-        return Heartbeat(self._routes.version, changed_at, self.is_leaving, shared, self._zone)
+        shared = self._peers.share(now, hall)
+        return Heartbeat(self._routes.version, changed_at, self.is_leaving, shared, self._hall)
 
     def _send(self, ips: list[str], message: PeerMessage) -> None:
         self._counters.peer_messages_sent += len(ips)
@@ -249,11 +252,11 @@
         backend = self._backends.by_token(token)
         if backend is not None:
             known = backend.as_known(now)
-            self._send([ip], TokenFound(known.record, known.departed_s, known.said_leaving))
+            self._send([ip], TokenReply(known.record, known.departed_s, known.said_leaving))
 
-    def _token_found(self, message: TokenFound, now: float) -> None:
+    def _token_found(self, message: TokenReply, now: float) -> None:
         known = KnownBackend(message.record, message.departed_s, message.said_leaving)
-        if self._backends.put_known(known, self._followers[Subject.BACKENDS].revision, now):
+        if self._backends.put_known(known, self._watchers[Subject.BACKENDS].revision, now):
             self._counters.tokens_found_by_peers += 1
         backend = self._backends.by_name(message.record.name)
         if backend is None:
--- a/sloepond/core/forwarding/peer_messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -1,14 +1,14 @@
-"""What balancers say to each other, by datagram (`PeerMessage`) or stream (`Knowledge`)."""
+"""What balancers say to each other, by datagram (`PeerMessage`) or stream (`Snapshot`)."""
 
 from __future__ import annotations
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import BackendRecord
-from sloepond.core.forwarding.evacuated_zones import EvacuatedZones
-from sloepond.core.forwarding.list_digest import NO_DIGEST
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.routes import RouteConfiguration
+from sloepond.core.forwarding.state.backend_records import BackendRecord
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls
+from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.state.routes import RouteConfiguration
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -19,23 +19,23 @@
         it has seen.
     :ivar is_leaving: whether it stops.
     :ivar known_peers: IP addresses of a few other balancers.
-    :ivar zone: zone of the sender.
+    :ivar hall: hall of the sender.
     """
 
     routes_version: int
     backends_revision: int
     is_leaving: bool
     known_peers: tuple[str, ...]
-    zone: str = ""
+    hall: str = ""
 
 
-class TokenAsked(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """A question: the back end that has this token."""
 
     token: int
 
 
-class TokenFound(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """The back end that has a token.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
@@ -68,8 +68,8 @@
     :ivar revision: revision up to which it holds them.
     :ivar changed_at: revision of the last change of a back end known to the sender.
     :ivar backends: changed back ends as they are now.
-    :ivar evacuated: all evacuated zones the sender knows of.
-    :ivar list_digest: digest of the sender's list of back ends at `revision`, `NO_DIGEST` where it
+    :ivar evacuated: all evacuated halls the sender knows of.
+    :ivar list_checksum: digest of the sender's list of back ends at `revision`, `NO_CHECKSUM` where it
         tells none.
     """
 
@@ -79,8 +79,8 @@
     revision: int
     changed_at: int
     backends: tuple[KnownBackend, ...] = ()
-    evacuated: EvacuatedZones = EvacuatedZones()
-    list_digest: int = NO_DIGEST
+    evacuated: EvacuatedHalls = EvacuatedHalls()
+    list_checksum: int = NO_CHECKSUM
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True, tag=4):
@@ -101,20 +101,20 @@
     changes: Changes
 
 
-class ChangesAsked(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class ChangesRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """A question: what has changed since a version of the routes and a revision."""
 
     routes_version: int
     revision: int
 
 
-class ChangesTold(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """An answer to `ChangesAsked`, or a part of it."""
+class ChangesReply(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """An answer to `ChangesRequest`, or a part of it."""
 
     changes: Changes
 
 
-class ConfirmationsAsked(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class ConfirmationsRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """A question of a balancer that has heard no confirmation lately: the last ones heard."""
 
 
@@ -143,19 +143,19 @@
 FailureMessage = RequestUnanswered | BackendFailing
 PeerMessage = (
     Heartbeat
-    | TokenAsked
-    | TokenFound
+    | TokenRequest
+    | TokenReply
     | Confirmation
-    | ChangesAsked
-    | ChangesTold
-    | ConfirmationsAsked
+    | ChangesRequest
+    | ChangesReply
+    | ConfirmationsRequest
     | BackendUnreachable
     | RequestUnanswered
     | BackendFailing
 )
 
 
-class Knowledge(msgspec.Struct, frozen=True, array_like=True):
+class Snapshot(msgspec.Struct, frozen=True, array_like=True):
     """All that a balancer knows, for one that has just started.
 
     :ivar routes_age_s: seconds since the store last answered about the routes.
@@ -168,17 +168,17 @@
     backends: tuple[KnownBackend, ...]
     backends_age_s: float
     revision: int = 0
-    evacuated: EvacuatedZones = EvacuatedZones()
+    evacuated: EvacuatedHalls = EvacuatedHalls()
 
 
-class KnowledgeAsked(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class SnapshotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Asked on a stream: all that the other one knows."""
 
 
-class RoutesAsked(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class RoutesRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Asked on a stream: the differences since a version of the routes."""
 
     version: int
 
 
-StreamQuestion = KnowledgeAsked | RoutesAsked
+StreamRequest = SnapshotRequest | RoutesRequest
--- a/sloepond/core/forwarding/peers.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.peer_messages import Heartbeat
+from sloepond.core.forwarding.peers.messages import Heartbeat
 
 HEARTBEAT_INTERVAL_S = 1.0
 FANOUT = 3
@@ -24,7 +24,7 @@
 SILENT_S = 5.0
 """Silence after which a peer is no longer asked."""
 ZONE_FANOUT = 32
-"""Peers of its zone that a balancer tells at once that it stops: all of a zone where it is
+"""Peers of its hall that a balancer tells at once that it stops: all of a hall where it is
 small, and of a larger one enough that most of those that stop with it know."""
 FORGOTTEN_S = 20.0
 """Silence after which a peer is told of others when it speaks again."""
@@ -39,7 +39,7 @@
     :ivar heard_at: when it was last heard, -inf for never.
     :ivar told_at: when another peer last told that it hears it.
     :ivar is_ready: whether it has said that it knows routes and does not stop.
-    :ivar zone: its zone, empty where it is not known.
+    :ivar hall: its hall, empty where it is not known.
     """
 
     ip: str
@@ -47,20 +47,20 @@
     told_at: float = -NEVER
     is_leaving: bool = False
     is_ready: bool = False
-    zone: str = ""
+    hall: str = ""
 
 
 class PeerTable:
     """The peers known to one balancer.
 
     :param ip: address of this balancer.
-    :param zone: its zone.
+    :param hall: its hall.
     :param seeds: addresses of balancers that may be up; they are never forgotten.
     """
 
-    def __init__(self, ip: str, zone: str, seeds: Iterable[str], random_source: random.Random) -> None:
+    def __init__(self, ip: str, hall: str, seeds: Iterable[str], random_source: random.Random) -> None:
         self._ip = ip
-        self._zone = zone
+        self._hall = hall
         self._random = random_source
         self._seeds: tuple[str, ...] = ()
         self._peers: dict[str, Peer] = {}
@@ -77,12 +77,12 @@
         """Return the addresses of the peers that are alive as far as is known."""
         return [peer.ip for peer in self._peers.values() if self._is_alive(peer, now)]
 
-    def zone_count(self, now: float) -> tuple[int, int]:
-        """Return how many peers of the zone are ready, and how many others were lately heard."""
+    def hall_count(self, now: float) -> tuple[int, int]:
+        """Return how many peers of the hall are ready, and how many others were lately heard."""
         lately = [
             peer
             for peer in self._peers.values()
-            if peer.zone == self._zone and now - peer.heard_at < FORGOTTEN_S
+            if peer.hall == self._hall and now - peer.heard_at < FORGOTTEN_S
         ]
         ready = sum(peer.is_ready and self._is_alive(peer, now) for peer in lately)
         return ready, len(lately) - ready
@@ -105,7 +105,7 @@
             peer.heard_at = now
             peer.is_leaving = heartbeat.is_leaving
             peer.is_ready = heartbeat.routes_version > 0 and not heartbeat.is_leaving
-            peer.zone = heartbeat.zone
+            peer.hall = heartbeat.hall
         for known in heartbeat.known_peers:
             told = self._learn(known)
             if told is not None:
@@ -130,42 +130,42 @@
         return chosen
 
     def choose_near(self, now: float) -> list[str]:
-        """Return addresses of a few living peers, most of them in the same zone.
+        """Return addresses of a few living peers, most of them in the same hall.
 
-        Bytes between zones are priced; one peer from anywhere keeps the zones in touch.
+        Bytes between halls are priced; one peer from anywhere keeps the halls in touch.
         """
-        near = self._alive_in_zone(now)
+        near = self._alive_in_hall(now)
         chosen = self._random.sample(near, min(FANOUT - 1, len(near)))
         others = [ip for ip in self.choose(now, FANOUT) if ip not in chosen]
         return chosen + others[: FANOUT - len(chosen)]
 
-    def choose_zone(self, now: float) -> list[str]:
-        """Return addresses of the living peers of the zone, of many a random part."""
-        near = self._alive_in_zone(now)
+    def choose_in_hall(self, now: float) -> list[str]:
+        """Return addresses of the living peers of the hall, of many a random part."""
+        near = self._alive_in_hall(now)
         return self._random.sample(near, min(ZONE_FANOUT, len(near)))
 
-    def _alive_in_zone(self, now: float) -> list[str]:
+    def _alive_in_hall(self, now: float) -> list[str]:
         peers = self._peers.values()
-        return [peer.ip for peer in peers if peer.zone == self._zone and self._is_alive(peer, now)]
+        return [peer.ip for peer in peers if peer.hall == self._hall and self._is_alive(peer, now)]
 
     def choose_source(self, now: float, may_be_far: bool) -> list[str]:
-        """Return the address of a peer to fetch much from, in the same zone if possible.
+        """Return the address of a peer to fetch much from, in the same hall if possible.
 
-        :param may_be_far: whether one in another zone, or in an unknown one, will do.
+        :param may_be_far: whether one in another hall, or in an unknown one, will do.
         """
         alive = [peer for peer in self._peers.values() if self._is_alive(peer, now)]
-        near = [peer.ip for peer in alive if peer.zone == self._zone]
+        near = [peer.ip for peer in alive if peer.hall == self._hall]
         if near:
             return [self._random.choice(near)]
         return self.choose(now, 1)[:1] if may_be_far else []
 
-    def share(self, now: float, zone: str = "") -> tuple[str, ...]:
+    def share(self, now: float, hall: str = "") -> tuple[str, ...]:
         """Return a few living peers for a heartbeat to carry.
 
-        :param zone: zone of the receiver, whose peers it needs most; empty for any.
+        :param hall: hall of the receiver, whose peers it needs most; empty for any.
         """
         alive = [peer for peer in self._peers.values() if now - peer.heard_at < SILENT_S]
-        near = [peer.ip for peer in alive if peer.zone == zone]
+        near = [peer.ip for peer in alive if peer.hall == hall]
         shared = self._random.sample(near, min(SHARED_PEERS - 1, len(near)))
         others = [peer.ip for peer in alive if peer.ip not in shared]
         return (*shared, *self._random.sample(others, min(SHARED_PEERS - len(shared), len(others))))
--- a/sloepond/core/forwarding/readers.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -1,7 +1,7 @@
 """Which balancers read the store: a few, elected without agreement.
 
 A reader watches the store and confirms what it knows to all others, several times over.
-Each listener counts the readers it hears.  When there are too few, it waits a random
+Each follower counts the readers it hears.  When there are too few, it waits a random
 moment, claims the role, and reads if no better ones claim it meanwhile; when there are
 too many, the worst resign.  Two parts of a fleet that cannot reach each other have
 readers of their own, and a balancer that hears nobody reads for itself.
@@ -50,8 +50,8 @@
 class Role(enum.Enum):
     """What a balancer does about the store."""
 
-    LISTENER = "listener"
-    CLAIMANT = "claimant"
+    FOLLOWER = "listener"
+    CANDIDATE = "claimant"
     READER = "reader"
 
 
@@ -81,7 +81,7 @@
         self.identity = identity
         self.capacity = capacity
         self.rank = capacity + random_source.random() / 1000.0
-        self.role = Role.LISTENER
+        self.role = Role.FOLLOWER
         self._random = random_source
         self._readers: dict[int, KnownReader] = {}
         self._started_at = -NEVER
@@ -92,7 +92,7 @@
         self._failing_since: float | None = None
 
     def start(self, now: float) -> None:
-        """Begin as a listener."""
+        """Begin as a follower."""
         self._started_at = now
         self._check_at = now + START_S
 
@@ -131,7 +131,7 @@
         return sum(reader.counts_until > now for reader in self._readers.values())
 
     def heard_lately(self, now: float) -> int:
-        """Return how many other readers and claimants were heard a moment ago."""
+        """Return how many other readers and candidates were heard a moment ago."""
         return sum(
             reader.counts_until > now and now - reader.heard_at < HEARD_LATELY_S
             for reader in self._readers.values()
@@ -161,9 +161,9 @@
         if now < self.next_deadline():
             return
         self._check_at = now + CHECK_INTERVAL_S
-        if self.role is Role.LISTENER:
+        if self.role is Role.FOLLOWER:
             self._consider_claim(now, is_fresh, peers)
-        elif self.role is Role.CLAIMANT:
+        elif self.role is Role.CANDIDATE:
             self._consider_claim_won(now)
         else:
             self._consider_resigning(now, hears_peers)
@@ -188,7 +188,7 @@
             self._claim_at = now + drawn / (1.0 + CAPACITY_FACTOR * self.capacity)
         if now >= self._claim_at:
             self._claim_at = NEVER
-            self.role = Role.CLAIMANT
+            self.role = Role.CANDIDATE
             self._claimed_at = now
             self._check_at = now + CLAIM_WAIT_S
 
@@ -196,14 +196,14 @@
         if now < self._claimed_at + CLAIM_WAIT_S:
             return
         is_needed = self._better_readers(now) < READERS
-        self.role = Role.READER if is_needed else Role.LISTENER
+        self.role = Role.READER if is_needed else Role.FOLLOWER
         self._failing_since = None
 
     def _consider_resigning(self, now: float, hears_peers: bool) -> None:
         if self._better_readers(now) >= READERS:
-            self.role = Role.LISTENER
+            self.role = Role.FOLLOWER
         elif self._failing_since is not None and now - self._failing_since > FAILING_S and hears_peers:
-            self.role = Role.LISTENER
+            self.role = Role.FOLLOWER
             self._barred_until = now + BARRED_S * (1.0 + self._random.random())
 
     def _better_readers(self, now: float) -> int:
--- a/sloepond/core/forwarding/heard_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -4,26 +4,26 @@
 
 import msgspec
 
-from sloepond.core.forwarding.peer_messages import Changes, Confirmation
-from sloepond.core.forwarding.readers import FRESH_S
+from sloepond.core.forwarding.peers.messages import Changes, Confirmation
+from sloepond.core.forwarding.peers.reader_election import FRESH_S
 
 
-class HeardConfirmation(msgspec.Struct, frozen=True):
+class RecentConfirmation(msgspec.Struct, frozen=True):
     """The last confirmation of a reader and when it was heard."""
 
     message: Confirmation
     at: float
 
 
-class HeardConfirmations:
+class RecentConfirmations:
     """One confirmation for each reader."""
 
     def __init__(self) -> None:
-        self._heard: dict[int, HeardConfirmation] = {}
+        self._heard: dict[int, RecentConfirmation] = {}
 
     def note(self, message: Confirmation, now: float) -> None:
         """Keep a confirmation in place of the reader's last one."""
-        self._heard[message.reader] = HeardConfirmation(message, now)
+        self._heard[message.reader] = RecentConfirmation(message, now)
 
     def recent(self, now: float) -> list[Confirmation]:
         """Return those that are still fresh, with their age and without changes.
@@ -61,6 +61,6 @@
         told.changed_at,
         (),
         told.evacuated,
-        told.list_digest,
+        told.list_checksum,
     )
     return msgspec.structs.replace(message, changes=bare)
--- a/sloepond/core/forwarding/admission.py
+++ b/sloepond/core/forwarding/placement/admission.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend import ForwardingBackend
 from sloepond.core.forwarding.packets import Segment
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 QUEUE_PER_BACKEND = 6
 """Requests a back end is taken to queue besides those it works on."""
--- /dev/null
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -0,0 +1,41 @@
+"""Evacuations in force: they bind new flows, and a hall that is taken back is spared at first."""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls
+from sloepond.core.forwarding.state.route_table import RouteTable
+
+
+class Evacuations:
+    """The newest set of evacuated halls; an older one never replaces it.
+
+    :ivar known: the set in force.
+    """
+
+    def __init__(self, routes: RouteTable, backends: BackendDirectory) -> None:
+        self._routes = routes
+        self._backends = backends
+        self.known = EvacuatedHalls()
+
+    def take(self, newer: EvacuatedHalls, now: float) -> bool:
+        """Put a set in force if it is newer; return whether the halls differ."""
+        if newer.revision <= self.known.revision:
+            return False
+        returned = frozenset(self.known.halls) - frozenset(newer.halls)
+        is_changed = newer.halls != self.known.halls
+        self.known = newer
+        if is_changed:
+            self._backends.halls_evacuated(frozenset(newer.halls))
+            self._spare(returned, now)
+        return is_changed
+
+    def _spare(self, halls: frozenset[str], now: float) -> None:
+        """Count the back ends of halls taken back as just started.
+
+        They may have been, and what they say of it may come later than the hall's return.
+        """
+        for backend in self._backends:
+            cold_start = self._routes.cold_start(backend.service)
+            if backend.hall in halls and cold_start is not None:
+                self._backends.mark_cold(backend, now + cold_start.lasts_s)
--- a/sloepond/core/forwarding/forwarder.py
+++ b/sloepond/core/forwarding/placement/forwarder.py
@@ -9,20 +9,20 @@
 import random
 from collections.abc import Sequence
 
-from sloepond.core.forwarding.admission import Admission, HeldOpening
-from sloepond.core.forwarding.backend import NO_TOKEN, Decision, ForwardingBackend
-from sloepond.core.forwarding.backends import BackendDirectory
-from sloepond.core.forwarding.cold_openings import ColdOpenings
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.failing_backends import FailingBackends
-from sloepond.core.forwarding.flow_observer import FlowObserver
+from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.lifecycle.stall_guard import StallGuard
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
+from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.packets import Refusal, Segment
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.routes import Route
-from sloepond.core.forwarding.selection import SILENCE_S, Selector
-from sloepond.core.forwarding.stall_guard import StallGuard
-from sloepond.core.forwarding.unrouted import UnroutedOpenings
-from sloepond.core.forwarding.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.placement.admission import Admission, HeldOpening
+from sloepond.core.forwarding.placement.selection import SILENCE_S, Selector
+from sloepond.core.forwarding.placement.slow_start import SlowStart
+from sloepond.core.forwarding.placement.unrouted import UnroutedOpenings
+from sloepond.core.forwarding.state.backend import NO_TOKEN, Decision, ForwardingBackend
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.state.routes import Route
 
 LAST_RESORT_S = 2.0
 """How long a service without any back end goes on with those that left the list
@@ -48,23 +48,23 @@
 
     def __init__(
         self,
-        zone: str,
+        hall: str,
         routes: RouteTable,
         backends: BackendDirectory,
         stall_guard: StallGuard,
-        cold_openings: ColdOpenings,
+        slow_start: SlowStart,
         failing: FailingBackends,
         waiting: WaitingRequests,
         counters: ForwardingCounters,
         random_source: random.Random,
     ) -> None:
-        self._cold_openings = cold_openings
+        self._slow_start = slow_start
         self._failing = failing
         self._routes = routes
         self._backends = backends
         self._stall_guard = stall_guard
         self._counters = counters
-        self._selector = Selector(zone, random_source)
+        self._selector = Selector(hall, random_source)
         self.observer = FlowObserver(waiting)
         self.admission = Admission()
         self._unrouted = UnroutedOpenings()
@@ -101,7 +101,7 @@
         if backend is None:
             return _NO_BACKEND
         self._counters.flows_placed += 1
-        self._cold_openings.opened(backend, now)
+        self._slow_start.opened(backend, now)
         self.observer.opening(segment, backend, now)
         return backend.decision if first is None else Decision(backend, suspect=first.name)
 
@@ -147,7 +147,7 @@
         if route is not None and route.regions:
             backends = [each for each in backends if self._backends.is_within(each, route.regions)]
         if now < self._backends.cold_until:
-            backends = self._cold_openings.usable(backends, now)
+            backends = self._slow_start.usable(backends, now)
         return self._failing.usable(backends, now)
 
     def _has_room(self, service: str, route: Route, now: float) -> bool:
--- a/sloepond/core/forwarding/rendezvous.py
+++ b/sloepond/core/forwarding/placement/rendezvous.py
@@ -6,7 +6,7 @@
 import heapq
 from collections.abc import Iterable
 
-from sloepond.core.forwarding.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 
 def rendezvous_weight(backend: ForwardingBackend, ip: str) -> int:
--- a/sloepond/core/forwarding/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Sequence
 
-from sloepond.core.forwarding.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 SAMPLE = 16
 """Back ends looked at for one choice; of more, a random few are."""
@@ -14,7 +14,7 @@
 FLOW_WEIGHT = 0.15
 """Load that an open flow without a request counts as, in requests."""
 OTHER_ZONE_LOAD = 0.5
-"""Load for each slot added for standing in another zone: bytes between zones are priced,
+"""Load for each slot added for standing in another hall: bytes between halls are priced,
 but a back end near by is not loaded much more for it."""
 SLOW_FACTOR = 2.0
 """How many times longer than the middle one of a service a back end takes to answer
@@ -26,11 +26,11 @@
 class Selector:
     """Chooses the least loaded of a few back ends.
 
-    :param zone: zone of this balancer.
+    :param hall: hall of this balancer.
     """
 
-    def __init__(self, zone: str, random_source: random.Random) -> None:
-        self._zone = zone
+    def __init__(self, hall: str, random_source: random.Random) -> None:
+        self._hall = hall
         self._random = random_source
 
     def choose(
@@ -64,7 +64,7 @@
         """
         slots = backend.slots * (COLD_FACTOR if now < backend.warm_at else 1.0) / slowness
         load = (backend.in_flight + FLOW_WEIGHT * backend.flows + 1.0) / slots
-        return load if backend.zone == self._zone else load + OTHER_ZONE_LOAD
+        return load if backend.hall == self._hall else load + OTHER_ZONE_LOAD
 
 
 def _typical_latency(latencies: Sequence[float | None]) -> float:
--- a/sloepond/core/forwarding/cold_openings.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.peers import MAXIMUM_PEERS, PeerTable
-from sloepond.core.forwarding.rendezvous import rendezvous_weight
-from sloepond.core.forwarding.route_table import RouteTable
+from sloepond.core.forwarding.peers.peer_table import MAXIMUM_PEERS, PeerTable
+from sloepond.core.forwarding.placement.rendezvous import rendezvous_weight
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.route_table import RouteTable
 
 OPENERS = 5
 """Balancers that may take themselves for the one that opens flows at a back end: where 15 of
@@ -30,7 +30,7 @@
 """How long it is remembered who opens flows at a back end."""
 
 
-class ColdLimit(msgspec.Struct, frozen=True):
+class SlowStartLimit(msgspec.Struct, frozen=True):
     """What a back end that is slow from its start is given at most, from the settings.
 
     :ivar factor: times what it is said to bear.
@@ -41,7 +41,7 @@
     slack_per_s: float
 
 
-class OpenerSeen(msgspec.Struct):
+class SeenOpener(msgspec.Struct):
     """What is remembered of one back end.
 
     :ivar is_opener: whether this balancer opens flows there, as found at `judged_at`.
@@ -53,18 +53,18 @@
     opened_at: list[float] = msgspec.field(default_factory=list)
 
 
-class ColdOpenings:
+class SlowStart:
     """Which of the back ends that are slow from their start this balancer may use now.
 
     :param limit: None where nothing limits flows there: they only count as smaller then.
     """
 
-    def __init__(self, ip: str, peers: PeerTable, routes: RouteTable, limit: ColdLimit | None) -> None:
+    def __init__(self, ip: str, peers: PeerTable, routes: RouteTable, limit: SlowStartLimit | None) -> None:
         self._ip = ip
         self._peers = peers
         self._routes = routes
         self._limit = limit
-        self._seen: dict[str, OpenerSeen] = {}
+        self._seen: dict[str, SeenOpener] = {}
         self._knows_fleet_at = 0.0
 
     def start(self, now: float) -> None:
@@ -94,7 +94,7 @@
             return False
         seen = self._seen.get(backend.name)
         if seen is None:
-            seen = OpenerSeen(now, self._is_opener(backend))
+            seen = SeenOpener(now, self._is_opener(backend))
             self._seen[backend.name] = seen
         elif now - seen.judged_at > OWNERSHIP_S:
             seen.judged_at = now
--- a/sloepond/core/forwarding/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState, Endpoint
-from sloepond.core.forwarding.latency_estimate import LatencyEstimate
+from sloepond.core.forwarding.load.latency_estimate import LatencyEstimate
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.peer_messages import KnownBackend
+from sloepond.core.forwarding.peers.messages import KnownBackend
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, Endpoint
 
 TOKEN_BITS = 32
 TOKEN_MASK = (1 << TOKEN_BITS) - 1
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        "name", "number", "service", "endpoint", "zone", "slots", "state", "token", "prefix",
+        "name", "number", "service", "endpoint", "hall", "slots", "state", "token", "prefix",
         "warm_at", "departed_at", "said_leaving", "revision", "flows", "in_flight",
         "silent_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
         "suspected_until", "unreachable_until", "latency",
@@ -70,7 +70,7 @@
         self.number = record.number
         self.service = record.service
         self.endpoint = Endpoint(record.host, record.port)
-        self.zone = record.zone
+        self.hall = record.hall
         self.token = token_of(record.number)
         self.token_bytes = self.token.to_bytes(4, "big")
         self.prefix = record.number.to_bytes(8, "big")
@@ -126,7 +126,7 @@
             self.service,
             self.endpoint.host,
             self.endpoint.port,
-            self.zone,
+            self.hall,
             self.slots,
             self.state,
             max(0.0, self.warm_at - now),
--- a/sloepond/core/forwarding/backend_records.py
+++ b/sloepond/core/forwarding/state/backend_records.py
@@ -38,7 +38,7 @@
     service: str
     host: str
     port: int
-    zone: str
+    hall: str
     slots: int
     state: BackendState
     cold_s: float = 0.0
--- a/sloepond/core/forwarding/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState, Endpoint
-from sloepond.core.forwarding.change_index import ChangeIndex
-from sloepond.core.forwarding.list_digest import ListDigest
-from sloepond.core.forwarding.peer_messages import KnownBackend
-from sloepond.core.forwarding.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.peers.messages import KnownBackend
+from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, Endpoint
+from sloepond.core.forwarding.state.change_index import ChangeIndex
+from sloepond.core.forwarding.state.list_checksum import ListChecksum
 
 DEPARTED_MEMORY_S = 90.0
 """How long a departed back end keeps its token: the life of a flow and a margin.
@@ -47,7 +47,7 @@
         self._evacuated: frozenset[str] = frozenset()
         self.cold_until = 0.0
         self.changes = ChangeIndex()
-        self._digest = ListDigest()
+        self._digest = ListChecksum()
 
     def __len__(self) -> int:
         return len(self._by_name)
@@ -56,7 +56,7 @@
         return iter(self._by_name.values())
 
     @property
-    def list_digest(self) -> int:
+    def list_checksum(self) -> int:
         """Digest of the back ends that are listed, at their revisions."""
         return self._digest.value
 
@@ -76,14 +76,14 @@
         self._places = places
         self._candidates.clear()
 
-    def zones_evacuated(self, zones: frozenset[str]) -> None:
-        """Take the zones that are given no new flow from now on."""
-        self._evacuated = zones
+    def halls_evacuated(self, halls: frozenset[str]) -> None:
+        """Take the halls that are given no new flow from now on."""
+        self._evacuated = halls
         self._candidates.clear()
 
     def is_within(self, backend: ForwardingBackend, regions: tuple[str, ...]) -> bool:
         """Tell whether a back end stands in one of some regions."""
-        return self._places.is_within(regions, backend.zone)
+        return self._places.is_within(regions, backend.hall)
 
     def mark_cold(self, backend: ForwardingBackend, until: float) -> None:
         """Note that a back end is slow from its start until a time."""
@@ -237,9 +237,9 @@
         return backend.state is BackendState.READY and self._may_take_flows(backend)
 
     def _may_take_flows(self, backend: ForwardingBackend) -> bool:
-        if backend.name in self._shadowed or backend.zone in self._evacuated:
+        if backend.name in self._shadowed or backend.hall in self._evacuated:
             return False
-        return self._places.is_permitted(backend.service, backend.zone)
+        return self._places.is_permitted(backend.service, backend.hall)
 
     def _add(self, backend: ForwardingBackend) -> None:
         self._by_name[backend.name] = backend
--- /dev/null
+++ b/sloepond/core/forwarding/state/evacuated_halls.py
@@ -0,0 +1,39 @@
+"""Halls that an operator has evacuated: they get no new flow until they are taken back.
+
+The whole set travels together with the store's revision at which it was true, so the
+newer of two sets is always right, whatever was missed between them.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+
+class EvacuatedHalls(msgspec.Struct, frozen=True, array_like=True):
+    """The evacuated halls as of a revision of the store, 0 where nothing is known."""
+
+    revision: int = 0
+    halls: tuple[str, ...] = ()
+
+
+class EvacuationChange(msgspec.Struct, frozen=True):
+    """A hall was evacuated, or taken back, at a revision of the store."""
+
+    hall: str
+    revision: int
+    is_evacuated: bool
+
+
+def changed_halls(
+    known: EvacuatedHalls, changes: tuple[EvacuationChange, ...], revision: int
+) -> EvacuatedHalls:
+    """Return the halls after changes, which are all there were up to a revision."""
+    halls = set(known.halls)
+    for change in changes:
+        if change.revision <= known.revision:
+            continue
+        if change.is_evacuated:
+            halls.add(change.hall)
+        else:
+            halls.discard(change.hall)
+    return EvacuatedHalls(max(known.revision, revision), tuple(sorted(halls)))
--- a/sloepond/core/forwarding/list_digest.py
+++ b/sloepond/core/forwarding/state/list_checksum.py
@@ -10,10 +10,10 @@
 
 DIGEST_BITS = 64
 DIGEST_MASK = (1 << DIGEST_BITS) - 1
-NO_DIGEST = 0
+NO_CHECKSUM = 0
 """Stands where a sender tells no digest."""
 EMPTY_DIGEST = 0x6A09E667F3BCC908
-"""Digest of an empty list: any number but `NO_DIGEST`."""
+"""Digest of an empty list: any number but `NO_CHECKSUM`."""
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
 _REVISION_FACTOR = 0xBF58476D1CE4E5B9
 _MIXING_FACTOR = 0x94D049BB133111EB
@@ -28,7 +28,7 @@
     value: int
 
 
-class ListDigest:
+class ListChecksum:
     """The digest of a list that changes entry by entry.
 
     :ivar value: the digest, 64 bits.
--- a/sloepond/core/forwarding/route_delta.py
+++ b/sloepond/core/forwarding/state/route_delta.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sloepond.core.forwarding.routes import ColdStart, Route, RouteConfiguration
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration
 
 MAXIMUM_DELTAS = 32
 """Deltas kept for peers that are behind."""
--- a/sloepond/core/forwarding/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -4,8 +4,8 @@
 
 import random
 
-from sloepond.core.forwarding.route_delta import RouteDelta, RouteHistory, difference
-from sloepond.core.forwarding.routes import ColdStart, Route, RouteConfiguration, WeightedTurns
+from sloepond.core.forwarding.state.route_delta import RouteDelta, RouteHistory, difference
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, WeightedTurns
 
 
 class RouteTable:
--- a/sloepond/core/forwarding/missed_changes.py
+++ b/sloepond/core/forwarding/store/missed_changes.py
@@ -22,12 +22,12 @@
 
     :ivar revision: revision up to which a watch or a read has told all.
     :ivar routes_version: version of the routes in force.
-    :ivar list_digest: digest of the list of back ends.
+    :ivar list_checksum: digest of the list of back ends.
     """
 
     revision: int
     routes_version: int
-    list_digest: int
+    list_checksum: int
 
 
 class MissedChanges:
--- a/sloepond/core/forwarding/knowledge_age.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -6,19 +6,19 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.events import Subject
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.readers import FRESH_S
+from sloepond.core.forwarding.peers.reader_election import FRESH_S
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 
-class KnowledgeAge:
+class Staleness:
     """When each subject was confirmed last.
 
-    :param followers: own reads of the store confirm too.
+    :param watchers: own reads of the store confirm too.
     :ivar is_old: whether a subject was unconfirmed for longer than `FRESH_S` when last reviewed.
     """
 
-    def __init__(self, followers: Mapping[Subject, Follower]) -> None:
-        self._followers = followers
+    def __init__(self, watchers: Mapping[Subject, StoreWatcher]) -> None:
+        self._watchers = watchers
         self._confirmed_at = dict.fromkeys(Subject, -NEVER)
         self.is_old = False
 
@@ -28,7 +28,7 @@
 
     def of(self, subject: Subject, now: float) -> float:
         """Return seconds since what is known of a subject was last confirmed."""
-        return now - max(self._confirmed_at[subject], self._followers[subject].confirmed_at)
+        return now - max(self._confirmed_at[subject], self._watchers[subject].confirmed_at)
 
     def oldest(self, now: float) -> float:
         """Return the age of the subject that was confirmed longest ago, at most `NEVER`."""
@@ -38,7 +38,7 @@
     def confirmed_at(self) -> float:
         """When the subject that was confirmed longest ago was confirmed, `-NEVER` for never."""
         return min(
-            max(self._confirmed_at[subject], self._followers[subject].confirmed_at) for subject in Subject
+            max(self._confirmed_at[subject], self._watchers[subject].confirmed_at) for subject in Subject
         )
 
     def is_fresh(self, now: float) -> bool:
--- a/sloepond/core/forwarding/own_reads.py
+++ b/sloepond/core/forwarding/store/staleness_bound.py
@@ -30,7 +30,7 @@
 LONGEST_RETRY_S = 15.0
 
 
-class OwnReads:
+class StalenessBound:
     """Asks for a probe when what is known was not confirmed for too long.
 
     :param limit_s: time within which a change must be in force.
--- a/sloepond/core/forwarding/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -2,13 +2,8 @@
 
 from __future__ import annotations
 
-from sloepond.core.forwarding.backend_records import BackendRecord
-from sloepond.core.forwarding.backends import BackendDirectory
 from sloepond.core.forwarding.commands import Command, LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.dissemination import Dissemination
-from sloepond.core.forwarding.evacuated_zones import EvacuatedZones, changed_zones
-from sloepond.core.forwarding.evacuations import Evacuations
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
@@ -18,9 +13,14 @@
     StoreEvent,
     Subject,
 )
-from sloepond.core.forwarding.follower import Follower
-from sloepond.core.forwarding.route_table import RouteTable
-from sloepond.core.forwarding.routes import RouteConfiguration
+from sloepond.core.forwarding.peers.dissemination import Dissemination
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.state.backend_records import BackendRecord
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls, changed_halls
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.state.routes import RouteConfiguration
+from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 
 class StoreAnswers:
@@ -31,14 +31,14 @@
         routes: RouteTable,
         backends: BackendDirectory,
         evacuations: Evacuations,
-        followers: dict[Subject, Follower],
+        watchers: dict[Subject, StoreWatcher],
         dissemination: Dissemination,
         counters: ForwardingCounters,
     ) -> None:
         self._routes = routes
         self._backends = backends
         self._evacuations = evacuations
-        self._followers = followers
+        self._watchers = watchers
         self._dissemination = dissemination
         self._counters = counters
         self._commands: list[Command] = []
@@ -56,33 +56,33 @@
             self._failed(event)
             return
         subject = Subject.ROUTES if isinstance(event, RoutesRead | RoutesChanged) else Subject.BACKENDS
-        follower = self._followers[subject]
-        if follower.failures:
-            self._log(LogKind.STORE_REGAINED, subject.name.lower(), f"failures={follower.failures}")
+        watcher = self._watchers[subject]
+        if watcher.failures:
+            self._log(LogKind.STORE_REGAINED, subject.name.lower(), f"failures={watcher.failures}")
         if isinstance(event, RoutesRead):
             self._take_routes(event.configuration)
-            self._take_evacuated(EvacuatedZones(event.revision, tuple(sorted(event.evacuated))))
-            follower.read(event.revision, self._now)
+            self._take_evacuated(EvacuatedHalls(event.revision, tuple(sorted(event.evacuated))))
+            watcher.read(event.revision, self._now)
         elif isinstance(event, RoutesChanged):
             for configuration in event.configurations:
                 self._take_routes(configuration)
-            self._take_evacuated(changed_zones(self._evacuations.known, event.zones, event.revision))
-            follower.watched(event.revision, self._now)
+            self._take_evacuated(changed_halls(self._evacuations.known, event.halls, event.revision))
+            watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
-            revision = _sure_revision(event, follower)
-            self._take_list(event, revision, follower.known_beyond(revision))
-            follower.read(revision, self._now)
+            revision = _sure_revision(event, watcher)
+            self._take_list(event, revision, watcher.known_beyond(revision))
+            watcher.read(revision, self._now)
         else:
-            self._take_changes(event, follower.known_beyond(event.revision))
-            follower.watched(event.revision, self._now)
+            self._take_changes(event, watcher.known_beyond(event.revision))
+            watcher.watched(event.revision, self._now)
         self._dissemination.store_answered(self._now)
 
     def _failed(self, event: StoreCallFailed) -> None:
         self._counters.store_failures += 1
-        follower = self._followers[event.subject]
-        if not follower.failures:
+        watcher = self._watchers[event.subject]
+        if not watcher.failures:
             self._log(LogKind.STORE_LOST, event.subject.name.lower(), f"reason={event.reason.value}")
-        follower.failed(event.reason, event.was_watch, self._now)
+        watcher.failed(event.reason, event.was_watch, self._now)
         self._dissemination.store_failed(event, self._now)
 
     def _take_routes(self, configuration: RouteConfiguration | None) -> None:
@@ -92,13 +92,13 @@
         self._dissemination.routes_read(self._now)
         self._log(LogKind.ROUTES_IN_FORCE, str(configuration.version), f"routes={len(configuration.routes)}")
 
-    def _take_evacuated(self, evacuated: EvacuatedZones) -> None:
+    def _take_evacuated(self, evacuated: EvacuatedHalls) -> None:
         if not self._evacuations.take(evacuated, self._now):
             return
         self._dissemination.news_taken(self._now)
         self._log(
-            LogKind.ZONES_EVACUATED,
-            ",".join(evacuated.zones) or "none",
+            LogKind.HALLS_EVACUATED,
+            ",".join(evacuated.halls) or "none",
             f"from=store rev={evacuated.revision}",
         )
 
@@ -143,11 +143,11 @@
         self._commands.append(WriteLog(kind, subject, detail))
 
 
-def _sure_revision(event: BackendsRead, follower: Follower) -> int:
+def _sure_revision(event: BackendsRead, watcher: StoreWatcher) -> int:
     """Return the revision up to which a list surely holds all changes.
 
     One that may be stale holds at least the changes it shows.
     """
-    if not follower.is_reading_stale:
+    if not watcher.is_reading_stale:
         return event.revision
     return max((record.revision for record in event.records), default=0)
--- a/sloepond/core/forwarding/follower.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -1,6 +1,6 @@
 """Follows one subject in the store: read it all, then watch for changes.
 
-Only a reader watches and confirms; a listener reads when it has to, and learns of
+Only a reader watches and confirms; a follower reads when it has to, and learns of
 changes from the readers.  A watch that waits proves nothing about what came before it,
 so each watch that does not end as it should is followed by a read, and by one more read
 a little later.
@@ -40,7 +40,7 @@
 StoreCall = ReadSubject | WatchSubject
 
 
-class Follower:
+class StoreWatcher:
     """What to ask the store next about one subject.
 
     At most one read and one watch are under way at a time.
@@ -210,7 +210,7 @@
         """Read everything as soon as possible: what is known may be old.
 
         A watch under way proves nothing of what came before, so a reader confirms nothing until then.
-        A listener needs no read if peers tell it more meanwhile.
+        A follower needs no read if peers tell it more meanwhile.
         """
         self._confirm_at = min(self._confirm_at, now)
         if self.is_watcher:
--- a/sloepond/core/token_node.py
+++ b/sloepond/core/token_node.py
@@ -39,15 +39,15 @@
     StopRequested,
     TimerFired,
 )
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.commands import Command as ForwardingCommand
 from sloepond.core.forwarding.commands import ForwardHeld
 from sloepond.core.forwarding.events import BackendsRead, OpeningHeld, RoutesRead
 from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import PORT_BITS, Segment
-from sloepond.core.forwarding.places import PlaceRules
-from sloepond.core.forwarding.routes import Route, RouteConfiguration, Share
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
 from sloepond.core.messages import ConfigurationOffered, Member, MemberState, View
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind
 from sloepond.core.settings import NodeSettings
@@ -300,7 +300,7 @@
         service=backend.service,
         host=host,
         port=int(port),
-        zone=backend.location.hall,
+        hall=backend.location.hall,
         slots=backend.slots,
         state=BackendState.READY if takes_flows else BackendState.LEAVING,
         revision=revision,
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -4,12 +4,12 @@
 
 import random
 
-from sloepond.core.forwarding.cold_openings import ColdLimit
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.places import PlaceRules
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.placement.slow_start import SlowStartLimit
 from sloepond.platform.packet_codec import EchoPacketCodec
-from sloepond.platform.settings import read_settings
+from sloepond.platform.settings import FILE_NAMES, read_settings
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.event_loop import EventLoop
@@ -29,22 +29,22 @@
     sockets = BoundSockets(descriptors, signals)
     slack_per_s = settings.cold_slack_per_s
     node = ForwardingNode(
-        settings.zone,
+        settings.hall,
         random.Random(),
         settings.ip,
         settings.seeds,
         PlaceRules(regions=settings.regions),
         settings.capacity,
-        None if slack_per_s is None else ColdLimit(settings.cold_factor, slack_per_s),
+        None if slack_per_s is None else SlowStartLimit(settings.cold_factor, slack_per_s),
         settings.kill_after_s,
         settings.change_limit_s,
     )
     logs = LogWriter(node.counters)
-    logs.write(WriteLog(LogKind.STARTED, settings.name, f"zone={settings.zone} store={settings.store}"))
+    logs.write(WriteLog(LogKind.STARTED, settings.name, f"zone={settings.hall} store={settings.store}"))
     loop = EventLoop()
     data_path = DataPath(sockets.edge, EchoPacketCodec(int(settings.edge.rpartition(":")[2])), node, logs)
     store = StoreClient(loop, settings.store, PlatformStoreCodec())
-    reloader = SettingsReloader(read_settings, settings, logs)
+    reloader = SettingsReloader(read_settings, settings, logs, FILE_NAMES)
     service = ForwardingService(loop, sockets, data_path, store, node, logs, reloader)
     resume_garbage_collection()
     service.run()
--- a/sloepond/platform/binding.py
+++ b/sloepond/platform/binding.py
@@ -27,7 +27,7 @@
         edge=_bind(settings.edge),
         readiness=_listen(settings.readiness),
         peer=_bind(peer),
-        knowledge=_listen(peer),
+        snapshot=_listen(peer),
         metrics=_listen_if_possible(settings.metrics),
     )
 
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.packets import PORT_BITS
-from sloepond.core.forwarding.routes import ColdStart, Route, RouteConfiguration, Share
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, Share
 
 STATE_READY = "ready"
 KIND_UNSAFE = "unsafe"
@@ -127,7 +127,7 @@
         service=document.service,
         host=host,
         port=int(port),
-        zone=document.zone,
+        hall=document.zone,
         slots=document.slots,
         state=BackendState.READY if document.state == STATE_READY else BackendState.LEAVING,
         cold_s=document.cold_left_ms / 1000.0,
--- a/sloepond/platform/packet_codec.py
+++ b/sloepond/platform/packet_codec.py
@@ -5,8 +5,8 @@
 import socket
 import struct
 
-from sloepond.core.forwarding.backend import ForwardingBackend
 from sloepond.core.forwarding.packets import Segment
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.runtime.forwarding.drivers import PacketCodec
 
 HEAD = struct.Struct(">IIIHHIIHBBI")
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -9,6 +9,8 @@
 FILE_VARIABLE = "SLOEPOND_NODE_FILE"
 DEFAULT_FILE = "/etc/sloepond/node.conf"
 ZONES = "zones."
+FILE_NAMES = {"hall": "zone"}
+"""Name in the settings file of each field that sloepond names otherwise: a zone of the platform is a hall."""
 METRICS_PORT = 9464
 """Port of the figures; `deploy/system.toml` names it too."""
 
@@ -33,7 +35,7 @@
             fields[name.strip()] = value.strip()
     return ForwardingSettings(
         name=fields["node"],
-        zone=fields["zone"],
+        hall=fields["zone"],
         ip=fields["ip"],
         edge=fields["listen.datagram_addr"],
         readiness=fields["listen.readiness"],
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -4,9 +4,7 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import BackendRecord
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
-from sloepond.core.forwarding.evacuated_zones import ZoneChange
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
@@ -18,6 +16,8 @@
     StoreFailure,
     Subject,
 )
+from sloepond.core.forwarding.state.backend_records import BackendRecord
+from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
 from sloepond.platform.documents import (
     Item,
     RangeAnswer,
@@ -108,7 +108,7 @@
 def _changed_routes(answer: WatchAnswer) -> RoutesChanged:
     written = (item for item in answer.events if item.key == CONFIGURATION_KEY and item.value)
     zones = (
-        ZoneChange(item.key.removeprefix(EVACUATED_PREFIX), item.rev, not item.gone)
+        EvacuationChange(item.key.removeprefix(EVACUATED_PREFIX), item.rev, not item.gone)
         for item in answer.events
         if _is_evacuation(item)
     )
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -5,10 +5,10 @@
 import socket
 from collections.abc import Callable, Iterable
 
-from sloepond.core.forwarding.backend import Decision
 from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningHeld, UnknownTokenMet
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Refusal, Segment
+from sloepond.core.forwarding.state.backend import Decision
 from sloepond.runtime.forwarding.drivers import PacketCodec
 from sloepond.runtime.forwarding.log_writer import LogWriter
 
--- a/sloepond/runtime/forwarding/drivers.py
+++ b/sloepond/runtime/forwarding/drivers.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend import ForwardingBackend
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.events import StoreEvent, Subject
 from sloepond.core.forwarding.packets import Segment
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 
 class PacketCodec(abc.ABC):
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from sloepond.core.forwarding.backend_records import Endpoint
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
 from sloepond.runtime.forwarding.http_message import HttpSyntaxError
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend import ForwardingBackend
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.packets import PORT_BITS, Refusal, Segment
+from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.runtime.clock import monotonic_seconds
 
 LINES_PER_S = 200.0
@@ -38,7 +38,7 @@
 class KnowledgeVersions(Protocol):
     """What tells how old the knowledge behind a decision is."""
 
-    def knowledge(self, now: float) -> str:
+    def snapshot(self, now: float) -> str:
         """Return versions and ages, for a log line."""
 
 
@@ -70,7 +70,7 @@
             detail = (
                 f"backend={backend.name} service={backend.service} copy={segment.acknowledgement} "
                 f"backend_flows={backend.flows} in_flight={backend.in_flight} latency_s={latency} "
-                f"{node.knowledge(now)}"
+                f"{node.snapshot(now)}"
             )
             self._put(LogKind.FLOW_PLACED, flow_name(segment), detail)
 
@@ -86,13 +86,13 @@
     def packet_waits(self, segment: Segment, node: KnowledgeVersions) -> None:
         """Write a line about a new flow that waits for room."""
         if self._may_write():
-            detail = f"copy={segment.acknowledgement} {node.knowledge(monotonic_seconds())}"
+            detail = f"copy={segment.acknowledgement} {node.snapshot(monotonic_seconds())}"
             self._put(LogKind.FLOW_WAITS, flow_name(segment), detail)
 
     def packet_refused(self, segment: Segment, refusal: Refusal, node: KnowledgeVersions) -> None:
         """Write a line about a packet that goes nowhere."""
         if self._may_write():
-            detail = f"reason={refusal.value} token={segment.token:08x} {node.knowledge(monotonic_seconds())}"
+            detail = f"reason={refusal.value} token={segment.token:08x} {node.snapshot(monotonic_seconds())}"
             self._put(LogKind.PACKET_REFUSED, flow_name(segment), detail)
 
     def _write(self, kind: LogKind, subject: str, detail: str) -> None:
--- a/sloepond/runtime/forwarding/metrics.py
+++ b/sloepond/runtime/forwarding/metrics.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from sloepond.core.forwarding.latency import BOUNDS_S, LatencyHistogram
+from sloepond.core.forwarding.load.latency import BOUNDS_S, LatencyHistogram
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.runtime.forwarding.http_server import Page
 
@@ -18,10 +18,10 @@
         for name in (field.name for field in msgspec.structs.fields(node.counters))
     ]
     lines.append(f"{PREFIX}ready {int(node.is_ready)}")
-    zone = node.zone_balancers(now)
+    hall = node.hall_balancers(now)
     lines.append(f"{PREFIX}stopping {int(node.is_stopping)}")
-    lines.append(f"{PREFIX}zone_balancers_ready {zone.ready}")
-    lines.append(f"{PREFIX}zone_balancers_not_ready {zone.others}")
+    lines.append(f"{PREFIX}zone_balancers_ready {hall.ready}")
+    lines.append(f"{PREFIX}zone_balancers_not_ready {hall.others}")
     lines.append(f"{PREFIX}route_version {node.routes.version}")
     lines.append(f"{PREFIX}flows_observed {node.flows_observed}")
     lines.append(f"{PREFIX}backends {len(node.backends)}")
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -7,34 +7,34 @@
 
 import msgspec
 
-from sloepond.core.forwarding.backend_records import Endpoint
-from sloepond.core.forwarding.commands import FetchKnowledge, FetchRoutes, LogKind, SendToPeer, WriteLog
+from sloepond.core.forwarding.commands import FetchRoutes, FetchSnapshot, LogKind, SendToPeer, WriteLog
 from sloepond.core.forwarding.events import (
     Event,
     FetchFailed,
-    KnowledgeReceived,
     PeerMessageReceived,
-    RoutesTold,
+    RoutesReceived,
+    SnapshotReceived,
 )
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.peer_messages import (
+from sloepond.core.forwarding.peers.messages import (
     BackendFailing,
     BackendUnreachable,
-    ChangesAsked,
-    ChangesTold,
+    ChangesReply,
+    ChangesRequest,
     Confirmation,
-    ConfirmationsAsked,
+    ConfirmationsRequest,
     Heartbeat,
-    Knowledge,
-    KnowledgeAsked,
     PeerMessage,
     RequestUnanswered,
-    RoutesAsked,
-    StreamQuestion,
-    TokenAsked,
-    TokenFound,
+    RoutesRequest,
+    Snapshot,
+    SnapshotRequest,
+    StreamRequest,
+    TokenReply,
+    TokenRequest,
 )
-from sloepond.core.forwarding.route_delta import RouteDelta
+from sloepond.core.forwarding.state.backend_records import Endpoint
+from sloepond.core.forwarding.state.route_delta import RouteDelta
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.streams import Acceptor, connect, keep_alive, read_to_end, send_all
@@ -50,12 +50,12 @@
 """Streams of peers served at once; who is turned away asks another peer."""
 _BYTE_COUNTERS: dict[type[PeerMessage], str] = {
     Heartbeat: "heartbeat_bytes_sent",
-    TokenAsked: "token_bytes_sent",
-    TokenFound: "token_bytes_sent",
+    TokenRequest: "token_bytes_sent",
+    TokenReply: "token_bytes_sent",
     Confirmation: "confirmation_bytes_sent",
-    ConfirmationsAsked: "confirmation_bytes_sent",
-    ChangesAsked: "change_bytes_sent",
-    ChangesTold: "change_bytes_sent",
+    ConfirmationsRequest: "confirmation_bytes_sent",
+    ChangesRequest: "change_bytes_sent",
+    ChangesReply: "change_bytes_sent",
     BackendUnreachable: "unreachable_bytes_sent",
     RequestUnanswered: "failure_bytes_sent",
     BackendFailing: "failure_bytes_sent",
@@ -88,9 +88,9 @@
         self._logs = logs
         self._encoder = msgspec.msgpack.Encoder()
         self._messages = msgspec.msgpack.Decoder(PeerMessage)
-        self._knowledge = msgspec.msgpack.Decoder(Knowledge)
+        self._snapshot = msgspec.msgpack.Decoder(Snapshot)
         self._deltas = msgspec.msgpack.Decoder(tuple[RouteDelta, ...])
-        self._questions = msgspec.msgpack.Decoder(StreamQuestion)
+        self._questions = msgspec.msgpack.Decoder(StreamRequest)
         loop.watch(datagrams, self._drain)
         Acceptor(loop, streams, self._answer, MAXIMUM_STREAMS, node.counters)
 
@@ -106,7 +106,7 @@
         counters = self._node.counters
         setattr(counters, counter, getattr(counters, counter) + len(datagram))
 
-    async def fetch(self, command: FetchKnowledge | FetchRoutes) -> None:
+    async def fetch(self, command: FetchSnapshot | FetchRoutes) -> None:
         """Ask a peer for something large; where it does not answer another one is asked later."""
         try:
             event = await self._fetch(command)
@@ -118,12 +118,12 @@
             return
         self._dispatch(event)
 
-    async def _fetch(self, command: FetchKnowledge | FetchRoutes) -> KnowledgeReceived | RoutesTold:
+    async def _fetch(self, command: FetchSnapshot | FetchRoutes) -> SnapshotReceived | RoutesReceived:
         if isinstance(command, FetchRoutes):
-            received = await self._ask(command.ip, RoutesAsked(command.version))
-            return RoutesTold(command.ip, self._deltas.decode(received))
-        received = await self._ask(command.ip, KnowledgeAsked())
-        return KnowledgeReceived(command.ip, self._knowledge.decode(received))
+            received = await self._ask(command.ip, RoutesRequest(command.version))
+            return RoutesReceived(command.ip, self._deltas.decode(received))
+        received = await self._ask(command.ip, SnapshotRequest())
+        return SnapshotReceived(command.ip, self._snapshot.decode(received))
 
     def _drain(self) -> None:
         for _ in range(BATCH_DATAGRAMS):
@@ -142,7 +142,7 @@
                 continue
             self._dispatch(PeerMessageReceived(source[0], message))
 
-    async def _ask(self, ip: str, question: StreamQuestion) -> bytes:
+    async def _ask(self, ip: str, question: StreamRequest) -> bytes:
         deadline = self._loop.clock() + FETCH_TIMEOUT_S
         with await connect(Endpoint(ip, self._port), deadline) as stream:
             keep_alive(stream)
@@ -164,10 +164,10 @@
         await send_all(stream, answer, deadline)
         self._node.counters.stream_bytes_sent += len(answer)
 
-    def _encode_answer(self, question: StreamQuestion) -> bytes:
+    def _encode_answer(self, question: StreamRequest) -> bytes:
         """Return the answer, empty where nothing is known here."""
-        if isinstance(question, RoutesAsked):
+        if isinstance(question, RoutesRequest):
             deltas = self._node.routes_since(question.version)
             return self._encoder.encode(deltas) if deltas else b""
-        knowledge = self._node.peer_knowledge(self._loop.clock())
-        return self._encoder.encode(knowledge) if knowledge is not None else b""
+        snapshot = self._node.peer_snapshot(self._loop.clock())
+        return self._encoder.encode(snapshot) if snapshot is not None else b""
--- a/sloepond/runtime/forwarding/process.py
+++ b/sloepond/runtime/forwarding/process.py
@@ -32,7 +32,7 @@
         other, 0 for none.
     :ivar seeds: IP addresses of balancers that may be up.
     :ivar capacity: share of a core this process may use.
-    :ivar regions: region of each zone.
+    :ivar regions: region of each hall.
     :ivar cold_factor: times what a back end is said to bear just after its start, it may be given.
     :ivar cold_slack_per_s: new flows a second added to that, None where nothing limits them.
     :ivar kill_after_s: time from the request to stop after which the process is killed, 0 where not told.
@@ -40,7 +40,7 @@
     """
 
     __slots__ = (
-        "name", "zone", "ip", "edge", "readiness", "store", "metrics", "peer_port", "seeds", "capacity",
+        "name", "hall", "ip", "edge", "readiness", "store", "metrics", "peer_port", "seeds", "capacity",
         "regions", "cold_factor", "cold_slack_per_s", "kill_after_s", "change_limit_s",
     )  # fmt: skip
 
@@ -48,7 +48,7 @@
         self,
         *,
         name: str,
-        zone: str,
+        hall: str,
         ip: str,
         edge: str,
         readiness: str,
@@ -64,7 +64,7 @@
         change_limit_s: float = 0.0,
     ) -> None:
         self.name = name
-        self.zone = zone
+        self.hall = hall
         self.ip = ip
         self.edge = edge
         self.readiness = readiness
@@ -90,19 +90,19 @@
     :ivar edge: UDP, callers' packets.
     :ivar readiness: TCP, listening.
     :ivar peer: UDP, what other balancers say.
-    :ivar knowledge: TCP, listening for balancers that have just started.
+    :ivar snapshot: TCP, listening for balancers that have just started.
     :ivar metrics: TCP, listening; None where the address is taken.
     """
 
-    __slots__ = ("edge", "readiness", "peer", "knowledge", "metrics")
+    __slots__ = ("edge", "readiness", "peer", "snapshot", "metrics")
 
     def __init__(
-        self, *, edge: int, readiness: int, peer: int, knowledge: int, metrics: int | None = None
+        self, *, edge: int, readiness: int, peer: int, snapshot: int, metrics: int | None = None
     ) -> None:
         self.edge = edge
         self.readiness = readiness
         self.peer = peer
-        self.knowledge = knowledge
+        self.snapshot = snapshot
         self.metrics = metrics
 
 
@@ -112,7 +112,7 @@
     :ivar signals: readable, receives the number of each signal as a byte.
     """
 
-    __slots__ = ("edge", "readiness", "peer", "knowledge", "metrics", "signals")
+    __slots__ = ("edge", "readiness", "peer", "snapshot", "metrics", "signals")
 
     def __init__(self, descriptors: BoundDescriptors, signals: int) -> None:
         import socket
@@ -125,7 +125,7 @@
         self.edge = adopt(descriptors.edge, socket.SOCK_DGRAM)
         self.peer = adopt(descriptors.peer, socket.SOCK_DGRAM)
         self.readiness = adopt(descriptors.readiness, socket.SOCK_STREAM)
-        self.knowledge = adopt(descriptors.knowledge, socket.SOCK_STREAM)
+        self.snapshot = adopt(descriptors.snapshot, socket.SOCK_STREAM)
         self.metrics: socket.socket | None = None
         if descriptors.metrics is not None:
             self.metrics = adopt(descriptors.metrics, socket.SOCK_STREAM)
--- a/sloepond/runtime/forwarding/reachability_check.py
+++ b/sloepond/runtime/forwarding/reachability_check.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Callable
 
-from sloepond.core.forwarding.backend_records import Endpoint
 from sloepond.core.forwarding.events import CheckResult
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, sleep_until
 from sloepond.runtime.forwarding.streams import connect
 
@@ -18,7 +18,7 @@
 CONTROL_TRIES_S = (0.0, 0.05)
 """When connections to the other one are."""
 CHECK_S = 0.1
-"""How long a check takes at most: a connection between zones is made in about 3 ms."""
+"""How long a check takes at most: a connection between halls is made in about 3 ms."""
 
 
 class ReachabilityCheck:
--- a/sloepond/runtime/forwarding/reloading.py
+++ b/sloepond/runtime/forwarding/reloading.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.events import SettingsChanged
@@ -19,13 +19,19 @@
 
     :param read: reads the settings; may raise OSError, KeyError or ValueError.
     :param current: the settings in use.
+    :param file_names: name in the settings file of each field that has another name in there.
     """
 
     def __init__(
-        self, read: Callable[[], ForwardingSettings], current: ForwardingSettings, logs: LogWriter
+        self,
+        read: Callable[[], ForwardingSettings],
+        current: ForwardingSettings,
+        logs: LogWriter,
+        file_names: Mapping[str, str],
     ) -> None:
         self._read = read
         self._logs = logs
+        self._file_names = file_names
         self.current = current
 
     def reload(self) -> SettingsChanged | None:
@@ -37,15 +43,15 @@
             return None
         if not changed.differences(self.current):
             return None
-        self._log("taken", f"after_restart={_needs_restart(self.current, changed)}")
+        self._log("taken", f"after_restart={self._needs_restart(changed)}")
         self.current = changed
         return SettingsChanged(changed.seeds, changed.store)
 
     def _log(self, subject: str, detail: str) -> None:
         self._logs.write(WriteLog(LogKind.SETTINGS_CHANGED, subject, detail))
 
-
-def _needs_restart(current: ForwardingSettings, changed: ForwardingSettings) -> str:
-    """Return the names of changed fields that are taken at the next start only."""
-    names = [name for name in changed.differences(current) if name not in _TAKEN_WHILE_RUNNING]
-    return ",".join(names) or "nothing"
+    def _needs_restart(self, changed: ForwardingSettings) -> str:
+        """Return the names of changed fields that are taken at the next start only."""
+        names = changed.differences(self.current)
+        kept = [self._file_names.get(name, name) for name in names if name not in _TAKEN_WHILE_RUNNING]
+        return ",".join(kept) or "nothing"
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -8,8 +8,8 @@
     CheckBackend,
     Command,
     CompleteStop,
-    FetchKnowledge,
     FetchRoutes,
+    FetchSnapshot,
     ForwardHeld,
     LogKind,
     ProbeStore,
@@ -67,7 +67,7 @@
         self._reloader = reloader
         self._data_path = data_path
         self._data_path.report = self.dispatch
-        self._peers = PeerChannel(loop, sockets.peer, sockets.knowledge, node, self.dispatch, logs)
+        self._peers = PeerChannel(loop, sockets.peer, sockets.snapshot, node, self.dispatch, logs)
         self._was_ready = False
         self._is_forwarding = False
 
@@ -95,7 +95,7 @@
             self._loop.watch(self._sockets.edge, self._forward)
         if self._node.is_ready and not self._was_ready:
             self._was_ready = True
-            self._logs.write(WriteLog(LogKind.READY, "process", self._node.knowledge(now)))
+            self._logs.write(WriteLog(LogKind.READY, "process", self._node.snapshot(now)))
 
     def _carry_out(self, commands: list[Command]) -> None:
         for command in commands:
@@ -109,7 +109,7 @@
                 self._loop.start(self._call_store(command))
             elif isinstance(command, CheckBackend):
                 self._check_backend(command)
-            elif isinstance(command, FetchKnowledge | FetchRoutes):
+            elif isinstance(command, FetchSnapshot | FetchRoutes):
                 self._loop.start(self._peers.fetch(command))
             elif isinstance(command, CompleteStop):
                 self._loop.stop()
--- a/sloepond/runtime/forwarding/store_client.py
+++ b/sloepond/runtime/forwarding/store_client.py
@@ -5,7 +5,6 @@
 import random
 from collections.abc import Callable
 
-from sloepond.core.forwarding.backend_records import Endpoint
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -15,6 +14,7 @@
     StoreProbed,
     Subject,
 )
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.drivers import StoreCodec
 from sloepond.runtime.forwarding.event_loop import EventLoop, sleep_until
 from sloepond.runtime.forwarding.http_client import HttpClient
--- a/sloepond/runtime/forwarding/store_pages.py
+++ b/sloepond/runtime/forwarding/store_pages.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from sloepond.core.forwarding.backend_records import BackendRecord
 from sloepond.core.forwarding.commands import ReadSubject
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -12,7 +11,8 @@
     StoreFailure,
     Subject,
 )
-from sloepond.core.forwarding.routes import RouteConfiguration
+from sloepond.core.forwarding.state.backend_records import BackendRecord
+from sloepond.core.forwarding.state.routes import RouteConfiguration
 from sloepond.runtime.forwarding.drivers import StoreCodec
 from sloepond.runtime.forwarding.http_exchange import HttpFailure, HttpResponse
 
--- a/sloepond/runtime/forwarding/streams.py
+++ b/sloepond/runtime/forwarding/streams.py
@@ -7,8 +7,8 @@
 import socket
 from collections.abc import Callable, Coroutine
 
-from sloepond.core.forwarding.backend_records import Endpoint
 from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, Wait, readable, sleep_until, writable
 
 READ_BYTES = 65_536
