--- /dev/null
+++ b/features/steps/interfaces_channel.py
@@ -0,0 +1,114 @@
+"""A channel between balancers on real sockets, and the plain sockets of the peer it speaks to."""
+
+from __future__ import annotations
+
+import os
+import socket
+import threading
+
+from interfaces_values import AnsweringNode, to_ask, to_send
+
+from sloepond.runtime.forwarding.event_loop import EventLoop, sleep_until
+from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.peer_channel import PeerChannel
+
+CHANNEL_IP = "127.0.32.1"
+PEER_IP = "127.0.32.2"
+TIMEOUT_S = 10.0
+WAKE_S = 0.005
+LARGEST = 65_536
+
+
+class ChannelAndPeer:
+    """Both ends: the channel under test, and sockets that show and send plain bytes."""
+
+    def __init__(self):
+        self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.datagrams.bind((CHANNEL_IP, 0))
+        self.datagrams.setblocking(False)
+        self.port = self.datagrams.getsockname()[1]
+        self.streams = socket.create_server((CHANNEL_IP, self.port))
+        self.streams.setblocking(False)
+        self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.peer.bind((PEER_IP, self.port))
+        self.peer.settimeout(TIMEOUT_S)
+        self.peer_streams = socket.create_server((PEER_IP, self.port))
+        self.peer_streams.settimeout(TIMEOUT_S)
+        self.events = []
+        self.loop = EventLoop()
+        node = AnsweringNode()
+        self.nothing = os.open(os.devnull, os.O_WRONLY)
+        logs = LogWriter(node.counters, self.nothing)
+        self.channel = PeerChannel(self.loop, self.datagrams, self.streams, node, self.events.append, logs)
+
+    def close(self):
+        """Close all sockets."""
+        for opened in (self.datagrams, self.streams, self.peer, self.peer_streams):
+            opened.close()
+        os.close(self.nothing)
+
+    def sent_for(self, message):
+        """Return the datagram that is sent for a message."""
+        self.channel.send(to_send(PEER_IP, message))
+        return self.peer.recv(LARGEST)
+
+    def event_of(self, datagram):
+        """Return the event of a datagram that arrives."""
+        self.peer.sendto(datagram, (CHANNEL_IP, self.port))
+        return self._next_event()
+
+    def asked_and_event(self, question, answer):
+        """Have the channel ask a question; return its bytes and the event of the answer."""
+        asked = []
+        server = threading.Thread(target=self._serve, args=(answer, asked))
+        server.start()
+        self.loop.start(self.channel.fetch(to_ask(PEER_IP, question)))
+        event = self._next_event()
+        server.join()
+        return asked[0], event
+
+    def answer_to(self, question):
+        """Return the bytes that the channel answers to the bytes of a question."""
+        answers = []
+        client = threading.Thread(target=self._ask, args=(question, answers))
+        client.start()
+        self._run(lambda: bool(answers))
+        client.join()
+        return answers[0]
+
+    def _next_event(self):
+        self._run(lambda: bool(self.events))
+        return self.events.pop()
+
+    def _run(self, is_done):
+        """Run the loop, woken every few milliseconds, until something has happened."""
+        self.loop.start(self._wake(is_done))
+        give_up_at = self.loop.clock() + TIMEOUT_S
+        while not is_done():
+            assert self.loop.clock() < give_up_at, "nothing happened"
+            self.loop.run_once()
+
+    async def _wake(self, is_done):
+        while not is_done():
+            await sleep_until(self.loop.clock() + WAKE_S)
+
+    def _serve(self, answer, asked):
+        stream, _ = self.peer_streams.accept()
+        with stream:
+            asked.append(read_all(stream))
+            stream.sendall(answer)
+
+    def _ask(self, question, answers):
+        with socket.create_connection((CHANNEL_IP, self.port), TIMEOUT_S) as stream:
+            stream.sendall(question)
+            stream.shutdown(socket.SHUT_WR)
+            answers.append(read_all(stream))
+
+
+def read_all(stream):
+    """Return all that comes until the other end closes."""
+    stream.settimeout(TIMEOUT_S)
+    parts = []
+    while part := stream.recv(LARGEST):
+        parts.append(part)
+    return b"".join(parts)
