--- a/features/steps/interfaces_channel.py
+++ b/features/steps/interfaces_channel.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import socket
 import threading
@@ -16,6 +17,7 @@
 PEER_IP = "127.0.32.2"
 TIMEOUT_S = 10.0
 WAKE_S = 0.005
+PORT_TRIES = 20
 LARGEST = 65_536
 
 
@@ -23,16 +25,11 @@
     """Both ends: the channel under test, and sockets that show and send plain bytes."""
 
     def __init__(self):
-        self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.datagrams.bind((CHANNEL_IP, 0))
-        self.datagrams.setblocking(False)
+        self.datagrams, self.streams, self.peer, self.peer_streams = bound_sockets()
         self.port = self.datagrams.getsockname()[1]
-        self.streams = socket.create_server((CHANNEL_IP, self.port))
+        self.datagrams.setblocking(False)
         self.streams.setblocking(False)
-        self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.peer.bind((PEER_IP, self.port))
         self.peer.settimeout(TIMEOUT_S)
-        self.peer_streams = socket.create_server((PEER_IP, self.port))
         self.peer_streams.settimeout(TIMEOUT_S)
         self.events = []
         self.loop = EventLoop()
@@ -105,6 +102,24 @@
             answers.append(read_all(stream))
 
 
+def bound_sockets():
+    """Return datagram socket and listener of both ends, all on one port that is free for each."""
+    for _ in range(PORT_TRIES):
+        with contextlib.ExitStack() as stack:
+            port, sockets = 0, []
+            try:
+                for ip in (CHANNEL_IP, PEER_IP):
+                    datagrams = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+                    datagrams.bind((ip, port))
+                    port = datagrams.getsockname()[1]
+                    sockets += [datagrams, stack.enter_context(socket.create_server((ip, port)))]
+            except OSError:
+                continue
+            stack.pop_all()
+            return sockets
+    raise AssertionError("no free port")
+
+
 def read_all(stream):
     """Return all that comes until the other end closes."""
     stream.settimeout(TIMEOUT_S)
