--- a/features/steps/interfaces_names.py
+++ b/features/steps/interfaces_names.py
@@ -25,12 +25,12 @@
 from sloepond.cli.endpoints import ENVIRONMENT_HELP
 from sloepond.core.commands import TransitionKind
 from sloepond.core.counters import Counters
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import BackendsRead
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Refusal
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.status import NodeStatus, PeerReport
 from sloepond.platform.settings import DEFAULT_FILE, FILE_VARIABLE, METRICS_PORT, parse_settings
 from sloepond.resources import model
@@ -54,7 +54,7 @@
     read = parse_settings(text)
     return {
         "name": read.name,
-        "zone": read.zone,
+        "zone": read.hall,
         "ip": read.ip,
         "datagrams": read.edge,
         "readiness": read.readiness,
--- a/features/steps/interfaces_values.py
+++ b/features/steps/interfaces_values.py
@@ -7,28 +7,28 @@
 
 import typing
 
-from sloepond.core.forwarding import peer_messages as peer
-from sloepond.core.forwarding.backend import ForwardingBackend
-from sloepond.core.forwarding.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.commands import (
-    FetchKnowledge,
     FetchRoutes,
+    FetchSnapshot,
     ReadSubject,
     SendToPeer,
     WatchSubject,
 )
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.evacuated_zones import EvacuatedZones
 from sloepond.core.forwarding.events import (
-    KnowledgeReceived,
     PeerMessageReceived,
-    RoutesTold,
+    RoutesReceived,
+    SnapshotReceived,
     Subject,
 )
-from sloepond.core.forwarding.list_digest import ListDigest
 from sloepond.core.forwarding.packets import Segment
-from sloepond.core.forwarding.route_delta import RouteDelta
-from sloepond.core.forwarding.routes import ColdStart, Route, RouteConfiguration, Share
+from sloepond.core.forwarding.peers import messages as peer
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls
+from sloepond.core.forwarding.state.list_checksum import ListChecksum
+from sloepond.core.forwarding.state.route_delta import RouteDelta
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, Share
 from sloepond.core.messages import ConfigurationOffered, ConfigurationPart, ConfigurationRequested
 from sloepond.core.packets import (
     BackendPacket,
@@ -44,7 +44,7 @@
 )
 
 PEER_MESSAGE_TYPES = frozenset(typing.get_args(peer.PeerMessage))
-PEER_QUESTION_TYPES = frozenset(typing.get_args(peer.StreamQuestion))
+PEER_QUESTION_TYPES = frozenset(typing.get_args(peer.StreamRequest))
 
 READY = BackendRecord(
     "i-7f3a91c2", 0x7F3A91C2, "a", "10.128.0.9", 8080, "osu-hall", 3, BackendState.READY, 1.5, 412
@@ -66,37 +66,37 @@
 CONFIGURATION = RouteConfiguration(7, ROUTES, 12.5, COLD_STARTS)
 SMALL_DELTA = RouteDelta(6, 7, ROUTES[:1], (0xC61200030050,), 12.5)
 LARGE_DELTA = RouteDelta(7, 9, ROUTES, (1, 2**48 - 1), 30.25, COLD_STARTS)
-EVACUATED = EvacuatedZones(415, ("osu-hall", "tema-hall"))
+EVACUATED = EvacuatedHalls(415, ("osu-hall", "tema-hall"))
 CHANGES = peer.Changes(7, SMALL_DELTA, 400, 500, 412, KNOWN, EVACUATED, 0x9E3779B97F4A7C15)
-LIST = ListDigest()
+LIST = ListChecksum()
 LIST.entered(READY.name, READY.number, READY.revision)
 LIST.entered(LEAVING.name, LEAVING.number, LEAVING.revision)
 LIST.entered(DEPARTED.name, DEPARTED.number, DEPARTED.revision)
 LIST.left(DEPARTED.name)
-LIST_CHANGES = peer.Changes(9, None, 0, 2**33, 2**32, (), EvacuatedZones(), LIST.value)
+LIST_CHANGES = peer.Changes(9, None, 0, 2**33, 2**32, (), EvacuatedHalls(), LIST.value)
 
 PEER_DATAGRAMS = {
     "heartbeat": peer.Heartbeat(7, 412, True, ("10.1.0.10", "10.2.0.40"), "osu-hall"),
-    "token request": peer.TokenAsked(0xFEDCBA98),
-    "token reply": peer.TokenFound(LEAVING, 3.5, True),
+    "token request": peer.TokenRequest(0xFEDCBA98),
+    "token reply": peer.TokenReply(LEAVING, 3.5, True),
     "confirmation": peer.Confirmation(2**63 + 5, 0.625, 77, True, 0.375, CHANGES),
     "confirmation without changes": peer.Confirmation(1, 0.5, 1, False, 0.0, LIST_CHANGES),
-    "changes request": peer.ChangesAsked(7, 70_000),
-    "changes reply": peer.ChangesTold(CHANGES),
-    "confirmations request": peer.ConfirmationsAsked(),
+    "changes request": peer.ChangesRequest(7, 70_000),
+    "changes reply": peer.ChangesReply(CHANGES),
+    "confirmations request": peer.ConfirmationsRequest(),
     "back end unreachable": peer.BackendUnreachable("i-7f3a91c2"),
     "request unanswered": peer.RequestUnanswered("i-2"),
     "back end failing": peer.BackendFailing("i-3", 4.25),
 }
 SHORT_PEER_DATAGRAMS = {
     "heartbeat without hall": peer.Heartbeat(7, 412, False, ()),
-    "token reply without leave": peer.TokenFound(READY, 0.0),
+    "token reply without leave": peer.TokenReply(READY, 0.0),
 }
 """Datagrams whose last fields are missing, as what was built before those fields sends them."""
 
-SNAPSHOT = peer.Knowledge(CONFIGURATION, 1.25, KNOWN, 0.5, 500, EVACUATED)
+SNAPSHOT = peer.Snapshot(CONFIGURATION, 1.25, KNOWN, 0.5, 500, EVACUATED)
 DELTAS = (SMALL_DELTA, LARGE_DELTA)
-STREAM_QUESTIONS = {"snapshot request": peer.KnowledgeAsked(), "routes request": peer.RoutesAsked(6)}
+STREAM_QUESTIONS = {"snapshot request": peer.SnapshotRequest(), "routes request": peer.RoutesRequest(6)}
 STREAM_ANSWERS = {"snapshot request": SNAPSHOT, "routes request": DELTAS}
 
 FLOW = FlowKey("198.18.0.1:443", "100.64.0.7:40001", 2**64 - 3)
@@ -167,7 +167,7 @@
     def __init__(self):
         self.counters = ForwardingCounters()
 
-    def peer_knowledge(self, now):
+    def peer_snapshot(self, now):
         """Return the snapshot."""
         return SNAPSHOT
 
@@ -184,7 +184,7 @@
 def to_ask(ip, question):
     """Return the command that asks a question on a stream."""
     if question == "snapshot request":
-        return FetchKnowledge(ip)
+        return FetchSnapshot(ip)
     return FetchRoutes(ip, SMALL_DELTA.base)
 
 
@@ -196,5 +196,5 @@
 def answered(ip, question):
     """Return the event of an answer to a question."""
     if question == "snapshot request":
-        return KnowledgeReceived(ip, SNAPSHOT)
-    return RoutesTold(ip, DELTAS)
+        return SnapshotReceived(ip, SNAPSHOT)
+    return RoutesReceived(ip, DELTAS)
