--- a/features/steps/interfaces_values.py
+++ b/features/steps/interfaces_values.py
@@ -149,6 +149,12 @@
 OPENING = Segment(0x64400007, 40001, 0xC6120001, 443, 0x11223344, 2, 0, True, False, False, 0)
 LAST = Segment(0x64400007, 40001, 0xC6120001, 443, 5, 0xFFFFFFF0, 0, False, True, False, 9)
 TARGET = ForwardingBackend(READY, 0.0)
+OTHER_TARGETS = {
+    "opening to a back end with a long identity": ForwardingBackend(LEAVING, 0.0),
+    "opening to a back end whose identity folds to 0": ForwardingBackend(
+        BackendRecord("i-4", 2**32 + 1, "a", "10.128.0.12", 80, "h", 1, BackendState.READY), 0.0
+    ),
+}
 STORE_CALLS = {
     "read of routes": (ReadSubject(Subject.ROUTES), ""),
     "read of back ends": (ReadSubject(Subject.BACKENDS), ""),
--- a/features/steps/interfaces_wire_steps.py
+++ b/features/steps/interfaces_wire_steps.py
@@ -110,6 +110,8 @@
 def platform_packets(context):
     caller = golden("platform packets from callers")
     sent = {name: PACKETS.encode(datagram, values.TARGET) for name, datagram in caller.items()}
+    for name, target in values.OTHER_TARGETS.items():
+        sent[name] = PACKETS.encode(caller["opening"], target)
     sent["reset of an opening"] = PACKETS.encode_reset(values.OPENING)
     sent["reset of an open flow"] = PACKETS.encode_reset(values.LAST)
     compare("platform packets", sent)
