--- a/sloepond/core/settings.py
+++ b/sloepond/core/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Failure detection, leases and agreement on views.
 
     :ivar cell: name of the cell; only members of one cell agree on views.
@@ -32,7 +32,7 @@
     machine_list_interval_s: float = 10.0
 
 
-class ConfigurationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class ConfigurationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Reading and spreading the configuration.
 
     :ivar read_interval_s: time between reads by the cell's reader.
@@ -55,7 +55,7 @@
 """Policy by which packets carry a token and no flow is replicated."""
 
 
-class RoutingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class RoutingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Flow replicas and placement.
 
     :ivar partitions: number of partitions of the flow space in a cell.
@@ -79,7 +79,7 @@
     search_timeout_s: float = 0.1
 
 
-class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Requests: budgets, limits and caches.
 
     :ivar retry_ratio: retries earned by each first attempt.
@@ -97,7 +97,7 @@
     retry_after_ms: int = 500
 
 
-class HealthSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class HealthSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Probing, load estimates and outlier ejection.
 
     :ivar probe_interval_s: time between probes of one back end by one prober.
@@ -121,7 +121,7 @@
     samples_per_heartbeat: int = 4
 
 
-class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Planned stop.
 
     :ivar deadline_s: seconds after which the stop completes even if busy.
@@ -133,7 +133,7 @@
     idle_s: float = 3.0
 
 
-class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All settings of the core."""
 
     membership: MembershipSettings = MembershipSettings()
--- a/sloepond/demo/balancer_settings.py
+++ b/sloepond/demo/balancer_settings.py
@@ -90,10 +90,22 @@
 
 def _write(settings: BalancerSettings, directory: Path, stem: str) -> PlannedBalancer:
     file = directory / f"{stem}.toml"
-    file.write_text(_toml_table((), msgspec.to_builtins(settings)), encoding="utf-8")
+    file.write_text(_toml_table((), _without_defaults(settings)), encoding="utf-8")
     return PlannedBalancer(settings, file, f"http://{settings.api_address}")
 
 
+def _without_defaults(settings: msgspec.Struct) -> dict[str, object]:
+    """Return the settings that differ from their defaults, as plain values by name."""
+    values: dict[str, object] = {}
+    for field in msgspec.structs.fields(settings):
+        value = getattr(settings, field.name)
+        if value == field.default:
+            continue
+        is_table = isinstance(value, msgspec.Struct)
+        values[field.name] = _without_defaults(value) if is_table else msgspec.to_builtins(value)
+    return values
+
+
 def _toml_table(path: tuple[str, ...], values: dict[str, object]) -> str:
     """Return the values of a table, then its tables; JSON scalars and lists are TOML too."""
     lines = [f"[{'.'.join(path)}]"] if path else []
--- a/sloepond/runtime/settings.py
+++ b/sloepond/runtime/settings.py
@@ -26,7 +26,7 @@
     JSON = "json"
 
 
-class KeySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class KeySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A key shared by all balancers.
 
     :ivar id: 0 to 255, different for each key.
@@ -40,7 +40,7 @@
         return f"KeySettings(id={self.id})"
 
 
-class ApiSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class ApiSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The operators' API.
 
     :ivar tls_certificate: path of the certificate chain, empty for plain HTTP.
@@ -62,14 +62,14 @@
         return f"ApiSettings(tls_certificate={self.tls_certificate!r})"
 
 
-class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Log lines, written to standard error."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.TEXT
 
 
-class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The platform's read-only service.
 
     :ivar url: base URL, `http://` or `https://`; empty where there is none and
@@ -90,7 +90,7 @@
         return f"PlatformSettings(url={self.url!r})"
 
 
-class BalancerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class BalancerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Everything one balancer is told at its start.
 
     :ivar name: unique among live balancers.
