--- a/features/configuration/store.feature
+++ b/features/configuration/store.feature
@@ -88,19 +88,26 @@
     When the configuration store is asked for generation 2
     Then the configuration store has sent 1 parts
 
-  Scenario: Configuration of a cell comes from the next reader when the first cannot read
+  Scenario: Configuration comes from the others where a balancer cannot read, and each reads once a second
     Given 9 configuration stores with generation 1 in force
     When the first of the configuration stores can no longer read the service
     And the configuration service goes on to generation 2
     And the configuration stores run for 4 seconds
     Then all configuration stores have generation 2 in force
-    And the configuration service was read at most 16 times
+    And the configuration service was read at most 45 times
 
-  Scenario: Configuration reaches all cells within 2 seconds through one reader and little traffic
-    Given 6 cells of 8 configuration stores of which one can read the service and 5 percent of messages are lost
+  Scenario: Configuration reaches all balancers within 2 seconds and with little traffic
+    Given 48 configuration stores of which 48 can read the service and 5 percent of messages are lost
     When the configuration service goes on to a new generation each 4 seconds, 5 times
     Then all configuration stores had each generation in force within 2 seconds
-    And no configuration store sent more than 2000 bytes a second
+    And no configuration store sent more than 200 bytes a second
+
+  Scenario: Configuration reaches all balancers through one that can read the service
+    Given 48 configuration stores of which 1 can read the service and 5 percent of messages are lost
+    When the configuration service goes on to a new generation each 4 seconds, 5 times
+    And the configuration stores run for 8 seconds
+    Then all configuration stores had each generation or a later one in force within 8 seconds
+    And no configuration store sent more than 500 bytes a second
 
   Scenario: Configuration of many parts is rebuilt though the source stops and messages are lost
     Given 3 configuration stores with 1500 back ends and generation 2 in force
--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -4,12 +4,12 @@
 
 import random
 
-from configuration_resources import FixedView, backend, context_of, resources
+from configuration_resources import backend, context_of, resources
 
 from sloepond.core.commands import ReadConfiguration, RecordTransition, SendToPeer
 from sloepond.core.configuration.sliced_work import SLICE_UNITS
 from sloepond.core.configuration.store import ConfigurationStore
-from sloepond.core.messages import Member
+from sloepond.core.messages import ConfigurationOffered, ConfigurationRequested, Member
 from sloepond.core.settings import ConfigurationSettings
 from sloepond.resources.compiled import make_snapshot
 from sloepond.resources.model import Location
@@ -19,7 +19,6 @@
 LATENCY_S = 0.002
 READ_S = 0.005
 STEP_S = 0.02
-HEARTBEAT_S = 0.5
 DATAGRAM_BYTES = 60
 """Allowance for headers and authentication of one datagram."""
 
@@ -39,10 +38,9 @@
 class Process:
     """One store; `generations` holds what it had in force, with the time."""
 
-    def __init__(self, member, view, seed, slice_units=SLICE_UNITS):
+    def __init__(self, member, seed, slice_units=SLICE_UNITS):
         self.context = context_of(member, random.Random(seed))
-        self.view = view
-        self.store = ConfigurationStore(self.context, ConfigurationSettings(), view, slice_units)
+        self.store = ConfigurationStore(self.context, ConfigurationSettings(), slice_units)
         self.generations = []
         self.transitions = []
         self.asked = []
@@ -63,21 +61,18 @@
         self.reads = 0
         self.processes = {}
         self.flight = []
-        self.next_heartbeat = 0.0
 
-    def add_cell(self, names, cell):
-        members = [Member(name, 1, f"10.{cell}.0.{n + 1}:1", HALL) for n, name in enumerate(names)]
-        for member in members:
-            self.add(member, FixedView(members))
-        return members
+    def add_all(self, names):
+        """Start a store of each name; all are in the platform's list of machines."""
+        return [self.add(Member(name, 1, f"10.1.0.{n + 1}:1", HALL)) for n, name in enumerate(names)]
 
-    def add(self, member, view):
-        process = Process(member, view, f"{member.name}-{len(self.processes)}", self.slice_units)
+    def add(self, member):
+        process = Process(member, f"{member.name}-{len(self.processes)}", self.slice_units)
         process.context.now = self.now
         self.processes[member.address] = process
         everyone = tuple(item.context.identity for item in self.processes.values())
         for item in self.processes.values():
-            item.store.foreign_members_known(everyone)
+            item.store.machines_known(everyone)
         return process
 
     def settle(self, generation):
@@ -98,9 +93,6 @@
             self._deliver()
             for address in list(self.processes):
                 self._wake(address)
-            if self.now >= self.next_heartbeat:
-                self.next_heartbeat = self.now + HEARTBEAT_S
-                self._heartbeats()
 
     def _deliver(self):
         due = [item for item in self.flight if item[0] <= self.now]
@@ -113,13 +105,6 @@
         if self.processes[address].store.next_deadline() <= self.now:
             self.act(address, lambda store: store.on_time())
 
-    def _heartbeats(self):
-        for sender, process in self.processes.items():
-            in_force = process.store.in_force
-            for member in process.view.view.members:
-                if member.address != sender:
-                    self._send(member.address, heartbeat(sender, in_force))
-
     def _send(self, address, action, delay=LATENCY_S):
         if self.random.random() >= self.loss:
             self.flight.append((self.now + delay, address, action))
@@ -138,7 +123,8 @@
     def _carry_out(self, address, process, command):
         if isinstance(command, SendToPeer):
             process.bytes_sent += len(encode_message(command.message)) + DATAGRAM_BYTES
-            process.asked.append(command.address)
+            if isinstance(command.message, ConfigurationRequested):
+                process.asked.append(command.address)
             self._send(command.address, received(address, command.message))
         elif isinstance(command, ReadConfiguration):
             self.reads += 1
@@ -153,8 +139,8 @@
         return lambda store: store.snapshot_read(read)
 
 
-def heartbeat(sender, in_force):
-    return lambda store: store.generation_heard(sender, in_force.generation, in_force.digest[:8])
+def offered(sender, in_force):
+    return received(sender, ConfigurationOffered(in_force.generation, in_force.digest[:8]))
 
 
 def received(sender, message):
--- a/features/steps/configuration_resources.py
+++ b/features/steps/configuration_resources.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from sloepond.core.context import NodeContext
-from sloepond.core.messages import View
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
@@ -47,19 +46,5 @@
     return [*places(), *(service(name) for name in SERVICES), *backends]
 
 
-class FixedView:
-    """A view that steps set; a member is reachable unless named in `silent`."""
-
-    def __init__(self, members=(), silent=()):
-        self.view = View(1, tuple(members))
-        self.silent = set(silent)
-
-    def is_reachable(self, name):
-        return name not in self.silent
-
-    def member(self, name):
-        return next((member for member in self.view.members if member.name == name), None)
-
-
 def context_of(member, random_source):
     return NodeContext(member, random_source)
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -7,8 +7,8 @@
 
 import msgspec
 from behave import given, then, when
-from configuration_network import Network, content, heartbeat, received, snapshot
-from configuration_resources import HALLS, SERVICES, FixedView, backend, resources, service
+from configuration_network import HALL, Network, content, offered, received, snapshot
+from configuration_resources import HALLS, SERVICES, backend, resources, service
 from hypothesis import given as for_all
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -27,7 +27,7 @@
 from sloepond.core.configuration.judgement import judge_snapshot, judge_transfer
 from sloepond.core.configuration.sliced_work import SLICE_UNITS
 from sloepond.core.configuration.validation import findings_after
-from sloepond.core.messages import ConfigurationPart, ConfigurationRequested
+from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
 from sloepond.resources.compiled import (
     EMPTY_CONFIGURATION,
     CompiledConfiguration,
@@ -249,7 +249,7 @@
     @for_all(st.lists(actions, max_size=40), st.sampled_from((1, 20, SLICE_UNITS)))
     def check(chosen, slice_units):
         network = Network(slice_units=slice_units)
-        network.add_cell(("b0", "b1", "b2"), 1)
+        network.add_all(("b0", "b1", "b2"))
         for kind, number, argument in chosen:
             perform(network, kind, number, argument)
             assert_never_reverted(network)
@@ -291,7 +291,7 @@
 @given("a configuration store that starts alone")
 def step_alone(context):
     context.network = Network()
-    context.network.add_cell(("b0",), 1)
+    context.network.add_all(("b0",))
     only(context).may_read = False
 
 
@@ -319,7 +319,7 @@
 @given("a configuration store with generation {generation:d} in force that works in short slices")
 def step_short_slices(context, generation):
     context.network = Network(slice_units=1)
-    context.network.add_cell(("b0",), 1)
+    context.network.add_all(("b0",))
     context.network.settle(generation)
     context.network.generation = 0
 
@@ -336,7 +336,7 @@
     newer = snapshot(9)
     data = encode_delta(ConfigurationDelta(newer.resources, ()))
     part = ConfigurationPart(generation=9, digest=newer.digest, base_generation=0, part=0, parts=1, data=data)
-    act(context, heartbeat("10.1.0.9:1", CompiledConfiguration(newer)))
+    act(context, offered("10.1.0.9:1", CompiledConfiguration(newer)))
     act(context, lambda store: store.snapshot_read(snapshot(generation)))
     act(context, received("10.1.0.9:1", part))
 
@@ -375,14 +375,14 @@
 @given("{count:d} configuration stores with generation {generation:d} in force")
 def step_stores(context, count, generation):
     context.network = Network()
-    context.members = context.network.add_cell([f"b{number}" for number in range(count)], 1)
+    context.network.add_all([f"b{number}" for number in range(count)])
     context.network.settle(generation)
 
 
 @given("{count:d} configuration stores with {backends:d} back ends and generation {generation:d} in force")
 def step_large_stores(context, count, backends, generation):
     context.network = Network(count=backends)
-    context.members = context.network.add_cell([f"b{number}" for number in range(count)], 1)
+    context.network.add_all([f"b{number}" for number in range(count)])
     context.network.settle(generation)
 
 
@@ -392,14 +392,13 @@
 
 
 @given(
-    "{cells:d} cells of {count:d} configuration stores of which one can read the service "
+    "{count:d} configuration stores of which {readers:d} can read the service "
     "and {percent:d} percent of messages are lost"
 )
-def step_cells(context, cells, count, percent):
+def step_readers(context, count, readers, percent):
     context.network = Network()
-    for cell in range(cells):
-        context.network.add_cell([f"c{cell}-b{number}" for number in range(count)], cell + 1)
-    for process in list(context.network.processes.values())[1:]:
+    context.network.add_all([f"b{number}" for number in range(count)])
+    for process in list(context.network.processes.values())[readers:]:
         process.may_read = False
     context.network.loss = percent / 100
     context.network.settle(1)
@@ -434,7 +433,7 @@
 @when("the configuration store hears of generation {generation:d} from a silent balancer")
 def step_hear_silent(context, generation):
     for address in list(context.network.processes):
-        context.network.act(address, heartbeat("10.1.0.9:1", CompiledConfiguration(snapshot(generation))))
+        context.network.act(address, offered("10.1.0.9:1", CompiledConfiguration(snapshot(generation))))
 
 
 @when("the configuration store hears of generation {generation:d} for {seconds:d} seconds")
@@ -477,11 +476,7 @@
 
 @when("a configuration store starts anew")
 def step_starts(context):
-    member = msgspec.structs.replace(context.members[0], name="new", address="10.1.0.99:1")
-    view = FixedView((*context.members, member))
-    for process in context.network.processes.values():
-        process.view.view = view.view
-    context.new = context.network.add(member, view)
+    context.new = context.network.add(Member("new", 1, "10.1.0.99:1", HALL))
 
 
 @when("a configuration store starts anew that cannot read the service")
@@ -499,7 +494,7 @@
 @given("2 configuration stores with different contents of generation {generation:d} in force")
 def step_different(context, generation):
     context.network = Network()
-    context.network.add_cell(("b0", "b1"), 1)
+    context.network.add_all(("b0", "b1"))
     for process in context.network.processes.values():
         process.may_read = False
     context.network.run(2.5)
@@ -554,6 +549,14 @@
             assert taken[generation] - changed_at <= seconds, process.generations
 
 
+@then("all configuration stores had each generation or a later one in force within {seconds:d} seconds")
+def step_or_later_in_time(context, seconds):
+    for process in context.network.processes.values():
+        for generation, changed_at in context.read_at.items():
+            taken_at = next(at for taken, at in process.generations if taken >= generation)
+            assert taken_at - changed_at <= seconds, process.generations
+
+
 @then("no configuration store sent more than {limit:d} bytes a second")
 def step_bytes(context, limit):
     rates = [process.bytes_sent / context.elapsed for process in context.network.processes.values()]
--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -1,8 +1,11 @@
 """Tells other balancers which generation is in force here.
 
-Whoever brings a generation into a cell tells all its members; every member tells
-a few balancers of other cells.  Heartbeats tell the rest of the cell, and a slow
-exchange with balancers of other cells mends what was lost.
+Each balancer that puts a generation in force offers it to a few others of the platform's
+list of machines, chosen at random; a slow exchange with one of them at a time reaches those
+that heard of none.
+
+Owns the list of machines and the times of offers.  Relies on `ConfigurationStore` for the
+generation in force.
 """
 
 from __future__ import annotations
@@ -10,47 +13,42 @@
 from sloepond.core.configuration.sources import DIGEST_PREFIX
 from sloepond.core.configuration.token_bucket import TokenBucket
 from sloepond.core.context import NEVER, NodeContext
-from sloepond.core.membership_reader import MembershipReader
 from sloepond.core.messages import ConfigurationOffered, Member
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
 
-FOREIGN_OFFERS = 3
-"""Balancers of other cells told of each new generation."""
+OFFERS = 3
+"""Balancers told of each new generation, and asked until one is in force; not measured."""
 OFFER_INTERVAL_S = 1.0
-"""Least time between two rounds of offers."""
+"""Least time between two rounds of offers, seconds; not measured."""
 EXCHANGE_INTERVAL_S = 4.0
-"""Time between offers to a balancer of another cell while nothing changes."""
+"""Time between offers to one balancer while nothing changes, seconds; not measured."""
 ANSWERS_PER_S = 5.0
-"""Offers sent in answer to others' older ones."""
+"""Most offers a second in answer to others' older ones, so that many that start at once
+cannot make one balancer send without bound; not measured."""
 _JITTER = 0.25
+"""Share by which the time to the next exchange is lengthened at random, so that balancers
+do not send in step; not measured."""
 
 
 class ConfigurationAnnouncer:
     """Sends offers of the generation in force, at a bounded rate."""
 
-    def __init__(self, context: NodeContext, view: MembershipReader) -> None:
+    def __init__(self, context: NodeContext) -> None:
         self._context = context
-        self._view = view
         self._in_force = EMPTY_CONFIGURATION
         self._machines: tuple[Member, ...] = ()
-        self._cell_pending = False
         self._round_at = -NEVER
         self._round_due = NEVER
         self._exchange_due: float | None = None
         self._answers = TokenBucket(ANSWERS_PER_S, ANSWERS_PER_S)
 
     def machines_known(self, members: tuple[Member, ...]) -> None:
-        """Take the platform's list of machines, of all cells; a hint."""
+        """Take the platform's list of machines; a hint that may lag."""
         self._machines = members
 
-    def generation_taken(self, in_force: CompiledConfiguration, source_address: str | None) -> None:
-        """Offer a generation just put in force.
-
-        :param source_address: the balancer it came from, None for the platform.
-        """
+    def generation_taken(self, in_force: CompiledConfiguration) -> None:
+        """Offer a generation just put in force."""
         self._in_force = in_force
-        cell = {member.address for member in self._view.view.members}
-        self._cell_pending = self._cell_pending or source_address not in cell
         due = max(self._context.now, self._round_at + OFFER_INTERVAL_S)
         self._round_due = min(self._round_due, due)
         self._offer_if_due()
@@ -61,22 +59,12 @@
             return
         self._round_at = now
         self._round_due = NEVER
-        if self._cell_pending:
-            self._offer_to_cell()
-        self._offer_to_foreign(FOREIGN_OFFERS)
+        self._offer_to_some(OFFERS)
 
-    def _offer_to_cell(self) -> None:
-        self._cell_pending = False
+    def _offer_to_some(self, count: int) -> None:
         own_name = self._context.identity.name
-        for member in self._view.view.members:
-            if member.name != own_name and self._view.is_reachable(member.name):
-                self._offer(member.address)
-
-    def _offer_to_foreign(self, count: int) -> None:
-        known = {member.name for member in self._view.view.members}
-        known.add(self._context.identity.name)
-        foreign = [member for member in self._machines if member.name not in known]
-        for member in self._context.random.sample(foreign, min(count, len(foreign))):
+        others = [member for member in self._machines if member.name != own_name]
+        for member in self._context.random.sample(others, min(count, len(others))):
             self._offer(member.address)
 
     def _offer(self, address: str) -> None:
@@ -89,7 +77,7 @@
             self._offer(address)
 
     def next_deadline(self) -> float:
-        """Return when offers are to be sent next; at once at first."""
+        """Return when to send offers next; at once at first."""
         if self._exchange_due is None:
             return self._context.now
         return min(self._round_due, self._exchange_due)
@@ -102,4 +90,4 @@
             return
         interval_s = EXCHANGE_INTERVAL_S if self._in_force.generation else OFFER_INTERVAL_S
         self._exchange_due = now + interval_s * (1.0 + _JITTER * self._context.random.random())
-        self._offer_to_foreign(1 if self._in_force.generation else FOREIGN_OFFERS)
+        self._offer_to_some(1 if self._in_force.generation else OFFERS)
--- a/sloepond/core/configuration/sources.py
+++ b/sloepond/core/configuration/sources.py
@@ -9,7 +9,7 @@
 
 MAXIMUM_SOURCES = 32
 DIGEST_PREFIX = 8
-"""Hexadecimal digits of a digest that heartbeats and offers carry."""
+"""Hexadecimal digits of a digest that an offer carries."""
 
 
 class Source(msgspec.Struct, frozen=True):
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -22,7 +22,6 @@
 from sloepond.core.configuration.sources import DIGEST_PREFIX, Source
 from sloepond.core.configuration.startup import StartupHold
 from sloepond.core.context import NEVER, NodeContext
-from sloepond.core.membership_reader import MembershipReader
 from sloepond.core.messages import (
     ConfigurationOffered,
     ConfigurationPart,
@@ -70,7 +69,6 @@
         self,
         context: NodeContext,
         settings: ConfigurationSettings,
-        membership_view: MembershipReader,
         slice_units: int = SLICE_UNITS,
     ) -> None:
         self._context = context
@@ -81,9 +79,9 @@
         self._waiting: ConfigurationSnapshot | None = None
         self._rejections = Rejections(context)
         self._hold = StartupHold(context, settings.startup_wait_s)
-        self._schedule = ReadSchedule(context, settings, membership_view)
+        self._schedule = ReadSchedule(context, settings)
         self._sender = ConfigurationSender(context, settings, slice_units)
-        self._announcer = ConfigurationAnnouncer(context, membership_view)
+        self._announcer = ConfigurationAnnouncer(context)
         self._fetcher = ConfigurationFetcher(context, settings, lambda: self.in_force.generation)
 
     @property
@@ -91,8 +89,8 @@
         """Return whether a generation is in force."""
         return self.in_force.generation > 0
 
-    def foreign_members_known(self, members: tuple[Member, ...]) -> None:
-        """Take the platform's list of machines of all cells; a hint that may lag."""
+    def machines_known(self, members: tuple[Member, ...]) -> None:
+        """Take the platform's list of machines; a hint that may lag."""
         self._announcer.machines_known(members)
 
     def snapshot_read(self, snapshot: ConfigurationSnapshot) -> None:
@@ -200,11 +198,11 @@
             f"digest {configuration.digest[:DIGEST_PREFIX]}, from {source}",
         )
         self._sender.generation_taken(former.generation, configuration.generation, delta)
-        self._announcer.generation_taken(configuration, candidate.source_address)
+        self._announcer.generation_taken(configuration)
         self._fetcher.generation_changed()
 
     def generation_heard(self, address: str, generation: int, digest: str) -> None:
-        """Take what a peer said it has in force, in a heartbeat or an offer.
+        """Take what a peer said it has in force.
 
         :param address: peer address `ip:port`.
         :param digest: first 8 hexadecimal digits of the digest.
--- a/sloepond/core/token_node.py
+++ b/sloepond/core/token_node.py
@@ -48,7 +48,7 @@
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
-from sloepond.core.messages import ConfigurationOffered, Member, MemberState, View
+from sloepond.core.messages import ConfigurationOffered, Member, MemberState
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind
 from sloepond.core.settings import NodeSettings
 from sloepond.core.status import NO_EPOCH, NodeStatus
@@ -62,20 +62,6 @@
 """Time between reads of the machine list until a configuration is in force."""
 
 
-class NoView:
-    """What the configuration asks of membership: there is no cell that a balancer is alone in."""
-
-    view = View(NO_EPOCH, ())
-
-    def is_reachable(self, name: str) -> bool:
-        """Return whether a member is not suspected; there are none."""
-        return False
-
-    def member(self, name: str) -> Member | None:
-        """Return a member of the view; there are none."""
-        return None
-
-
 class TokenNode:
     """Runs a forwarding node on sloepond's own packets and configuration.
 
@@ -86,7 +72,7 @@
         self._context = NodeContext(identity, random_source)
         self._seeds = tuple(seed for seed in settings.membership.seeds if seed != identity.address)
         self._list_interval_s = settings.membership.machine_list_interval_s
-        self.configuration = ConfigurationStore(self._context, settings.configuration, NoView())
+        self.configuration = ConfigurationStore(self._context, settings.configuration)
         self._node = ForwardingNode(identity.location.hall, random_source)
         self._generation = 0
         self._listed: tuple[Member, ...] = ()
@@ -180,7 +166,7 @@
             self.configuration.read_failed(event.reason)
         elif isinstance(event, MachineListRead):
             self._listed = event.members
-            self.configuration.foreign_members_known(event.members)
+            self.configuration.machines_known(event.members)
         elif isinstance(event, PeerMessageReceived):
             self.counters.peer_messages += 1
             self.configuration.handle(event.sender_address, event.message)
