--- a/features/runtime/daemon.feature
+++ b/features/runtime/daemon.feature
@@ -17,11 +17,17 @@
     Then the runtime daemon counted 2 handler failures and logged 1
     And the runtime daemon still echoes
 
-  Scenario: Peers' messages are sealed, opened and counted by class
+  Scenario: Peers' messages are sealed, opened and counted
     Given a runtime daemon with an echo node
-    When a runtime peer sends a heartbeat, a recorded flow and a replay
+    When a runtime peer sends an offer, a request and a replay
     Then the runtime node got both messages once
-    And the runtime traffic counted control and data apart
+    And the runtime traffic counted both as control
+
+  Scenario: Messages of an earlier version are counted as malformed and dropped
+    Given a runtime daemon with an echo node
+    When a runtime peer of an earlier version sends a heartbeat, alone and beside an offer
+    Then the runtime node got the one message that is of this version
+    And the runtime daemon still echoes
 
   Scenario: Messages of one batch share datagrams
     When a runtime node sends 40 messages of 100 bytes to each of two peers
--- a/features/steps/runtime_peer.py
+++ b/features/steps/runtime_peer.py
@@ -6,7 +6,7 @@
 
 from runtime_daemon import SECRET
 
-from sloepond.core import messages, packets
+from sloepond.core import messages
 from sloepond.wire.authentication import Authenticator, Key, KeyRing
 from sloepond.wire.codec import encode_bundle, encode_message
 
@@ -29,13 +29,17 @@
         self.socket.close()
 
     def send(self, message, copies=1):
+        return self.send_encoded([encode_message(message)], copies)
+
+    def send_encoded(self, messages, copies=1):
+        """Send a datagram with encoded messages; return its size in bytes."""
         address = self.running.settings.peer_address
-        datagram = self.authenticator.seal(encode_bundle([encode_message(message)]), address)
+        datagram = self.authenticator.seal(encode_bundle(messages), address)
         host, port = address.split(":")
         for _ in range(copies):
             self.socket.sendto(datagram, (host, int(port)))
         return len(datagram)
 
 
-HEARTBEAT = messages.Heartbeat(1, -1, 0, messages.MemberState.ACTIVE, 0, "")
-RECORDED = messages.FlowClosed(packets.FlowKey("127.0.0.1:1", "127.0.0.1:2", 3))
+OFFER = messages.ConfigurationOffered(3, "0123abcd")
+REQUEST = messages.ConfigurationRequested(1, 3, 0)
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -63,31 +63,10 @@
 )
 wide_numbers = st.integers(-(2**63), 2**64 - 1)
 wide_packets = st.builds(packets.CallerPacket, kinds, flows, wide_numbers, wide_numbers)
-entries = st.builds(
-    messages.FlowEntry,
-    flow=flows,
-    epoch=attempts,
-    sequence=attempts,
-    highest_request=request_ids,
-    seen_requests=st.integers(0, 2**64 - 1),
-)
-samples = st.builds(messages.LoadSample, st.text(max_size=9), attempts, attempts, attempts, st.booleans())
 peer_messages = st.one_of(
-    st.builds(
-        messages.Heartbeat,
-        stamp_ms=st.integers(0, 2**50),
-        echo_ms=st.integers(-1, 2**50),
-        epoch=attempts,
-        state=st.sampled_from(messages.MemberState),
-        generation=attempts,
-        digest=st.text(max_size=8),
-        loads=st.lists(samples, max_size=3).map(tuple),
-    ),
-    st.builds(messages.FlowsTransferred, attempts, attempts, st.lists(entries, max_size=3).map(tuple)),
-    st.builds(messages.FlowLookedUp, attempts, attempts, st.none() | entries),
+    st.builds(messages.ConfigurationRequested, attempts, attempts, attempts),
     st.builds(messages.ConfigurationPart, attempts, st.text(), attempts, attempts, attempts, st.binary()),
-    st.builds(messages.CallerPacketForwarded, attempts, attempts, caller_packets),
-    st.builds(messages.FlowClosed, flows),
+    st.builds(messages.ConfigurationOffered, attempts, st.text(max_size=8)),
 )
 mutations = st.lists(st.tuples(st.integers(0, 80), st.integers(0, 255)), max_size=3)
 
--- a/features/wire/authentication.feature
+++ b/features/wire/authentication.feature
@@ -43,5 +43,5 @@
     When wire datagrams of more senders than remembered arrive
     Then the wire replay guard remembers no more than its limit
 
-  Scenario: The envelope of a heartbeat is small
+  Scenario: The envelope of a datagram is small
     Then a wire envelope adds 29 bytes and the sender's name
--- a/sloepond/api/metrics.py
+++ b/sloepond/api/metrics.py
@@ -11,11 +11,10 @@
 
 from sloepond import __version__
 from sloepond.api.state import ApiState
-from sloepond.core.status import NodeStatus
+from sloepond.core.status import BalancerState, NodeStatus
 from sloepond.runtime.traffic import TrafficClass
 
 PREFIX = "sloepond"
-STATES = ("joining", "active", "leaving")
 
 
 class NodeCollector(Collector):
@@ -66,12 +65,12 @@
 def _gauges(status: NodeStatus) -> Iterator[Metric]:
     suspected = sum(peer.suspected for peer in status.peers)
     gauges = (
-        ("flows", "Flow entries held, as primary or backup.", status.flows),
+        ("flows", "Flows whose packets this balancer has seen lately.", status.flows),
         ("requests_in_flight", "Requests handed to back ends and not yet answered.", status.in_flight),
-        ("has_lease", "Whether this balancer holds the lease.", int(status.has_lease)),
-        ("epoch", "Epoch of the view of the cell.", status.epoch),
-        ("members", "Members of the view of the cell.", len(status.members)),
-        ("peers_suspected", "Peers this balancer suspects.", suspected),
+        ("has_lease", "Always 0: balancers need no lease.", int(status.has_lease)),
+        ("epoch", "Always 0: balancers agree on no view.", status.epoch),
+        ("members", "Balancers in the list of machines of the platform.", len(status.members)),
+        ("peers_suspected", "Always 0: balancers do not watch each other.", suspected),
         ("generation", "Configuration generation in force.", status.generation),
     )
     for name, text, value in gauges:
@@ -80,14 +79,14 @@
 
 def _state_gauge(status: NodeStatus) -> Metric:
     gauge = GaugeMetricFamily(f"{PREFIX}_state", "1 for the present state.", labels=("state",))
-    for state in STATES:
-        gauge.add_metric((state,), int(state == status.state))
+    for state in BalancerState:
+        gauge.add_metric((state.value,), int(state == status.state))
     return gauge
 
 
 def _peer_gauge(status: NodeStatus) -> Metric:
     gauge = GaugeMetricFamily(
-        f"{PREFIX}_peer_generation", "Generation in force at a peer, as last heard.", labels=("peer",)
+        f"{PREFIX}_peer_generation", "Generation in force at a peer; without samples.", labels=("peer",)
     )
     for peer in status.peers:
         gauge.add_metric((peer.name,), peer.generation)
--- a/sloepond/api/readiness.py
+++ b/sloepond/api/readiness.py
@@ -4,10 +4,7 @@
 
 import msgspec
 
-from sloepond.core.status import NodeStatus
-
-ACTIVE = "active"
-LEAVING = "leaving"
+from sloepond.core.status import BalancerState, NodeStatus
 
 
 class Readiness(msgspec.Struct, frozen=True):
@@ -27,8 +24,8 @@
         reasons.append("not a member of a view")
     if status.generation == 0:
         reasons.append("no configuration is in force")
-    if status.state == LEAVING:
+    if status.state == BalancerState.LEAVING:
         reasons.append("leaving: a planned stop is under way")
-    elif status.state != ACTIVE:
+    elif status.state != BalancerState.ACTIVE:
         reasons.append(f"state is {status.state}")
     return Readiness(not reasons, tuple(reasons))
--- a/sloepond/cli/fleet.py
+++ b/sloepond/cli/fleet.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sloepond.api.status import BalancerStatus
-from sloepond.core.status import PeerReport
+from sloepond.core.status import BalancerState, PeerReport
 from sloepond.runtime.traffic import TrafficClass
 
 
@@ -34,8 +34,6 @@
 
 ITSELF = "itself"
 UNKNOWN_STATE = "unknown"
-STATES_WITHOUT_DUTY = frozenset({"leaving"})
-"""States in which a balancer need not take a new generation."""
 
 
 def combine(statuses: Sequence[BalancerStatus]) -> tuple[BalancerReport, ...]:
@@ -58,11 +56,14 @@
 
 
 def lagging(reports: Sequence[BalancerReport], generation: int) -> tuple[BalancerReport, ...]:
-    """Return the balancers on which `generation` or a later one is not in force yet."""
+    """Return the balancers on which `generation` or a later one is not in force yet.
+
+    One that is leaving need not take it any more.
+    """
     return tuple(
         report
         for report in reports
-        if report.state.lower() not in STATES_WITHOUT_DUTY and report.generation < generation
+        if report.state.lower() != BalancerState.LEAVING and report.generation < generation
     )
 
 
--- a/sloepond/core/commands.py
+++ b/sloepond/core/commands.py
@@ -43,12 +43,6 @@
 class TransitionKind(enum.StrEnum):
     """Changes of state worth a log line."""
 
-    STATE_CHANGED = "state-changed"
-    VIEW_CHANGED = "view-changed"
-    LEASE_GAINED = "lease-gained"
-    LEASE_LOST = "lease-lost"
-    MEMBER_SUSPECTED = "member-suspected"
-    MEMBER_RECOVERED = "member-recovered"
     CONFIGURATION_IN_FORCE = "configuration-in-force"
     CONFIGURATION_REJECTED = "configuration-rejected"
     CONFIGURATION_SERVICE_DOWN = "configuration-service-down"
--- a/sloepond/core/membership/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Members, views and leases of a cell."""
--- a/sloepond/core/packets.py
+++ b/sloepond/core/packets.py
@@ -13,10 +13,6 @@
 MAXIMUM_REQUEST_ID = 2**62
 """Largest request id on any packet, so that sums of two still fit into 64 bits."""
 
-OWN_KEEPALIVE_ID = MAXIMUM_REQUEST_ID
-"""Request id of a balancer's own keepalive; callers' keepalives have 0.  The back
-end's answer to it is not passed on to the caller."""
-
 
 class FlowKey(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """Identity of a flow: where it goes, who opened it, and which one it is.
--- a/sloepond/core/status.py
+++ b/sloepond/core/status.py
@@ -1,15 +1,32 @@
-"""What a node tells operators of itself and its peers."""
+"""What a node tells operators of itself.
+
+The names of the fields are those of the operators' API.
+"""
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
 NO_EPOCH = 0
-"""Epoch of a balancer that is in no view: its cell has not formed, or it forwards by token."""
+"""Epoch that a balancer gives: it is in no view."""
+
+
+class BalancerState(enum.StrEnum):
+    """Where a balancer stands in its life."""
+
+    JOINING = "joining"
+    """No configuration is in force yet."""
+    ACTIVE = "active"
+    LEAVING = "leaving"
+    """A planned stop is under way."""
 
 
 class PeerReport(msgspec.Struct, frozen=True):
-    """A peer as this node sees it.
+    """A peer as another balancer sees it.
+
+    Balancers of this version give none; those of earlier ones, that agreed on views, do.
 
     :ivar heard_s_ago: seconds since its last heartbeat.
     """
@@ -28,8 +45,13 @@
 class NodeStatus(msgspec.Struct, frozen=True):
     """State of one balancer.
 
-    :ivar flows: flows this balancer holds entries of, as primary or backup.
-    :ivar in_flight: requests handed to back ends by it and not yet answered.
+    :ivar state: a `BalancerState`.
+    :ivar epoch: always `NO_EPOCH`; kept for programs that read the API.
+    :ivar members: names in the platform's list of machines, and its own.
+    :ivar has_lease: always False; kept for programs that read the API.
+    :ivar flows: flows whose packets it has seen lately.
+    :ivar in_flight: requests handed to back ends and not answered, as far as it has seen.
+    :ivar peers: always empty; kept for programs that read the API.
     """
 
     name: str
--- a/sloepond/core/token_node.py
+++ b/sloepond/core/token_node.py
@@ -48,10 +48,10 @@
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
-from sloepond.core.messages import ConfigurationOffered, Member, MemberState
+from sloepond.core.messages import ConfigurationOffered, Member
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind
 from sloepond.core.settings import NodeSettings
-from sloepond.core.status import NO_EPOCH, NodeStatus
+from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
 from sloepond.resources.compiled import CompiledBackend, CompiledConfiguration, CompiledService
 from sloepond.resources.model import BackendState as DeclaredState
 
@@ -90,7 +90,7 @@
         return self._context.counters
 
     def status(self) -> NodeStatus:
-        """Return what operators are told of this balancer: it is in no view, and needs no lease."""
+        """Return what operators are told of this balancer."""
         identity = self._context.identity
         in_force = self.configuration.in_force
         names = {member.name for member in self._listed} | {identity.name}
@@ -109,11 +109,10 @@
             peers=(),
         )
 
-    def _state(self) -> str:
+    def _state(self) -> BalancerState:
         if self._stop_at < NEVER:
-            return MemberState.LEAVING.name.lower()
-        state = MemberState.ACTIVE if self.configuration.is_ready else MemberState.JOINING
-        return state.name.lower()
+            return BalancerState.LEAVING
+        return BalancerState.ACTIVE if self.configuration.is_ready else BalancerState.JOINING
 
     def start(self, now: float) -> list[Command]:
         """Begin to read the configuration and the list of machines."""
--- a/sloepond/demo/fleet_access.py
+++ b/sloepond/demo/fleet_access.py
@@ -11,8 +11,8 @@
 import trio
 
 from sloepond.cli.balancer_access import STATUS_PATH
-from sloepond.core.messages import Member, MemberState
-from sloepond.core.status import NO_EPOCH, NodeStatus
+from sloepond.core.messages import Member
+from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
 from sloepond.demo.balancer_settings import PlannedBalancer
 from sloepond.resources.model import ConfigurationSnapshot
 from sloepond.standins.backend import BACKENDS_PATH, EXECUTIONS_PATH, BackendList, ExecutionLog
@@ -125,7 +125,7 @@
     """
     if status is None or status.generation == 0:
         return False
-    is_active = status.state.lower() == MemberState.ACTIVE.name.lower()
+    is_active = status.state == BalancerState.ACTIVE
     if status.epoch == NO_EPOCH:
         return is_active
     return is_active and status.has_lease and len(status.members) == members
--- a/sloepond/runtime/activity.py
+++ b/sloepond/runtime/activity.py
@@ -1,6 +1,6 @@
 """Whether a balancer is busy with more than its routine.
 
-An idle balancer wakes for heartbeats and polls only.  These need no
+An idle balancer wakes for polls of the platform only.  These need no
 precise timers, so the daemon then lets timers coalesce; each wake of an idle
 process costs more than the work it does.
 """
@@ -11,10 +11,8 @@
     ConfigurationReadUnchanged,
     Event,
     MachineListRead,
-    PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.messages import Heartbeat
 
 ACTIVE_S = 2.0
 """Time after an event that is no routine during which timers are precise, in seconds."""
@@ -27,6 +25,4 @@
 
 def is_routine(event: Event) -> bool:
     """Return whether an idle balancer gets this event too."""
-    if isinstance(event, PeerMessageReceived):
-        return isinstance(event.message, Heartbeat)
     return type(event) in _ROUTINE_EVENTS
--- a/sloepond/runtime/command_writer.py
+++ b/sloepond/runtime/command_writer.py
@@ -22,8 +22,6 @@
 
 _WARNINGS = frozenset(
     {
-        TransitionKind.LEASE_LOST,
-        TransitionKind.MEMBER_SUSPECTED,
         TransitionKind.CONFIGURATION_REJECTED,
         TransitionKind.CONFIGURATION_SERVICE_DOWN,
         TransitionKind.STALL_DETECTED,
--- a/sloepond/runtime/peer_outbox.py
+++ b/sloepond/runtime/peer_outbox.py
@@ -4,7 +4,6 @@
 
 from sloepond.core.messages import PeerMessage
 from sloepond.runtime.addresses import parse_address
-from sloepond.runtime.balancer_node import BalancerNode
 from sloepond.runtime.datagram_socket import DatagramSocket
 from sloepond.runtime.traffic import TrafficMeter
 from sloepond.wire.authentication import Authenticator
@@ -17,12 +16,11 @@
 
 
 class _Bundle:
-    """Encoded messages for one peer; `first` is the first of them."""
+    """Encoded messages for one peer."""
 
-    __slots__ = ("encoded", "first", "size")
+    __slots__ = ("encoded", "size")
 
-    def __init__(self, first: PeerMessage) -> None:
-        self.first = first
+    def __init__(self) -> None:
         self.encoded: list[bytes] = []
         self.size = 0
 
@@ -36,15 +34,12 @@
 
     def __init__(
         self,
-        node: BalancerNode,
         source: DatagramSocket,
         authenticator: Authenticator,
         traffic: TrafficMeter,
     ) -> None:
-        self._node = node
         self._socket = source
         self._authenticator = authenticator
-        self._incarnation = node.identity.incarnation
         self._traffic = traffic
         self._bundles: dict[str, _Bundle] = {}
 
@@ -57,13 +52,12 @@
         size = len(encoded)
         bundle = self._bundles.get(address)
         if bundle is None:
-            bundle = self._bundles[address] = _Bundle(message)
+            bundle = self._bundles[address] = _Bundle()
         elif bundle.size + size > MAXIMUM_BUNDLE_BYTES or len(bundle.encoded) >= MAXIMUM_BUNDLE_MESSAGES:
             self._send(address, bundle)
-            bundle = self._bundles[address] = _Bundle(message)
+            bundle = self._bundles[address] = _Bundle()
         bundle.encoded.append(encoded)
         bundle.size += size
-        self._traffic.total_of(message).sent_bytes += size
 
     def flush(self) -> None:
         """Send all that waits."""
@@ -75,12 +69,7 @@
             self._send(address, bundle)
 
     def _send(self, address: str, bundle: _Bundle) -> None:
-        incarnation = self._node.identity.incarnation
-        if incarnation != self._incarnation:
-            self._authenticator.replace_incarnation(incarnation)
-            self._incarnation = incarnation
         datagram = self._authenticator.seal(encode_bundle(bundle.encoded), address)
-        total = self._traffic.total_of(bundle.first)
-        total.datagrams += 1
-        total.sent_bytes += len(datagram) - bundle.size
+        self._traffic.control.datagrams += 1
+        self._traffic.control.sent_bytes += len(datagram)
         self._socket.send(datagram, parse_address(address))
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -57,7 +57,7 @@
             read_key_ring(settings.keys), identity.name, identity.incarnation, identity.address
         )
         self.sockets = DaemonSockets(settings, self.node.counters)
-        self._outbox = PeerOutbox(self.node, self.sockets.peer, self.authenticator, self.traffic)
+        self._outbox = PeerOutbox(self.sockets.peer, self.authenticator, self.traffic)
         sender = PacketSender(self.sockets, self._outbox, settings.fabric_address)
         writer = CommandWriter(sender, reader, logger, complete_stop)
         self.dispatcher = Dispatcher(self.node, monotonic_seconds, writer.writers, logger)
--- a/sloepond/runtime/receiver.py
+++ b/sloepond/runtime/receiver.py
@@ -11,11 +11,10 @@
     Event,
     PeerMessageReceived,
 )
-from sloepond.core.messages import PeerMessage
 from sloepond.runtime.addresses import SocketAddress, format_address
 from sloepond.runtime.traffic import TrafficMeter
 from sloepond.wire.authentication import Authenticator
-from sloepond.wire.codec import decode_bundle, encode_message
+from sloepond.wire.codec import decode_bundle
 from sloepond.wire.edge import decode_backend_reply, decode_caller_packet
 from sloepond.wire.failures import (
     INCARNATION_OLD,
@@ -71,24 +70,11 @@
         if isinstance(messages, DecodeFailure):
             self._count_decode_failure(messages)
             return
-        self._count_traffic(messages, len(datagram))
+        self._traffic.control.datagrams += 1
+        self._traffic.control.received_bytes += len(datagram)
         for message in messages:
             self._dispatch(PeerMessageReceived(opened.sender, opened.incarnation, address, message))
 
-    def _count_traffic(self, messages: list[PeerMessage], size: int) -> None:
-        """Share the bytes of a datagram out to the classes of its messages."""
-        if not messages:
-            return
-        totals = [self._traffic.total_of(message) for message in messages]
-        first = totals[0]
-        first.datagrams += 1
-        if not all(total is first for total in totals):
-            for total, message in zip(totals, messages, strict=True):
-                message_size = len(encode_message(message))
-                total.received_bytes += message_size
-                size -= message_size
-        first.received_bytes += size
-
     def _count_decode_failure(self, failure: DecodeFailure) -> None:
         if failure is OVERSIZED:
             self._counters.input_oversized += 1
--- a/sloepond/runtime/traffic.py
+++ b/sloepond/runtime/traffic.py
@@ -1,6 +1,7 @@
-"""Bytes exchanged with peers, by class of message.
+"""Bytes exchanged with other balancers.
 
-The envelope of a datagram that carries several messages counts with the first.
+Owns the totals since the start and the samples that rates are made from.  Relies on the
+receiver and the outbox to add to `TrafficMeter.control`.
 """
 
 from __future__ import annotations
@@ -10,8 +11,6 @@
 
 import msgspec
 
-from sloepond.core.messages import DATA_MESSAGES, TRANSFER_MESSAGES, PeerMessage
-
 RATE_WINDOW_S = 10.0
 """Time over which rates are averaged, in seconds."""
 
@@ -20,7 +19,11 @@
 
 
 class TrafficClass(enum.Enum):
-    """Why a message is sent."""
+    """Why a message is sent.
+
+    Balancers exchange the configuration alone, which is control; `data` and `transfer` stay
+    0 and stay exported for dashboards and commands that name them.
+    """
 
     CONTROL = "control"
     DATA = "data"
@@ -30,7 +33,7 @@
 class TrafficTotal(msgspec.Struct):
     """Datagrams, and bytes of UDP payload with envelopes.
 
-    :ivar datagrams: datagrams sent and received whose first message is of the class.
+    :ivar datagrams: datagrams sent and received.
     """
 
     datagrams: int = 0
@@ -58,20 +61,13 @@
     """Totals and rates of traffic with peers.
 
     :ivar totals: totals since the start, by class.
+    :ivar control: the totals that all messages count in.
     """
 
     def __init__(self) -> None:
         self.totals = {item: TrafficTotal() for item in TrafficClass}
         self._samples: collections.deque[_Sample] = collections.deque()
-        self._control = self.totals[TrafficClass.CONTROL]
-        self._total_by_type: dict[type, TrafficTotal] = {
-            **dict.fromkeys(DATA_MESSAGES, self.totals[TrafficClass.DATA]),
-            **dict.fromkeys(TRANSFER_MESSAGES, self.totals[TrafficClass.TRANSFER]),
-        }
-
-    def total_of(self, message: PeerMessage) -> TrafficTotal:
-        """Return the totals of the class of a message; what is not listed is control."""
-        return self._total_by_type.get(type(message), self._control)
+        self.control = self.totals[TrafficClass.CONTROL]
 
     def sample(self, now: float) -> None:
         """Note the totals at `now`, once in each sample interval; called often."""
--- a/sloepond/wire/authentication.py
+++ b/sloepond/wire/authentication.py
@@ -113,14 +113,6 @@
         self._signing_hash = self._hashes[signing_key.key_id]
         self._prefix = bytes((signing_key.key_id,)) + self._sender
 
-    def replace_incarnation(self, incarnation: int) -> None:
-        """Seal from now on as another, later incarnation of this balancer.
-
-        :raises ValueError: where the incarnation does not fit into the envelope.
-        """
-        self._sender = _encode_sender(self._name, incarnation)
-        self._prefix = self._prefix[:1] + self._sender
-
     def seal(self, body: bytes, recipient_address: str) -> bytes:
         """Return the datagram that carries `body` to a peer.
 
--- a/sloepond/wire/describe.py
+++ b/sloepond/wire/describe.py
@@ -120,7 +120,7 @@
 def _describe_struct(struct: type[msgspec.Struct]) -> str:
     configuration = struct.__struct_config__
     summary, meanings = _read_documentation(struct)
-    lines = [f"### {struct.__name__}\n", summary, "", *_encoding_of(struct, configuration)]
+    lines = [f"### {struct.__name__}\n", summary, "", *_encoding_of(configuration)]
     lines += ["| field | type | default | meaning |", "| --- | --- | --- | --- |"]
     for field in msgspec.structs.fields(struct):
         type_text = _type_text(msgspec.inspect.type_info(field.type))
@@ -129,24 +129,14 @@
     return "\n".join(lines) + "\n"
 
 
-def _encoding_of(
-    struct: type[msgspec.Struct], configuration: msgspec.structs.StructConfig
-) -> tuple[str, ...]:
+def _encoding_of(configuration: msgspec.structs.StructConfig) -> tuple[str, ...]:
     if configuration.tag is not None:
-        return (f"Tag {configuration.tag}, {_traffic_of(struct)}.", "")
+        return (f"Tag {configuration.tag}.", "")
     if not configuration.array_like:
         return ("A map with the names of its fields.", "")
     return ()
 
 
-def _traffic_of(message: type[msgspec.Struct]) -> str:
-    if message in messages.DATA_MESSAGES:
-        return "sent because of a data packet"
-    if message in messages.TRANSFER_MESSAGES:
-        return "transfer traffic"
-    return "control traffic"
-
-
 def _default_text(value: object) -> str:
     if isinstance(value, enum.Enum):
         return value.name
