--- a/features/token/promises.feature
+++ b/features/node/promises.feature
@@ -4,13 +4,13 @@
   lost, back ends that drain, go and come back: of each run of such a fleet the promises hold.
 
   Scenario: Packets of a flow reach its own back end, and openings a permitted one of their service
-    Then token node property: whatever happens, each packet reaches its own back end or none
+    Then node property: whatever happens, each packet reaches its own back end or none
 
   Scenario: What may not be repeated runs at most once
-    Then token node property: whatever happens, no request of a flow runs twice
+    Then node property: whatever happens, no request of a flow runs twice
 
   Scenario: Told not run means not run
-    Then token node property: whatever happens, a request that is refused has not run and never will
+    Then node property: whatever happens, a request that is refused has not run and never will
 
   Scenario: A cancellation proves nothing about the request
-    Then token node property: whatever happens, a request that is cancelled and refused has not run and never will
+    Then node property: whatever happens, a request that is cancelled and refused has not run and never will
--- a/features/steps/token_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the promises of token nodes between callers and back ends that keep streams."""
+"""Steps on the promises of nodes between callers and back ends that keep streams."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     TimerFired,
 )
 from sloepond.core.messages import Member
+from sloepond.core.node import Node
 from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReplyKind, FlowKey
 from sloepond.core.settings import ConfigurationSettings, NodeSettings
-from sloepond.core.token_node import TokenNode
 from sloepond.resources.compiled import make_snapshot
 from sloepond.resources.model import BackendState, Location, PlaceSelector
 from sloepond.standins.backend_model import BackendModel, BackendSettings
@@ -74,7 +74,7 @@
 
     def fresh_node(self, number):
         member = Member(f"balancer-{number}", 1, f"10.9.0.{number + 1}:7300", LOCATION)
-        node = TokenNode(member, NodeSettings(configuration=AT_ONCE), random.Random(self.draw.random()))
+        node = Node(member, NodeSettings(configuration=AT_ONCE), random.Random(self.draw.random()))
         node.start(self.now)
         return node
 
@@ -264,24 +264,21 @@
     assert min(totals.values()) >= LEAST_EVENTS, totals
 
 
-@then("token node property: whatever happens, each packet reaches its own back end or none")
+@then("node property: whatever happens, each packet reaches its own back end or none")
 def reaches_own(context):
     check_fleets(lambda fleet: None)
 
 
-@then("token node property: whatever happens, no request of a flow runs twice")
+@then("node property: whatever happens, no request of a flow runs twice")
 def runs_once(context):
     check_fleets(Fleet.check_once)
 
 
-@then("token node property: whatever happens, a request that is refused has not run and never will")
+@then("node property: whatever happens, a request that is refused has not run and never will")
 def refusals_hold(context):
     check_fleets(Fleet.check_refusals)
 
 
-@then(
-    "token node property: whatever happens, a request that is cancelled and refused has not run"
-    " and never will"
-)
+@then("node property: whatever happens, a request that is cancelled and refused has not run and never will")
 def cancellations_hold(context):
     check_fleets(Fleet.check_refusals, may_cancel=True)
--- a/features/steps/token_node_steps.py
+++ b/features/steps/node_steps.py
@@ -18,9 +18,9 @@
     TimerFired,
 )
 from sloepond.core.messages import ConfigurationOffered, Member
+from sloepond.core.node import Node
 from sloepond.core.packets import CallerPacket, CallerPacketKind, FlowKey
 from sloepond.core.settings import MembershipSettings, NodeSettings
-from sloepond.core.token_node import TokenNode
 from sloepond.resources.model import Location
 
 LOCATION = Location("accra", "zone-a", "hall-0")
@@ -28,8 +28,8 @@
 SERVICE = "10.255.0.1:7000"
 
 
-class TokenNetwork:
-    """Token nodes, their clock and what they send to each other."""
+class NodeNetwork:
+    """Nodes, their clock and what they send to each other."""
 
     def __init__(self):
         self.now = 50.0
@@ -42,7 +42,7 @@
         """Start a node."""
         address = f"10.9.0.{len(self.nodes) + 1}:7300"
         settings = NodeSettings(membership=MembershipSettings(seeds=seeds))
-        node = TokenNode(Member(name, 1, address, LOCATION), settings, random.Random(len(self.nodes)))
+        node = Node(Member(name, 1, address, LOCATION), settings, random.Random(len(self.nodes)))
         self.nodes[address] = node
         self.carry_out(address, node.start(self.now))
         return node
@@ -88,9 +88,9 @@
     return CallerPacket(kind, FlowKey(SERVICE, f"10.1.1.1:{port}", 7), request_id, token=token)
 
 
-@given("a running token node with generation {generation:d} in force")
+@given("a running node with generation {generation:d} in force")
 def running(context, generation):
-    context.network = TokenNetwork()
+    context.network = NodeNetwork()
     context.node = context.network.start("balancer-1")
     context.network.handle(context.node, ConfigurationRead(snapshot(generation)))
     context.network.run(3.0)
@@ -98,13 +98,13 @@
     assert context.node.status().state == "active"
 
 
-@when("a fresh token node that names it as a seed reads generation {generation:d} from the platform")
+@when("a fresh node that names it as a seed reads generation {generation:d} from the platform")
 def reads_old(context, generation):
     context.fresh = context.network.start("balancer-2", (context.node.identity.address,))
     context.network.handle(context.fresh, ConfigurationRead(snapshot(generation)))
 
 
-@then("the fresh token node has generation {generation:d} within {seconds:d} seconds and never generation 1")
+@then("the fresh node has generation {generation:d} within {seconds:d} seconds and never generation 1")
 def takes_newest(context, generation, seconds):
     ends_at = context.network.now + seconds
     while context.fresh.configuration.in_force.generation != generation:
@@ -113,9 +113,9 @@
         context.network.run(0.05)
 
 
-@given("a fresh token node whose seed and platform are silent")
+@given("a fresh node whose seed and platform are silent")
 def silent(context):
-    context.network = TokenNetwork()
+    context.network = NodeNetwork()
     context.node = context.network.start("balancer-1", ("10.9.0.9:7300",))
 
 
@@ -138,7 +138,7 @@
     return sent
 
 
-@when("another token node with generation {generation:d} gets the packets of a flow opened at the first")
+@when("another node with generation {generation:d} gets the packets of a flow opened at the first")
 def another(context, generation):
     network = context.network
     other = network.start("balancer-2")
@@ -159,7 +159,7 @@
     assert context.sent[0].packet.token == context.sent[1].packet.token != 0
 
 
-@when("that token node sleeps for {seconds:d} seconds")
+@when("that node sleeps for {seconds:d} seconds")
 def sleeps(context, seconds):
     context.network.now += seconds
 
@@ -175,7 +175,7 @@
     assert node.counters.stalls_detected == 1
 
 
-@when("that token node is asked to stop")
+@when("that node is asked to stop")
 def stops(context):
     context.network.handle(context.node, StopRequested())
 
--- a/sloepond/api/server.py
+++ b/sloepond/api/server.py
@@ -12,7 +12,6 @@
 from sloepond.api.application import create_app
 from sloepond.api.feed import ConfigurationFeed
 from sloepond.api.state import ApiNode, ApiState
-from sloepond.core.token_node import TokenNode
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.daemon import BalancerDaemon
 from sloepond.runtime.settings import ApiSettings
@@ -28,14 +27,13 @@
 class DaemonState:
     """A daemon as the API sees it."""
 
-    def __init__(self, daemon: BalancerDaemon, node: ApiNode) -> None:
+    def __init__(self, daemon: BalancerDaemon) -> None:
         self._daemon = daemon
-        self._node = node
 
     @property
     def node(self) -> ApiNode:
         """The core."""
-        return self._node
+        return self._daemon.node
 
     @property
     def traffic_totals(self) -> Mapping[TrafficClass, TrafficTotal]:
@@ -54,14 +52,10 @@
 async def serve_daemon(daemon: BalancerDaemon) -> None:
     """Serve the API of a daemon until cancelled; runs beside the daemon's tasks.
 
-    :raises TypeError: where the daemon runs a node that is not of the core.
     :raises OSError: where the address cannot be bound.
     """
-    node = daemon.node
-    if not isinstance(node, TokenNode):
-        raise TypeError(f"the API cannot show a node of type {type(node).__name__}")
     settings = daemon.settings
-    await serve_api(DaemonState(daemon, node), settings.api, settings.api_address, daemon.logger)
+    await serve_api(DaemonState(daemon), settings.api, settings.api_address, daemon.logger)
 
 
 async def serve_api(
--- a/sloepond/cli/balancer.py
+++ b/sloepond/cli/balancer.py
@@ -11,7 +11,7 @@
 import trio
 
 from sloepond.core.messages import Member
-from sloepond.core.token_node import TokenNode
+from sloepond.core.node import Node
 from sloepond.runtime.daemon import BalancerDaemon, Extension
 from sloepond.runtime.exit_code import ExitCode
 from sloepond.runtime.garbage_collection import tune_garbage_collection
@@ -105,8 +105,8 @@
         return trio.run(functools.partial(daemon.run, *extensions))
 
 
-def _make_node(identity: Member, settings: BalancerSettings, random_source: random.Random) -> TokenNode:
-    return TokenNode(identity, settings.node, random_source)
+def _make_node(identity: Member, settings: BalancerSettings, random_source: random.Random) -> Node:
+    return Node(identity, settings.node, random_source)
 
 
 def _api_extension(settings: BalancerSettings) -> list[Extension]:
--- a/sloepond/core/token_node.py
+++ b/sloepond/core/node.py
@@ -62,7 +62,7 @@
 """Time between reads of the machine list until a configuration is in force."""
 
 
-class TokenNode:
+class Node:
     """Runs a forwarding node on sloepond's own packets and configuration.
 
     :ivar configuration: generation in force, and how it spreads.
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -9,8 +9,8 @@
 from sloepond.core.commands import Command
 from sloepond.core.events import Event
 from sloepond.core.messages import Member
+from sloepond.core.node import Node
 from sloepond.core.settings import NodeSettings
-from sloepond.core.token_node import TokenNode
 from sloepond.resources.compiled import CompiledConfiguration
 
 
@@ -46,5 +46,5 @@
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
 
-BALANCER_NODE: NodeFactory = TokenNode
+BALANCER_NODE: NodeFactory = Node
 """The node that balancers run."""
--- a/sloepond/runtime/daemon.py
+++ b/sloepond/runtime/daemon.py
@@ -9,7 +9,7 @@
 import trio
 
 from sloepond.core.events import StopRequested
-from sloepond.runtime.balancer_node import BalancerNode
+from sloepond.core.node import Node
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.datagram_socket import DatagramSocket
 from sloepond.runtime.deadline_task import DeadlineTask
@@ -53,7 +53,7 @@
         self._is_stopping = trio.Event()
 
     @property
-    def node(self) -> BalancerNode:
+    def node(self) -> Node:
         """The core."""
         return self.pipeline.node
 
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -8,8 +8,8 @@
 
 from sloepond.core.commands import Command, SendToBackend
 from sloepond.core.events import Event
+from sloepond.core.node import Node
 from sloepond.runtime.activity import ACTIVE_S, RENEWAL_S, is_routine
-from sloepond.runtime.balancer_node import BalancerNode
 from sloepond.runtime.command_writer import CommandWriters
 
 MAXIMUM_HANDLING_S = 0.5
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        node: BalancerNode,
+        node: Node,
         clock: Callable[[], float],
         writers: CommandWriters,
         logger: logbook.Logger,
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -10,7 +10,7 @@
 
 from sloepond.core.events import Event, TimerFired
 from sloepond.core.messages import Member
-from sloepond.runtime.balancer_node import BalancerNode
+from sloepond.core.node import Node
 from sloepond.runtime.clock import monotonic_seconds, new_incarnation
 from sloepond.runtime.command_writer import CommandWriter
 from sloepond.runtime.datagram_socket import DatagramSocket
@@ -26,7 +26,7 @@
 
 RANDOM_SEED_BITS = 128
 
-NodeFactory = Callable[[Member, BalancerSettings, random.Random], BalancerNode]
+NodeFactory = Callable[[Member, BalancerSettings, random.Random], Node]
 
 
 class Pipeline:
