--- /dev/null
+++ b/sloepond/core/forwarding_input.py
@@ -0,0 +1,94 @@
+"""What forwarding is given of sloepond's own packets and configuration.
+
+`core.forwarding` knows packets by the numbers in their heads, and back ends by records as a
+store lists them.  This module makes both from `core.packets` and from a compiled
+configuration.  It holds no state and relies on neither a clock nor the node.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import ipaddress
+
+from sloepond.core.forwarding.packets import PORT_BITS, Segment
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import Route, Share
+from sloepond.core.packets import CallerPacket, CallerPacketKind
+from sloepond.resources.compiled import CompiledBackend, CompiledService
+from sloepond.resources.model import BackendState as DeclaredState
+
+NUMBER_BYTES = 8
+"""Bytes of a back end's number, from which its routing token is made."""
+
+
+def segment_of(packet: CallerPacket) -> Segment:
+    """Return the head of a caller's packet.
+
+    An opening packet carries how many copies went before, other packets of a flow a number
+    that grows with its requests.
+    """
+    destination = _endpoint_key(packet.flow.service_address)
+    source = _endpoint_key(packet.flow.caller_address)
+    is_opening = packet.kind is CallerPacketKind.OPEN
+    return Segment(
+        source=source >> PORT_BITS,
+        source_port=source & (1 << PORT_BITS) - 1,
+        destination=destination >> PORT_BITS,
+        destination_port=destination & (1 << PORT_BITS) - 1,
+        sequence=0,
+        acknowledgement=packet.attempt if is_opening else packet.request_id + 1,
+        length=int(packet.kind is CallerPacketKind.REQUEST),
+        is_opening=is_opening,
+        is_closing=packet.kind is CallerPacketKind.CLOSE,
+        is_reset=False,
+        token=packet.token,
+    )
+
+
+def route_of(service: CompiledService) -> Route:
+    """Return the route of a service's address: to this service alone."""
+    return Route(service.name, _endpoint_key(service.address), (Share(service.name, 1.0),))
+
+
+def place_rules_of(services: tuple[CompiledService, ...]) -> PlaceRules:
+    """Return the halls in which each service's back ends may be given new flows."""
+    return PlaceRules(
+        {
+            service.name: frozenset(
+                backend.location.hall for backend in service.backends if backend.permitted
+            )
+            for service in services
+        }
+    )
+
+
+def record_of(backend: CompiledBackend, revision: int) -> BackendRecord:
+    """Return a declared back end as forwarding has it listed.
+
+    :param revision: generation that declares it.
+    """
+    host, _, port = backend.address.rpartition(":")
+    takes_flows = backend.state is DeclaredState.ACTIVE and backend.weight > 0
+    return BackendRecord(
+        name=backend.name,
+        number=_number_of(backend),
+        service=backend.service,
+        host=host,
+        port=int(port),
+        hall=backend.location.hall,
+        slots=backend.slots,
+        state=BackendState.READY if takes_flows else BackendState.LEAVING,
+        revision=revision,
+    )
+
+
+def _number_of(backend: CompiledBackend) -> int:
+    """Return the same number on every balancer, another one where the address is another."""
+    text = f"{backend.name} {backend.address}".encode()
+    return int.from_bytes(hashlib.blake2b(text, digest_size=NUMBER_BYTES).digest(), "big")
+
+
+def _endpoint_key(address: str) -> int:
+    host, _, port = address.rpartition(":")
+    return int(ipaddress.IPv4Address(host)) << PORT_BITS | int(port)
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -8,8 +8,6 @@
 
 from __future__ import annotations
 
-import hashlib
-import ipaddress
 import random
 
 import msgspec
@@ -44,18 +42,14 @@
 from sloepond.core.forwarding.events import BackendsRead, OpeningHeld, RoutesRead
 from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.packets import PORT_BITS, Segment
-from sloepond.core.forwarding.placement.places import PlaceRules
-from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
-from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
+from sloepond.core.forwarding.state.routes import RouteConfiguration
+from sloepond.core.forwarding_input import place_rules_of, record_of, route_of, segment_of
 from sloepond.core.messages import ConfigurationOffered, Member
-from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind
+from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
 from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
-from sloepond.resources.compiled import CompiledBackend, CompiledConfiguration, CompiledService
-from sloepond.resources.model import BackendState as DeclaredState
+from sloepond.resources.compiled import CompiledConfiguration
 
-IDENTITY_BYTES = 8
 STOP_AFTER_S = 3.0
 """How long a planned stop goes on, so that the fabric learns of it."""
 LIST_AGAIN_S = 1.0
@@ -200,10 +194,10 @@
 
     def _forward_by(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
         services = tuple(compiled.services_by_address.values())
-        self._node.backends.places_changed(_place_rules(services))
+        self._node.backends.places_changed(place_rules_of(services))
         revision = compiled.generation
-        routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(_route, services))))
-        records = tuple(_record(backend, revision) for service in services for backend in service.backends)
+        routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(route_of, services))))
+        records = tuple(record_of(backend, revision) for service in services for backend in service.backends)
         commands = self._node.handle(routes, now) + self._node.handle(BackendsRead(revision, records), now)
         return self._carry_out(commands, now)
 
@@ -217,7 +211,7 @@
         return results
 
     def _caller_packet(self, packet: CallerPacket, now: float) -> list[Command]:
-        segment = _segment(packet)
+        segment = segment_of(packet)
         decision = self._node.decide(segment, now)
         if decision.hold:
             held = OpeningHeld(segment, msgspec.msgpack.encode(packet))
@@ -234,64 +228,3 @@
     if reply.kind is BackendReplyKind.REFUSED and reply.request_id == 0:
         return []
     return [SendToCaller(caller_reply(reply))]
-
-
-def _segment(packet: CallerPacket) -> Segment:
-    destination = _endpoint_key(packet.flow.service_address)
-    source = _endpoint_key(packet.flow.caller_address)
-    is_opening = packet.kind is CallerPacketKind.OPEN
-    return Segment(
-        source=source >> PORT_BITS,
-        source_port=source & (1 << PORT_BITS) - 1,
-        destination=destination >> PORT_BITS,
-        destination_port=destination & (1 << PORT_BITS) - 1,
-        sequence=0,
-        acknowledgement=packet.attempt if is_opening else packet.request_id + 1,
-        length=int(packet.kind is CallerPacketKind.REQUEST),
-        is_opening=is_opening,
-        is_closing=packet.kind is CallerPacketKind.CLOSE,
-        is_reset=False,
-        token=packet.token,
-    )
-
-
-def _endpoint_key(address: str) -> int:
-    host, _, port = address.rpartition(":")
-    return int(ipaddress.IPv4Address(host)) << PORT_BITS | int(port)
-
-
-def _route(service: CompiledService) -> Route:
-    return Route(service.name, _endpoint_key(service.address), (Share(service.name, 1.0),))
-
-
-def _place_rules(services: tuple[CompiledService, ...]) -> PlaceRules:
-    """Return the halls each service's back ends may be used in, by the one place filter."""
-    return PlaceRules(
-        {
-            service.name: frozenset(
-                backend.location.hall for backend in service.backends if backend.permitted
-            )
-            for service in services
-        }
-    )
-
-
-def _record(backend: CompiledBackend, revision: int) -> BackendRecord:
-    host, _, port = backend.address.rpartition(":")
-    takes_flows = backend.state is DeclaredState.ACTIVE and backend.weight > 0
-    return BackendRecord(
-        name=backend.name,
-        number=_identity(backend),
-        service=backend.service,
-        host=host,
-        port=int(port),
-        hall=backend.location.hall,
-        slots=backend.slots,
-        state=BackendState.READY if takes_flows else BackendState.LEAVING,
-        revision=revision,
-    )
-
-
-def _identity(backend: CompiledBackend) -> int:
-    text = f"{backend.name} {backend.address}".encode()
-    return int.from_bytes(hashlib.blake2b(text, digest_size=IDENTITY_BYTES).digest(), "big")
