--- a/sloepond/runtime/receiver.py
+++ b/sloepond/runtime/receiver.py
@@ -11,12 +11,10 @@
     Event,
     PeerMessageReceived,
 )
-from sloepond.core.messages import PeerMessage
 from sloepond.runtime.addresses import SocketAddress, format_address
-from sloepond.runtime.probing import ProbeDriver, is_probe_reply
 from sloepond.runtime.traffic import TrafficMeter
 from sloepond.wire.authentication import Authenticator
-from sloepond.wire.codec import decode_bundle, encode_message
+from sloepond.wire.codec import decode_bundle
 from sloepond.wire.edge import decode_backend_reply, decode_caller_packet
 from sloepond.wire.failures import (
     INCARNATION_OLD,
@@ -38,13 +36,11 @@
         counters: Counters,
         authenticator: Authenticator,
         traffic: TrafficMeter,
-        probes: ProbeDriver,
         dispatch: Callable[[Event], None],
     ) -> None:
         self._counters = counters
         self._authenticator = authenticator
         self._traffic = traffic
-        self._probes = probes
         self._dispatch = dispatch
 
     def take_from_edge(self, datagram: bytes, source: SocketAddress) -> None:
@@ -60,14 +56,8 @@
         reply = decode_backend_reply(datagram)
         if isinstance(reply, DecodeFailure):
             self._count_decode_failure(reply)
-            return
-        address = format_address(source)
-        if not is_probe_reply(reply):
-            self._dispatch(BackendReplyReceived(address, reply))
-            return
-        probed = self._probes.take_reply(address, reply)
-        if probed is not None:
-            self._dispatch(probed)
+        else:
+            self._dispatch(BackendReplyReceived(format_address(source), reply))
 
     def take_from_peer(self, datagram: bytes, source: SocketAddress) -> None:
         """Take another balancer's datagram."""
@@ -80,24 +70,11 @@
         if isinstance(messages, DecodeFailure):
             self._count_decode_failure(messages)
             return
-        self._count_traffic(messages, len(datagram))
+        self._traffic.control.datagrams += 1
+        self._traffic.control.received_bytes += len(datagram)
         for message in messages:
             self._dispatch(PeerMessageReceived(opened.sender, opened.incarnation, address, message))
 
-    def _count_traffic(self, messages: list[PeerMessage], size: int) -> None:
-        """Share the bytes of a datagram out to the classes of its messages."""
-        if not messages:
-            return
-        totals = [self._traffic.total_of(message) for message in messages]
-        first = totals[0]
-        first.datagrams += 1
-        if not all(total is first for total in totals):
-            for total, message in zip(totals, messages, strict=True):
-                message_size = len(encode_message(message))
-                total.received_bytes += message_size
-                size -= message_size
-        first.received_bytes += size
-
     def _count_decode_failure(self, failure: DecodeFailure) -> None:
         if failure is OVERSIZED:
             self._counters.input_oversized += 1
