--- a/features/lab/runs.feature
+++ b/features/lab/runs.feature
@@ -42,6 +42,10 @@
     When the command lab run steady --share 0.0005 --policy no-such-policy is given
     Then the lab command exits with 2 and names no-such-policy
 
+  Scenario: A balancer that wakes drops packets to back ends that it decided on before it slept
+    When the command lab run pause-and-wake --json --share 0.1 --seed 1 is given
+    Then the lab command exits with 0 and prints one object with every measure
+
   Scenario Outline: Forwarding by token keeps its promises in the lab
     When the command lab run <scenario> --json --share 0.02 --policy token is given
     Then the lab command exits with 0 and prints one object with every measure
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -31,6 +31,7 @@
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.hosting import LabNode, NodeFactory
 from sloepond.lab.network import Endpoint
+from sloepond.runtime.dispatcher import MAXIMUM_HANDLING_S
 from sloepond.wire.codec import encode_message
 
 SOCKET_BUFFER = 512
@@ -76,6 +77,26 @@
         """A process has ended after a planned stop."""
 
 
+class _HeldCommands(msgspec.Struct, frozen=True):
+    """What a process decided on and was stopped before carrying out.
+
+    :ivar decided_at: simulated seconds.
+    """
+
+    decided_at: float
+    commands: list[Command]
+
+    def still_valid(self, now: float) -> list[Command]:
+        """Return what a process that wakes at `now` carries out.
+
+        As the daemon's dispatcher does, it drops packets to back ends that were decided too long
+        ago: a back end may have been declared draining meanwhile.
+        """
+        if now - self.decided_at <= MAXIMUM_HANDLING_S:
+            return self.commands
+        return [command for command in self.commands if not isinstance(command, SendToBackend)]
+
+
 class BalancerHost:
     """A machine with at most one running process.
 
@@ -109,7 +130,7 @@
         self._process = 0
         self._buffers: tuple[collections.deque[Event], ...] = ()
         self._waiting = 0
-        self._held: list[Command] | None = None
+        self._held: _HeldCommands | None = None
         self._hold_next = False
         self.node: LabNode | None = None
         self.paused = False
@@ -163,7 +184,7 @@
         self._held = None
         self._hold_next = False
         if held is not None:
-            self._perform(held)
+            self._perform(held.still_valid(self._queue.now))
         timer_after = self._random.randint(0, self._waiting)
         events = self._take_buffered()
         for number, event in enumerate(events):
@@ -244,7 +265,7 @@
     def _buffer(self, socket: int, event: Event) -> None:
         if self._hold_next and self.node is not None:
             self._hold_next = False
-            self._held = self.node.handle(event, self._local_now())
+            self._held = _HeldCommands(self._queue.now, self.node.handle(event, self._local_now()))
             return
         if len(self._buffers[socket]) < SOCKET_BUFFER:
             self._buffers[socket].append(event)
