--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -1,26 +1,38 @@
-"""One back end machine: runs the stand-in model, its crashes and misleading reports."""
+"""One back end machine: runs the stand-in model, its crashes and misleading reports.
+
+Owns the running back end and its timer.  Relies on the stand-in model for what a back end does and
+on an observer, the world, for everything outside.
+"""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
+from typing import Protocol
 
 import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import BackendPacket, CallerPacketKind
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Endpoint
 from sloepond.standins.backend_model import BackendModel, BackendOutput, BackendSettings, Execution
 from sloepond.standins.content import BackendIdentity
 
-OutputSink = Callable[["BackendHost", list[BackendOutput]], None]
-"""Takes the replies of a back end."""
-PacketSink = Callable[["BackendHost", BackendPacket, bool], None]
-"""Is told of each packet, and whether it asks for a flow the back end does not hold."""
-AcceptedSink = Callable[["BackendHost", BackendPacket], None]
-"""Is told of each OPEN that made the back end hold a flow."""
-ExecutionSink = Callable[[Execution], None]
-"""Is told of each request a back end starts."""
+
+class BackendObserver(Protocol):
+    """What a back end tells the world."""
+
+    def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
+        """Replies are to be sent."""
+
+    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
+        """A packet has come; `opens` where it asks for a flow the back end does not hold."""
+
+    def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
+        """An OPEN has made the back end hold a flow."""
+
+    def backend_executed(self, execution: Execution) -> None:
+        """The back end has started a request."""
 
 
 class BackendHost:
@@ -39,6 +51,7 @@
         settings: BackendSettings,
         queue: EventQueue,
         random_source: random.Random,
+        observer: BackendObserver,
     ) -> None:
         self.endpoint = endpoint
         self.name = identity.name
@@ -47,20 +60,17 @@
         self.settings = settings
         self._queue = queue
         self._random = random_source
-        self._timer_at = float("inf")
+        self._timer_at = NEVER
         self.killed_at: list[float] = []
-        self.isolated_at = -float("inf")
+        self.isolated_at = -NEVER
         self.model: BackendModel | None = None
-        self.on_output: OutputSink = _ignore_output
-        self.on_execution: ExecutionSink = _ignore_execution
-        self.on_packet: PacketSink = _ignore_packet
-        self.on_accepted: AcceptedSink = _ignore_accepted
+        self._observer = observer
         self.start()
 
     def start(self) -> None:
         """Start a back end that holds no flows."""
         self.model = BackendModel(self.identity, self.settings, self._random)
-        self._timer_at = float("inf")
+        self._timer_at = NEVER
 
     def kill(self) -> None:
         """End the back end at once."""
@@ -82,43 +92,27 @@
         source, packet = argument
         now = self._queue.now
         opens = packet.kind is CallerPacketKind.OPEN and not model.holds(packet.flow)
-        self.on_packet(self, packet, opens)
+        self._observer.backend_received(self, packet, opens)
         outputs = model.handle(packet, source, now)
         if opens and model.holds(packet.flow):
-            self.on_accepted(self, packet)
+            self._observer.backend_accepted(self, packet)
         self._act(model, outputs)
 
     def _on_timer(self, model: BackendModel) -> None:
         if model is not self.model or self._timer_at > self._queue.now:
             return
-        self._timer_at = float("inf")
+        self._timer_at = NEVER
         self._act(model, model.on_time(self._queue.now))
 
     def _act(self, model: BackendModel, outputs: list[BackendOutput]) -> None:
         executions = model.executions
         if executions:
             for execution in executions:
-                self.on_execution(execution)
+                self._observer.backend_executed(execution)
             executions.clear()
         if outputs:
-            self.on_output(self, outputs)
+            self._observer.backend_output(self, outputs)
         deadline = model.next_deadline()
         if deadline < self._timer_at:
             self._timer_at = deadline
             self._queue.schedule(deadline, self._on_timer, model)
-
-
-def _ignore_output(host: BackendHost, outputs: list[BackendOutput]) -> None:
-    """Take replies where nobody is connected."""
-
-
-def _ignore_packet(host: BackendHost, packet: BackendPacket, opens: bool) -> None:
-    """Take a packet where nobody is connected."""
-
-
-def _ignore_accepted(host: BackendHost, packet: BackendPacket) -> None:
-    """Take an accepted flow where nobody is connected."""
-
-
-def _ignore_execution(execution: Execution) -> None:
-    """Take an execution where nobody is connected."""
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -1,16 +1,23 @@
-"""The callers: flows that arrive, run the stand-in caller model and end."""
+"""The callers: flows that arrive, run the stand-in caller model and end.
+
+Owns all flows of a run and their timers.  Relies on the stand-in caller for what a caller does, and
+on the checkers to judge what it was told.
+"""
 
 from __future__ import annotations
 
 import collections
 import random
-from typing import Protocol
+from collections.abc import Sequence
+
+import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReply, FlowKey
-from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.checkers.flows import FlowChecker, ServiceTimes
 from sloepond.lab.checkers.requests import RequestChecker
 from sloepond.lab.engine import EventQueue
+from sloepond.lab.fabric import Fabric
 from sloepond.lab.reach import Reach
 from sloepond.lab.scenario import CallerModel, LoadModel
 from sloepond.standins.caller_model import CallerFlow
@@ -19,64 +26,68 @@
 from sloepond.standins.content import FEED_PAYLOAD, download_payload
 
 LATE_REPLIES_S = 13.0
-"""Seconds after the end of a flow during which replies to it are still checked."""
+"""Seconds after the end of a flow during which replies to it are still checked: more than the
+patience of a caller, 12 s."""
 REQUEST_PAYLOAD = b"request"
 SERVABLE_KEPT = 12
-"""Latest packets of a caller that are remembered as such that could be served."""
+"""Latest packets of a caller whose time is kept, for the flow checker: more than a caller sends in its
+patience while it gets no reply."""
 CANCEL_AFTER_S = 0.02
+"""Time from a request to its cancellation, seconds: inside the service time of `long-requests`, 0.3 s."""
 PART_BYTES = 1_000
 """Payload bytes of one part of an answer."""
 
 
-class Sprayer(Protocol):
-    """Takes callers' packets."""
-
-    def spray(self, packet: CallerPacket) -> BalancerHost | None:
-        """Send a packet to any balancer and return which one."""
-
-
-class ServiceEntrance:
+class ServiceEntrance(msgspec.Struct, frozen=True, eq=False):
     """Where callers of one service send to.
 
     :ivar fabrics: one is drawn for each flow.
     """
 
-    def __init__(self, name: str, address: str, fabrics: list[Sprayer]) -> None:
-        self.name = name
-        self.address = address
-        self.fabrics = fabrics
+    name: str
+    address: str
+    fabrics: Sequence[Fabric]
 
 
-class _Caller:
-    """One flow and the fabric it uses."""
+class _Caller(msgspec.Struct, eq=False):
+    """One flow, the fabric it uses and what the checkers were told of it.
 
-    __slots__ = (
-        "ended_requests",
-        "established",
-        "fabric",
-        "finished",
-        "flow",
-        "heard_at",
-        "servable_at",
-        "timer_at",
+    :ivar timer_at: simulated time of the timer that is set.
+    :ivar established: whether the flow checker knows that the flow is open.
+    :ivar heard_at: when the caller last got a reply.
+    :ivar servable_at: when packets were sent that could be served, the latest ones.
+    :ivar ended_requests: requests whose outcome the request checker knows.
+    """
+
+    flow: CallerFlow
+    fabric: Fabric
+    timer_at: float = NEVER
+    established: bool = False
+    finished: bool = False
+    heard_at: float = -NEVER
+    servable_at: collections.deque[float] = msgspec.field(
+        default_factory=lambda: collections.deque(maxlen=SERVABLE_KEPT)
     )
+    ended_requests: int = 0
+
+
+class _Arrivals(msgspec.Struct, eq=False):
+    """Flows of one load that are still to come.
 
-    def __init__(self, flow: CallerFlow, fabric: Sprayer) -> None:
-        self.flow = flow
-        self.fabric = fabric
-        self.timer_at = float("inf")
-        self.established = False
-        self.finished = False
-        self.heard_at = -float("inf")
-        self.servable_at: collections.deque[float] = collections.deque(maxlen=SERVABLE_KEPT)
-        self.ended_requests = 0
+    :ivar times: simulated times, sorted, the next one last.
+    """
+
+    load: LoadModel
+    entrance: ServiceEntrance
+    times: list[float]
+    random: random.Random
+    settings: CallerSettings
 
 
 class CallerPopulation:
     """All callers of one run.
 
     :ivar started: flows started so far.
-    :ivar ended: flows that came to an end.
     """
 
     def __init__(
@@ -94,8 +105,6 @@
         self._request_checker = request_checker
         self._callers: dict[FlowKey, _Caller] = {}
         self.started = 0
-        self.ended = 0
-        self.unopened = 0
 
     # Arrivals
 
@@ -161,7 +170,7 @@
         now = self._queue.now
         if caller.finished or caller.timer_at > now:
             return
-        caller.timer_at = float("inf")
+        caller.timer_at = NEVER
         self._after(caller, caller.flow.on_time(now))
 
     def _after(self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None) -> None:
@@ -192,8 +201,6 @@
             self._flow_checker.flow_established(record.flow, record.backend, self._queue.now)
         elif record.state is FlowState.REFUSED:
             self._request_checker.flow_refused(record, self._queue.now)
-        elif record.state is FlowState.UNOPENED:
-            self.unopened += 1
 
     def _requests_ended(self, caller: _Caller, reply: CallerReply | None) -> None:
         record = caller.flow.record
@@ -212,7 +219,6 @@
         if caller.finished:
             return
         caller.finished = True
-        self.ended += 1
         service_times = ServiceTimes(caller.heard_at, tuple(caller.servable_at))
         self._flow_checker.flow_ended(caller.flow.record, service_times, self._queue.now)
         self._queue.schedule(self._queue.now + LATE_REPLIES_S, self._forget, caller)
@@ -221,26 +227,6 @@
         self._callers.pop(caller.flow.record.flow, None)
 
 
-class _Arrivals:
-    """Flows of one load still to come; `times` is sorted, the next one last."""
-
-    __slots__ = ("entrance", "load", "random", "settings", "times")
-
-    def __init__(
-        self,
-        load: LoadModel,
-        entrance: ServiceEntrance,
-        times: list[float],
-        random_source: random.Random,
-        settings: CallerSettings,
-    ) -> None:
-        self.load = load
-        self.entrance = entrance
-        self.times = times
-        self.random = random_source
-        self.settings = settings
-
-
 def plan_flow(load: LoadModel, model: CallerModel, draw: random.Random) -> FlowPlan:
     """Return what one flow of `load` does."""
     if load.kind == "download":
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -9,34 +9,21 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
 import msgspec
 
 from sloepond.core.packets import FlowKey
 from sloepond.lab.checkers.violations import Promise, ViolationLog
+from sloepond.lab.reach import Reach
 from sloepond.standins.backend_model import Execution
 from sloepond.standins.caller_record import BreakReason, FlowRecord
 
 REPLY_MARGIN_S = 3.0
 """Seconds a packet that can be served is given until its flow counts as left without
 reply; the next item of a feed comes only after the feed's interval."""
-
-
 SERVED_S = 1.0
 """Seconds around the last reply in which packets belong to what was served before the silence."""
 
 
-class BackendTruth(Protocol):
-    """What the checker may ask of the simulated world."""
-
-    def was_killed_since(self, backend: str, time: float) -> bool:
-        """Return whether the back end was killed after `time` or is not running."""
-
-    def was_isolated_since(self, backend: str, time: float) -> bool:
-        """Return whether no balancer could reach the back end at a moment after `time`."""
-
-
 class ServiceTimes(msgspec.Struct, frozen=True):
     """When a flow last could be and was served; simulated seconds.
 
@@ -59,29 +46,21 @@
 class FlowChecker:
     """Judges flows; see the module.
 
-    :ivar established: flows established so far.
     :ivar cut: flows that ended because faults left no way to their back end.
-    :ivar open: flows established and not ended.
     :ivar open_peak: largest number of open flows.
     """
 
-    def __init__(self, log: ViolationLog, truth: BackendTruth, patience_s: float) -> None:
+    def __init__(self, log: ViolationLog, reach: Reach, patience_s: float) -> None:
         self._log = log
-        self._truth = truth
+        self._reach = reach
         self._patience_s = patience_s
         self._open: dict[FlowKey, _OpenFlow] = {}
         self._accepted: dict[FlowKey, dict[str, float]] = {}
         self._broken: set[FlowKey] = set()
         self.broken_at: list[float] = []
-        self.established = 0
         self.cut = 0
         self.open_peak = 0
 
-    @property
-    def open(self) -> int:
-        """Flows established and not ended."""
-        return len(self._open)
-
     def flow_accepted(self, flow: FlowKey, backend: str, now: float) -> None:
         """A back end has accepted a flow it did not hold."""
         if flow not in self._open:
@@ -95,7 +74,6 @@
         :param backend: which back end it names; empty where the packet names none,
             then the one that accepted the flow last counts.
         """
-        self.established += 1
         accepted = self._accepted.pop(flow, {})
         holder = backend or next(reversed(accepted), "")
         self._open[flow] = _OpenFlow(holder, accepted.get(holder, now))
@@ -106,7 +84,7 @@
         flow = self._open.get(execution.flow)
         if flow is None or flow.backend == execution.backend:
             return
-        if not self._truth.was_killed_since(flow.backend, flow.since):
+        if not self._reach.was_killed_since(flow.backend, flow.since):
             detail = f"moved from {flow.backend} to {execution.backend}"
             self._report(execution.flow, now, detail)
 
@@ -117,7 +95,7 @@
         if flow is None or record.break_reason is BreakReason.NONE:
             return
         backend = flow.backend
-        if self._truth.was_killed_since(backend, flow.since):
+        if self._reach.was_killed_since(backend, flow.since):
             return
         if record.break_reason is BreakReason.SILENT and now - times.heard_at < self._patience_s:
             return
@@ -133,7 +111,7 @@
         since = now - self._patience_s
         until = now - REPLY_MARGIN_S
         could_be_served = any(since + SERVED_S <= time <= until for time in times.servable_at)
-        return not could_be_served or self._truth.was_isolated_since(backend, since)
+        return not could_be_served or self._reach.was_isolated_since(backend, since)
 
     def _report(self, flow: FlowKey, now: float, detail: str) -> None:
         if flow in self._broken:
--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -19,11 +19,7 @@
 
 
 class RequestChecker:
-    """Compares what back ends ran with what callers were told.
-
-    :ivar refused: requests and flows refused.
-    :ivar unknown: requests whose outcome stayed unknown to the caller.
-    """
+    """Compares what back ends ran with what callers were told."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
--- a/sloepond/lab/checkers/violations.py
+++ b/sloepond/lab/checkers/violations.py
@@ -24,10 +24,16 @@
     CONFIGURATION_IN_FORCE = "configuration_in_force_seconds_max"
 
 
+TIMED = frozenset({Promise.NEW_WORK_AFTER_DRAIN, Promise.CONFIGURATION_IN_FORCE})
+"""Promises measured by a longest time, in seconds."""
+COUNTED = tuple(promise for promise in Promise if promise not in TIMED)
+"""Promises measured by the number of violations."""
+
+
 class Violation(msgspec.Struct, frozen=True):
     """One event that broke a promise.
 
-    :ivar at: seconds after the cells have formed.
+    :ivar at: seconds after the balancers have started.
     """
 
     promise: Promise
--- a/sloepond/lab/checks.py
+++ b/sloepond/lab/checks.py
@@ -6,7 +6,7 @@
 
 from sloepond.lab import faults
 from sloepond.lab.declaration import hall_places
-from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding
+from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding, balancer_name
 
 _KINDS = ("session", "feed", "download")
 
@@ -62,12 +62,10 @@
 
 def _machine_names(scenario: Scenario) -> set[str]:
     """Return the names of all machines there may be, those that join later included."""
-    first = len(_hall_names(scenario)) * scenario.topology.balancers_per_hall
-    later = sum(_machines_added(fault, first) for fault in scenario.faults)
-    names = {f"balancer-{number + 1}" for number in range(first + later)}
-    for service in scenario.services:
-        names |= {f"{service.name}-{number + 1}" for number in range(service.backends)}
-    return names
+    first = scenario.topology.balancer_names()
+    later = sum(_machines_added(fault, len(first)) for fault in scenario.faults)
+    names = {*first, *(balancer_name(len(first) + number + 1) for number in range(later))}
+    return names.union(*(service.backend_names() for service in scenario.services))
 
 
 def _machines_added(fault: faults.Fault, first: int) -> int:
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -49,13 +49,18 @@
 
 
 class Declaration:
-    """The operator's resources; `next_snapshot` makes each change a generation."""
+    """The operator's resources; `next_snapshot` makes each change a generation.
+
+    :ivar places: all halls.
+    :ivar backends: by name.
+    :ivar services: by name.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         self.places = hall_places(scenario.topology)
         self._resources: list[Resource] = _place_resources(self.places)
-        self._backends: dict[str, Backend] = {}
-        self._services: dict[str, Service] = {}
+        self.backends: dict[str, Backend] = {}
+        self.services: dict[str, Service] = {}
         self._valid_backends: dict[str, Backend] = {}
         self._valid_services: dict[str, Service] = {}
         self._generation = 0
@@ -69,37 +74,27 @@
         As a careful operator does, resources that are not valid are not declared:
         the former ones stay.
         """
-        resources = [*self._resources, *self._services.values(), *self._backends.values()]
+        resources = [*self._resources, *self.services.values(), *self.backends.values()]
         if validate_snapshot(resources):
-            self._backends, self._services = dict(self._valid_backends), dict(self._valid_services)
+            self.backends, self.services = dict(self._valid_backends), dict(self._valid_services)
             return None
-        self._valid_backends, self._valid_services = dict(self._backends), dict(self._services)
+        self._valid_backends, self._valid_services = dict(self.backends), dict(self.services)
         self._generation += 1
         return make_snapshot(self._generation, resources)
 
     def set_state(self, backends: tuple[str, ...], state: BackendState) -> None:
         """Declare back ends as active or draining."""
         for name in backends:
-            backend = self._backends[name]
+            backend = self.backends[name]
             spec = msgspec.structs.replace(backend.spec, state=state)
-            self._backends[name] = msgspec.structs.replace(backend, spec=spec)
+            self.backends[name] = msgspec.structs.replace(backend, spec=spec)
 
     def change_label(self) -> None:
         """Change something that has no effect on traffic."""
         self._changes += 1
-        name, service = next(iter(self._services.items()))
+        name, service = next(iter(self.services.items()))
         metadata = Metadata(name=name, labels={"change": str(self._changes)})
-        self._services[name] = msgspec.structs.replace(service, metadata=metadata)
-
-    @property
-    def backends(self) -> dict[str, Backend]:
-        """All back ends by name."""
-        return self._backends
-
-    @property
-    def services(self) -> dict[str, Service]:
-        """All services by name."""
-        return self._services
+        self.services[name] = msgspec.structs.replace(service, metadata=metadata)
 
     def _add_service(self, number: int, model: ServiceModel, topology: Topology) -> None:
         region = f"region-{number % topology.regions + 1}"
@@ -111,14 +106,13 @@
             permitted=(PlaceSelector(region=region),),
             denied=denied,
         )
-        self._services[model.name] = Service(API_VERSION, Metadata(name=model.name), spec)
+        self.services[model.name] = Service(API_VERSION, Metadata(name=model.name), spec)
         halls = [place.location.hall for place in self.places if place.location.region == region]
-        for index in range(model.backends):
-            self._add_backend(model, index, halls[index % len(halls)])
+        for index, name in enumerate(model.backend_names()):
+            self._add_backend(model, name, halls[index % len(halls)])
 
-    def _add_backend(self, model: ServiceModel, index: int, hall: str) -> None:
-        name = f"{model.name}-{index + 1}"
-        number = len(self._backends)
+    def _add_backend(self, model: ServiceModel, name: str, hall: str) -> None:
+        number = len(self.backends)
         spec = BackendSpec(
             service=model.name,
             address=f"10.91.{number // 250}.{number % 250 + 1}:{BACKEND_PORT}",
@@ -126,7 +120,7 @@
             slots=model.slots,
             connections=model.connections,
         )
-        self._backends[name] = Backend(API_VERSION, Metadata(name=name), spec)
+        self.backends[name] = Backend(API_VERSION, Metadata(name=name), spec)
 
 
 def _place_resources(places: list[HallPlace]) -> list[Resource]:
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -94,7 +94,7 @@
             return False
         self._world.note(f"{host.name} is asked to stop")
         host.leaving = True
-        self._world.fleet.fabrics[host.cell].changed(host, present=False)
+        self._world.fleet.fabric_of(host).changed(host, present=False)
         host.receive_result((host.process, StopRequested()))
         return True
 
@@ -105,7 +105,7 @@
             self._later(STOP_POLL_S, partial(self._when_ended, host, process, action))
 
     def _replace(self, host: BalancerHost) -> None:
-        new = self._world.fleet.add(hall_of(host), host.cell)
+        new = self._world.fleet.add(hall_of(host))
         self._world.note(f"{new.name} starts in place of {host.name}")
 
     def _rolling_replace(self, fault: faults.RollingReplace) -> None:
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -11,7 +11,7 @@
 
 
 class Fabric:
-    """Balancers of one cell as the fabric knows them."""
+    """The balancers of one zone as the fabric knows them."""
 
     def __init__(
         self,
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -1,6 +1,6 @@
 """Faults and operator actions of a scenario's timeline, as typed records.
 
-Times are seconds after the cells have formed.  Balancers are named
+Times are seconds after the balancers have started.  Balancers are named
 `balancer-1`, ..., halls `hall-1`, ..., back ends `<service>-1`, ...; a hall in
 place of a balancer means all balancers of that hall.
 """
@@ -13,7 +13,7 @@
 class FaultBase(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
     """What all entries of a timeline have.
 
-    :ivar at: seconds after the cells have formed.
+    :ivar at: seconds after the balancers have started.
     """
 
     at: float
--- a/sloepond/lab/fleet.py
+++ b/sloepond/lab/fleet.py
@@ -1,4 +1,8 @@
-"""The balancers: their cells, machines, settings and the fabric before them."""
+"""The balancers: their machines, settings and the fabrics before them.
+
+Owns which balancers there are.  Relies on the network, the event
+queue and the platform's list of machines, which it keeps up to date.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,6 @@
 
 import msgspec
 
-from sloepond.core.messages import Member
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.balancer import BalancerHost, Surroundings
 from sloepond.lab.declaration import HallPlace
@@ -15,13 +18,15 @@
 from sloepond.lab.hosting import NodeFactory
 from sloepond.lab.network import Endpoint, Network
 from sloepond.lab.platform import Platform
-from sloepond.lab.scenario import Scenario
+from sloepond.lab.scenario import Scenario, balancer_name
 
 PEER_PORT = 7_000
+ADDRESSES_PER_NETWORK = 250
+"""Host numbers used in the last byte of an address, from 1."""
 INCARNATION_BASE = 1_760_000_000_000
 """Milliseconds of wall time at simulated time 0."""
 SEEDS = 6
-"""Peer addresses given to a balancer that starts."""
+"""Peer addresses given to a balancer that starts; not measured."""
 
 
 class FleetMedium(msgspec.Struct, frozen=True, eq=False):
@@ -39,9 +44,7 @@
 
     :ivar balancers: machine name -> machine, those that have ended included.
     :ivar by_address: peer address -> machine.
-    :ivar fabrics: cell name -> the fabric before it.
-    :ivar cell_zones: cell name -> number of its zone from 0.
-    :ivar counters: sums of the counters of the processes that have ended.
+    :ivar fabrics: number of a zone from 0 -> the fabric before its balancers.
     """
 
     def __init__(
@@ -59,43 +62,40 @@
         self._base_settings = settings
         self._places = places
         self._surroundings = surroundings
-        self._bootstrap: dict[str, tuple[str, ...]] = {}
+        self._zones = {place.location.zone: place.zone for place in places}
         self.balancers: dict[str, BalancerHost] = {}
         self.by_address: dict[str, BalancerHost] = {}
-        self.fabrics: dict[str, Fabric] = {}
-        self.cell_zones: dict[str, int] = {}
-        self.counters: dict[str, int] = {}
-        self._build_balancers()
+        self.fabrics = {zone: self._make_fabric(zone) for zone in self._zones.values()}
+        for place in places:
+            for _ in range(scenario.topology.balancers_per_hall):
+                self._add_machine(place)
+        self._first = frozenset(self.balancers)
 
     def running(self) -> Iterator[BalancerHost]:
         """Yield the machines whose process runs or is paused."""
         return (host for host in self.balancers.values() if host.node is not None)
 
-    def _build_balancers(self) -> None:
-        topology = self._scenario.topology
-        members: dict[str, list[BalancerHost]] = {}
-        for place in self._places:
-            for number in range(topology.balancers_per_hall):
-                cell = f"cell-{place.zone * topology.cells + number % topology.cells + 1}"
-                members.setdefault(cell, []).append(self._add_machine(place, cell))
-                self.cell_zones[cell] = place.zone
-        for cell, hosts in members.items():
-            self._bootstrap[cell] = tuple(host.name for host in hosts)
-            self.fabrics[cell] = Fabric(
-                self._medium.queue,
-                self._medium.network,
-                self._medium.callers,
-                self._scenario.platform.fabric_lag_s,
-                self._medium.streams.stream(f"fabric/{cell}"),
-            )
-
-    def _add_machine(self, place: HallPlace, cell: str) -> BalancerHost:
+    def fabric_of(self, host: BalancerHost) -> Fabric:
+        """Return the fabric that sends packets to `host`."""
+        assert host.endpoint.location is not None
+        return self.fabrics[self._zones[host.endpoint.location.zone]]
+
+    def _make_fabric(self, zone: int) -> Fabric:
+        """Return a fabric; the name of its random stream is part of what a seed stands for."""
+        return Fabric(
+            self._medium.queue,
+            self._medium.network,
+            self._medium.callers,
+            self._scenario.platform.fabric_lag_s,
+            self._medium.streams.stream(f"fabric/cell-{zone + 1}"),
+        )
+
+    def _add_machine(self, place: HallPlace) -> BalancerHost:
         number = len(self.balancers) + 1
-        name = f"balancer-{number}"
+        name = balancer_name(number)
         host = BalancerHost(
             endpoint=self._medium.network.endpoint(name, place.location),
-            address=f"10.{number // 62_500}.{number // 250 % 250}.{number % 250 + 1}:{PEER_PORT}",
-            cell=cell,
+            address=_peer_address(number),
             queue=self._medium.queue,
             surroundings=self._surroundings,
             random_source=self._medium.streams.stream(f"balancer/{name}"),
@@ -110,18 +110,14 @@
             return
         now = self._medium.queue.now
         incarnation = INCARNATION_BASE + int(now * 1000)
-        host.start(self._factory, self._settings_of(host), incarnation)
-        assert host.endpoint.location is not None
-        member = Member(host.name, incarnation, host.address, host.endpoint.location)
+        member = host.start(self._factory, self._settings_of(host), incarnation)
         self._medium.platform.machine_changed(now, host.name, member)
-        self.fabrics[host.cell].changed(host, present=True)
+        self.fabric_of(host).changed(host, present=True)
 
-    def add(self, hall: str, cell: str | None = None) -> BalancerHost:
+    def add(self, hall: str) -> BalancerHost:
         """Start a balancer on a new machine in `hall`."""
         place = next(place for place in self._places if place.location.hall == hall)
-        if cell is None:
-            cell = next(name for name, zone in self.cell_zones.items() if zone == place.zone)
-        host = self._add_machine(place, cell)
+        host = self._add_machine(place)
         self.start(host)
         return host
 
@@ -129,45 +125,27 @@
         """End a process at once."""
         if host.node is None:
             return
-        self._collect_counters(host)
         host.crash()
-        self._gone(host)
-
-    def stopped(self, host: BalancerHost) -> None:
-        """A process ends after a planned stop."""
-        self._collect_counters(host)
-        self._gone(host)
+        self.ended(host)
 
-    def _gone(self, host: BalancerHost) -> None:
+    def ended(self, host: BalancerHost) -> None:
+        """Let the platform and the fabric learn in time that a process has ended."""
         self._medium.platform.machine_changed(self._medium.queue.now, host.name, None)
-        self.fabrics[host.cell].changed(host, present=False)
-
-    def _collect_counters(self, host: BalancerHost) -> None:
-        counters = getattr(host.node, "counters", None)
-        if counters is None:
-            return
-        for name in counters.__slots__:
-            self.counters[name] = self.counters.get(name, 0) + getattr(counters, name)
-
-    def collect_all_counters(self) -> None:
-        """Add the counters of the processes that still run."""
-        for host in self.running():
-            self._collect_counters(host)
+        self.fabric_of(host).changed(host, present=False)
 
     def _settings_of(self, host: BalancerHost) -> NodeSettings:
         base = self._base_settings
-        membership = msgspec.structs.replace(
-            base.membership,
-            cell=host.cell,
-            bootstrap=self._bootstrap[host.cell],
-            seeds=self._seeds_of(host),
-        )
+        membership = msgspec.structs.replace(base.membership, seeds=self._seeds_of(host))
         return msgspec.structs.replace(base, membership=membership)
 
     def _seeds_of(self, host: BalancerHost) -> tuple[str, ...]:
         """Return addresses from the list of machines, as a deployment would fill them in."""
         listed = {member.name for member in self._medium.platform.machines(self._medium.queue.now)}
-        bootstrap = self._bootstrap[host.cell]
-        names = [name for name in self.balancers if name in listed or (not listed and name in bootstrap)]
-        peers = [self.balancers[name] for name in names if self.balancers[name].cell == host.cell]
-        return tuple(peer.address for peer in peers if peer is not host)[:SEEDS]
+        names = listed or self._first
+        peers = [peer for name, peer in self.balancers.items() if name in names and peer is not host]
+        return tuple(peer.address for peer in peers)[:SEEDS]
+
+
+def _peer_address(number: int) -> str:
+    network, last = divmod(number, ADDRESSES_PER_NETWORK)
+    return f"10.0.{network}.{last + 1}:{PEER_PORT}"
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -1,4 +1,7 @@
-"""What the lab needs of a node, so that the real one and broken ones run alike."""
+"""What the lab needs of a node, so that the real one and the broken ones of tests run alike.
+
+The one place in which the lab names the node that balancers run.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from sloepond.core.commands import Command
-from sloepond.core.events import Event
 from sloepond.core.messages import Member
 from sloepond.core.settings import NodeSettings
 from sloepond.core.token_node import TokenNode
 from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.runtime.balancer_node import BalancerNode
 
 
 class InForce(Protocol):
@@ -22,26 +24,13 @@
         """The configuration in force; generation 0 for none."""
 
 
-class LabNode(Protocol):
-    """A sans-I/O balancer."""
-
-    @property
-    def identity(self) -> Member:
-        """Name, incarnation and address it has now."""
+class LabNode(BalancerNode, Protocol):
+    """A balancer's node of which the lab can see what configuration is in force."""
 
     @property
     def configuration(self) -> InForce:
         """What configuration it uses."""
 
-    def start(self, now: float) -> list[Command]:
-        """Begin; called once."""
-
-    def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event."""
-
-    def next_deadline(self) -> float:
-        """Return when a TimerFired event is needed, infinity if never."""
-
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -32,7 +32,6 @@
     """Moves datagrams between endpoints by scheduling their delivery.
 
     :ivar blocked: pairs (sender, receiver) of names that cannot be reached.
-    :ivar dropped: datagrams lost for any reason.
     """
 
     def __init__(self, queue: EventQueue, model: NetworkModel, random_source: random.Random) -> None:
@@ -46,7 +45,6 @@
         self._jitter = model.jitter
         self._lifetime = model.lifetime_ms * _MILLISECOND
         self.blocked: set[tuple[str, str]] = set()
-        self.dropped = 0
         self._disturbed = False
         self.disturb(model.loss, model.duplicate, model.reorder)
 
@@ -72,10 +70,6 @@
         """Return whether datagrams from `source` do not reach `destination`."""
         return (source, destination) in self.blocked
 
-    def latency(self, source: Endpoint, destination: Endpoint) -> float:
-        """Return the least one-way time in seconds."""
-        return self._latency[source.place][destination.place]
-
     def transmit(
         self,
         source: Endpoint,
@@ -90,13 +84,11 @@
             sending by any balancer (the last link to a back end).
         """
         if self.blocked and (source.name, destination.name) in self.blocked:
-            self.dropped += 1
             return
         delay = self._latency[source.place][destination.place] * (1.0 + self._jitter * self._draw())
         queue = self._queue
         if self._disturbed:
             if self._draw() < self._loss:
-                self.dropped += 1
                 return
             if may_duplicate and self._draw() < self._duplicate:
                 queue.schedule(queue.now + self._held(delay), action, argument)
@@ -113,13 +105,11 @@
         self._places[location] = len(self._locations)
         self._locations.append(location)
         self._latency = [
-            [self._between(first, second) for second in self._locations] for first in self._locations
+            [self._between_ms(first, second) * _MILLISECOND for second in self._locations]
+            for first in self._locations
         ]
         return self._places[location]
 
-    def _between(self, first: Location | None, second: Location | None) -> float:
-        return self._between_ms(first, second) * _MILLISECOND
-
     def _between_ms(self, first: Location | None, second: Location | None) -> float:
         model = self._model
         if first is None or second is None:
--- a/sloepond/lab/platform.py
+++ b/sloepond/lab/platform.py
@@ -33,11 +33,6 @@
         self.stale_generations = 0
         self.unreachable: set[str] = set()
 
-    @property
-    def latest(self) -> ConfigurationSnapshot:
-        """The newest generation."""
-        return self._snapshots[-1]
-
     def publish(self, snapshot: ConfigurationSnapshot) -> None:
         """Declare a new generation."""
         self._snapshots.append(snapshot)
--- a/sloepond/lab/plot.py
+++ b/sloepond/lab/plot.py
@@ -28,7 +28,7 @@
     _draw_load(load, result)
     _draw_broken(broken, result)
     _draw_control(control, result)
-    control.set_xlabel("seconds after the cells have formed")
+    control.set_xlabel("seconds after the balancers have started")
     figure.tight_layout()
     canvas.print_png(str(path))
 
--- a/sloepond/lab/random_faults.py
+++ b/sloepond/lab/random_faults.py
@@ -20,16 +20,9 @@
 
     def __init__(self, scenario: Scenario, draw: random.Random) -> None:
         self._draw = draw
-        topology = scenario.topology
-        places = hall_places(topology)
-        self._halls = [place.location.hall for place in places]
-        count = len(places) * topology.balancers_per_hall
-        self._balancers = [f"balancer-{number + 1}" for number in range(count)]
-        self._backends = [
-            f"{service.name}-{number + 1}"
-            for service in scenario.services
-            for number in range(service.backends)
-        ]
+        self._halls = [place.location.hall for place in hall_places(scenario.topology)]
+        self._balancers = scenario.topology.balancer_names()
+        self._backends = [name for service in scenario.services for name in service.backend_names()]
         self._makers: tuple[Callable[[float], faults.Fault], ...] = (
             self._crash,
             self._stop,
--- a/sloepond/lab/reach.py
+++ b/sloepond/lab/reach.py
@@ -38,9 +38,9 @@
         return not (network.is_blocked(first, second) or network.is_blocked(second, first))
 
     def is_peer(self, host: BalancerHost, peer: BalancerHost) -> bool:
-        """Return whether `peer` runs, is of the cell of `host` and in touch with it."""
+        """Return whether `peer` runs and datagrams pass between it and `host`."""
         runs = peer.node is not None and not peer.paused
-        return runs and peer.cell == host.cell and self.has_way(host.name, peer.name)
+        return runs and self.has_way(host.name, peer.name)
 
     def can_serve(self, host: BalancerHost, backend: str) -> bool:
         """Return whether `host`, alone or through one other balancer, can reach the back end.
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -51,7 +51,7 @@
 
 
 class TimelineEntry(msgspec.Struct, frozen=True):
-    """Something the scenario did; seconds after the cells have formed."""
+    """Something the scenario did; seconds after the balancers have started."""
 
     at: float
     text: str
@@ -80,8 +80,6 @@
     timeline: tuple[TimelineEntry, ...]
     flows_cut: int
     """Flows that faults left no way to their back end; they do not count as broken."""
-    counters: dict[str, int]
-    """Sum of the counters of all balancer processes that ended or ran at the end."""
     series: Series
 
     @property
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from sloepond.lab.checkers.violations import Promise, Violation
+from sloepond.lab.checkers.violations import COUNTED, Promise, Violation
 from sloepond.lab.director import Director
 from sloepond.lab.hosting import BALANCER_NODE, NodeFactory
 from sloepond.lab.random_faults import draw_faults
@@ -70,7 +70,6 @@
             queue.run_until(min(self._end, queue.now + PROGRESS_STEP_S))
             if progress is not None:
                 progress(queue.now, self._end)
-        self.world.fleet.collect_all_counters()
 
     def result(self, wall_seconds: float) -> LabResult:
         """Return what was measured and which promises broke."""
@@ -82,7 +81,6 @@
             broken_promises=tuple(self._broken_promises(measures)),
             timeline=tuple(self.world.timeline),
             flows_cut=self.world.flow_checker.cut,
-            counters=self.world.fleet.counters,
             series=Series(
                 in_flight=self._sampler.in_flight,
                 control_bytes=self._sampler.traffic.control_by_second,
@@ -92,26 +90,17 @@
 
     def _measures(self, wall_seconds: float) -> Measures:
         world = self.world
-        counts = {promise.value: count for promise, count in world.log.counts.items()}
+        counts = {promise.value: world.log.counts[promise] for promise in COUNTED}
         traffic = self._sampler.traffic
         balance = self._sampler.balance
         return Measures(
+            **counts,
             flows=world.callers.started,
             flows_open_peak=world.flow_checker.open_peak,
-            broken_flows=counts[Promise.BROKEN_FLOWS],
-            misrouted_packets=counts[Promise.MISROUTED_PACKETS],
-            place_violations=counts[Promise.PLACE_VIOLATIONS],
-            answers_crossed=counts[Promise.ANSWERS_CROSSED],
-            answers_incomplete=counts[Promise.ANSWERS_INCOMPLETE],
-            duplicate_executions=counts[Promise.DUPLICATE_EXECUTIONS],
-            false_not_run=counts[Promise.FALSE_NOT_RUN],
-            outcome_unknown=counts[Promise.OUTCOME_UNKNOWN],
-            refused=counts[Promise.REFUSED],
             imbalance_p50=_rounded(balance.percentile(0.5)),
             imbalance_p99=_rounded(balance.percentile(0.99)),
             new_work_after_drain_seconds=_rounded(world.place_checker.last_new_work_s),
             configuration_in_force_seconds_max=_rounded(world.configuration_checker.in_force_seconds),
-            configuration_reverts=counts[Promise.CONFIGURATION_REVERTS],
             control_bytes_per_second_max=traffic.control_maximum,
             control_bytes_per_second_mean=_rounded(traffic.control_mean),
             simulated_seconds=self._end,
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -30,7 +30,7 @@
         self._balance_until = load_end(world.scenario)
 
     def start(self) -> None:
-        """Begin to sample, the balance and bytes once the cells have formed."""
+        """Begin to sample, the balance and bytes once the balancers have started."""
         self._queue.schedule(self._queue.now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
         self._queue.schedule(self._world.scenario.timing.form_s, self._begin_seconds)
 
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -18,6 +18,11 @@
     """Base of all parts of a scenario: immutable, unknown keys refused."""
 
 
+def balancer_name(number: int) -> str:
+    """Return the name of the balancer with a number, from 1 in the order of their starts."""
+    return f"balancer-{number}"
+
+
 class Topology(Strict, frozen=True):
     """Balancers and the places they stand in.
 
@@ -25,14 +30,17 @@
     :ivar zones_per_region: number of zones of each region.
     :ivar halls_per_zone: number of halls of each zone.
     :ivar balancers_per_hall: balancers started in each hall.
-    :ivar cells: number of cells; each gets an equal share of the balancers.
     """
 
     regions: int = 1
     zones_per_region: int = 1
     halls_per_zone: int = 3
     balancers_per_hall: int = 3
-    cells: int = 1
+
+    def balancer_names(self) -> list[str]:
+        """Return the names of the balancers started at the beginning."""
+        halls = self.regions * self.zones_per_region * self.halls_per_zone
+        return [balancer_name(number + 1) for number in range(halls * self.balancers_per_hall)]
 
 
 class NetworkModel(Strict, frozen=True):
@@ -81,6 +89,10 @@
     cold_factor: float = 4.0
     denied_hall: int = 0
 
+    def backend_names(self) -> list[str]:
+        """Return the names of the service's back ends."""
+        return [f"{self.name}-{number + 1}" for number in range(self.backends)]
+
 
 class LoadModel(Strict, frozen=True):
     """Flows of one kind to one service.
@@ -88,7 +100,7 @@
     :ivar kind: `session` (requests over a while), `feed` (pushed data) or
         `download` (one repeatable request with an answer of many parts).
     :ivar flows: number of flows.
-    :ivar start_s: when the first may arrive, after the cells have formed.
+    :ivar start_s: when the first may arrive, after the balancers have started.
     :ivar over_s: they arrive at random times over this many seconds.
     :ivar duration_s: mean time a session or feed stays open.
     :ivar requests: mean number of requests of a session.
@@ -144,7 +156,7 @@
 class Timing(Strict, frozen=True):
     """Parts of the run in simulated seconds.
 
-    :ivar form_s: time given to the cells to form before callers arrive.
+    :ivar form_s: time given to the balancers to start before callers arrive.
     :ivar settle_s: time after the last arrival until the run ends.
     """
 
@@ -156,7 +168,7 @@
     """Faults drawn from the seed.
 
     :ivar count: number of faults; 0 for none.
-    :ivar start_s: earliest time, seconds after the cells have formed.
+    :ivar start_s: earliest time, seconds after the balancers have started.
     :ivar over_s: they are spread over this many seconds.
     """
 
--- /dev/null
+++ b/sloepond/lab/socket_buffers.py
@@ -0,0 +1,49 @@
+"""Datagrams that wait at the sockets of a process that stands still.
+
+Owns the waiting events of one process.  Relies on nothing else of the lab.
+"""
+
+from __future__ import annotations
+
+import collections
+import enum
+
+from sloepond.core.events import Event
+
+SOCKET_BUFFER = 512
+"""Datagrams that wait at one socket, more are lost: a receive buffer of 212,992 bytes, Linux's
+default, holds a few hundred small datagrams."""
+
+
+class Socket(enum.IntEnum):
+    """Sockets of a balancer, in the order in which they are read."""
+
+    CALLERS = 0
+    BACKENDS = 1
+    PEERS = 2
+
+
+class SocketBuffers:
+    """What has come and was not read yet."""
+
+    def __init__(self) -> None:
+        self._buffers: tuple[collections.deque[Event], ...] = tuple(collections.deque() for _ in Socket)
+
+    def __len__(self) -> int:
+        return sum(map(len, self._buffers))
+
+    def add(self, socket: Socket, event: Event) -> None:
+        """Keep a datagram; it is lost where the socket's buffer is full."""
+        if len(self._buffers[socket]) < SOCKET_BUFFER:
+            self._buffers[socket].append(event)
+
+    def add_result(self, event: Event) -> None:
+        """Keep the result of a read; those are never lost."""
+        self._buffers[Socket.BACKENDS].append(event)
+
+    def take_all(self) -> list[Event]:
+        """Return what has queued, one datagram of each socket in turn."""
+        events: list[Event] = []
+        while len(self):
+            events += [buffer.popleft() for buffer in self._buffers if buffer]
+        return events
--- a/sloepond/lab/trace.py
+++ b/sloepond/lab/trace.py
@@ -1,19 +1,26 @@
-"""Prints every packet of one flow, to find out why a promise broke."""
+"""Prints every packet of one flow, to find out why a promise broke.
+
+Owns nothing of the run: it wraps the entrances and exits of all machines.  Relies on the key of its
+flow in the text of every packet.
+"""
 
 from __future__ import annotations
 
+import re
 from collections.abc import Callable
-from functools import partial
-from typing import Any
-
-import msgspec
 
 from sloepond.core.commands import Command
-from sloepond.core.packets import FlowKey
+from sloepond.core.events import Event
+from sloepond.core.packets import BackendPacket
 from sloepond.lab.backend import BackendHost
 from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.world import World
 
+PAYLOAD = re.compile(r"payload=b('[^']*'|\"[^\"]*\")")
+"""The payload in the text of a packet; it is left out of the trace."""
+NEW_MACHINES_S = 0.05
+"""Simulated time between looks for machines that have been added, seconds: less than their start takes."""
+
 Printer = Callable[[str], None]
 """Takes one line."""
 
@@ -26,14 +33,14 @@
 
     def __init__(self, world: World, incarnation: int, printer: Printer) -> None:
         self._world = world
-        self._incarnation = incarnation
+        self._mark = f"incarnation={incarnation})"
         self._printer = printer
         self._seen: set[str] = set()
 
     def watch(self) -> None:
         """Watch all machines there are now, and those that start later."""
         for backend in self._world.backends.values():
-            backend.on_packet = partial(self._backend_packet, backend.on_packet)
+            self._watch_backend(backend)
         self._watch_balancers(None)
 
     def _watch_balancers(self, _: None) -> None:
@@ -41,13 +48,13 @@
             if name not in self._seen:
                 self._seen.add(name)
                 self._watch_balancer(host)
-        self._world.queue.schedule(self._world.queue.now + 0.05, self._watch_balancers)
+        self._world.queue.schedule(self._world.queue.now + NEW_MACHINES_S, self._watch_balancers)
 
     def _watch_balancer(self, host: BalancerHost) -> None:
         handle = host.handle
         perform = host._perform
 
-        def traced_handle(event: Any) -> None:
+        def traced_handle(event: Event) -> None:
             self._show(f"{host.name} <- ", event)
             handle(event)
 
@@ -59,36 +66,17 @@
         host.handle = traced_handle  # type: ignore[method-assign]
         host._perform = traced_perform  # type: ignore[method-assign]
 
-    def _backend_packet(
-        self, inner: Callable[..., None], host: BackendHost, packet: Any, opens: bool
-    ) -> None:
-        self._show(f"{host.name} <- ", packet)
-        inner(host, packet, opens)
+    def _watch_backend(self, host: BackendHost) -> None:
+        receive = host.receive
+
+        def traced_receive(argument: tuple[str, BackendPacket]) -> None:
+            self._show(f"{host.name} <- ", argument[1])
+            receive(argument)
+
+        host.receive = traced_receive  # type: ignore[method-assign]
 
-    def _show(self, prefix: str, item: Any) -> None:
-        if _names_flow(item, self._incarnation):
+    def _show(self, prefix: str, item: Command | Event | BackendPacket) -> None:
+        text = PAYLOAD.sub("payload=...", repr(item))
+        if self._mark in text:
             time = self._world.queue.now - self._world.scenario.timing.form_s
-            self._printer(f"{time:10.4f} {prefix}{_describe(item)}")
-
-
-def _names_flow(item: Any, incarnation: int) -> bool:
-    if isinstance(item, FlowKey):
-        return item.incarnation == incarnation
-    if isinstance(item, msgspec.Struct):
-        return any(_names_flow(getattr(item, field), incarnation) for field in item.__struct_fields__)
-    if isinstance(item, tuple):
-        return any(_names_flow(part, incarnation) for part in item)
-    return False
-
-
-def _describe(item: Any) -> str:
-    if isinstance(item, FlowKey):
-        return "flow"
-    if isinstance(item, msgspec.Struct):
-        fields = ", ".join(
-            f"{field}={_describe(getattr(item, field))}"
-            for field in item.__struct_fields__
-            if field != "payload"
-        )
-        return f"{type(item).__name__}({fields})"
-    return str(item) if not isinstance(item, tuple) else f"({len(item)} items)"
+            self._printer(f"{time:10.4f} {prefix}{text}")
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -70,8 +70,8 @@
     def _build_backends(self, ordered_flows: bool) -> None:
         for model in self.scenario.services:
             settings = backend_settings(model, self.scenario, ordered_flows)
-            for index in range(model.backends):
-                self._add_backend(model, f"{model.name}-{index + 1}", settings)
+            for name in model.backend_names():
+                self._add_backend(model, name, settings)
 
     def _add_backend(self, model: ServiceModel, name: str, settings: BackendSettings) -> None:
         resource = self.declaration.backends[name]
@@ -83,11 +83,8 @@
             settings=settings,
             queue=self.queue,
             random_source=self.streams.stream(f"backend/{name}"),
+            observer=self,
         )
-        host.on_output = self._backend_output
-        host.on_execution = self._backend_execution
-        host.on_packet = self._backend_packet
-        host.on_accepted = self._flow_accepted
         self.backends[name] = host
         self._backends_by_address[host.address] = host
 
@@ -110,8 +107,8 @@
         topology = self.scenario.topology
         region = names.index(service) % topology.regions
         fabrics = [
-            self.fleet.fabrics[cell]
-            for cell, zone in self.fleet.cell_zones.items()
+            fabric
+            for zone, fabric in self.fleet.fabrics.items()
             if zone // topology.zones_per_region == region
         ]
         return ServiceEntrance(service, self.declaration.services[service].spec.address, list(fabrics))
@@ -135,29 +132,35 @@
         if target is not None:
             self.network.transmit(host.endpoint, target.endpoint, target.receive_from_peer, datagram)
 
-    def _backend_output(self, backend: BackendHost, outputs: list[BackendOutput]) -> None:
+    # Back ends
+
+    def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
+        """Send the replies of a back end to the balancers they answer."""
         for output in outputs:
             target = self.fleet.by_address.get(output.destination)
             if target is not None:
-                argument = (backend.address, output.reply)
+                argument = (host.address, output.reply)
                 self.network.transmit(
-                    backend.endpoint, target.endpoint, target.receive_from_backend, argument, False
+                    host.endpoint, target.endpoint, target.receive_from_backend, argument, False
                 )
 
-    def _backend_packet(self, backend: BackendHost, packet: BackendPacket, opens: bool) -> None:
-        self.place_checker.packet_arrived(backend.name, packet, opens, self.queue.now)
+    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
+        """Have the place of a back end that got a packet checked."""
+        self.place_checker.packet_arrived(host.name, packet, opens, self.queue.now)
 
-    def _flow_accepted(self, backend: BackendHost, packet: BackendPacket) -> None:
-        self.flow_checker.flow_accepted(packet.flow, backend.name, self.queue.now)
+    def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
+        """Note which back end holds a flow."""
+        self.flow_checker.flow_accepted(packet.flow, host.name, self.queue.now)
 
-    def _backend_execution(self, execution: Execution) -> None:
+    def backend_executed(self, execution: Execution) -> None:
+        """Have a request that was started checked."""
         now = self.queue.now
         self.request_checker.executed(execution, now)
         self.flow_checker.executed(execution, now)
 
     # Reads and ends of balancers
 
-    def read_configuration(self, host: BalancerHost, known_generation: int) -> None:
+    def read_configuration(self, host: BalancerHost) -> None:
         """Answer a read of the configuration after its latency."""
         snapshot = self.platform.read(host.name)
         delay = self.scenario.platform.read_latency_ms / 1000
@@ -178,7 +181,7 @@
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
         self.note(f"{host.name} has stopped")
-        self.fleet.stopped(host)
+        self.fleet.ended(host)
 
     # The operator
 
