--- a/sloepond/cli/lab.py
+++ b/sloepond/cli/lab.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import sys
-import time
 from pathlib import Path
 
 import msgspec
@@ -128,11 +127,9 @@
 
 
 def _run_traced(scenario: Scenario, seed: int, trace: str) -> LabResult:
-    started = time.perf_counter()
     lab_run = LabRun(scenario, seed)
     FlowTracer(lab_run.world, int(trace, 16), lambda line: print(line, file=sys.stderr)).watch()
-    lab_run.run()
-    return lab_run.result(time.perf_counter() - started)
+    return lab_run.run()
 
 
 def _print_measures(outcome: LabResult) -> None:
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -103,7 +103,7 @@
     :ivar process: number of the process, so that late actions do not meet another one.
     :ivar paused: whether the process stands still.
     :ivar leaving: whether the process was asked to stop.
-    :ivar configuration_blocked: whether no configuration reaches it.
+    :ivar configuration_blocks: faults that keep any configuration from it now.
     :ivar available_since: simulated time since when it runs without a pause;
         infinity while it does not.
     """
@@ -126,7 +126,7 @@
         self._control_bytes = 0
         self.node: LabNode | None = None
         self.process = 0
-        self.configuration_blocked = False
+        self.configuration_blocks = 0
         self._reset()
 
     def _reset(self) -> None:
@@ -201,7 +201,7 @@
 
     def receive_from_peer(self, datagram: PeerDatagram) -> None:
         """Take a datagram from another balancer."""
-        if self.configuration_blocked and isinstance(datagram.message, ConfigurationPart):
+        if self.configuration_blocks and isinstance(datagram.message, ConfigurationPart):
             return
         event = PeerMessageReceived(
             datagram.sender, datagram.sender_incarnation, datagram.sender_address, datagram.message
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -29,9 +29,10 @@
 """Seconds after the end of a flow during which replies to it are still checked: more than the
 patience of a caller, 12 s."""
 REQUEST_PAYLOAD = b"request"
+"""What a session sends; a back end answers it with content of its own."""
 SERVABLE_KEPT = 12
 """Latest packets of a caller whose time is kept, for the flow checker: more than a caller sends in its
-patience while it gets no reply."""
+patience while it gets no reply; not measured."""
 CANCEL_AFTER_S = 0.02
 """Time from a request to its cancellation, seconds: inside the service time of `long-requests`, 0.3 s."""
 PART_BYTES = 1_000
--- a/sloepond/lab/catalogue.py
+++ b/sloepond/lab/catalogue.py
@@ -1,4 +1,7 @@
-"""Finds scenarios by name."""
+"""Finds scenarios by name in `lab/scenarios`.
+
+Owns nothing.  Relies on `scenario` to read a document and on `checks` to judge it.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +12,7 @@
 
 SUFFIX = ".toml"
 _DIRECTORY = Path("lab") / "scenarios"
+"""From the root of the project."""
 
 
 def scenario_directory() -> Path:
--- a/sloepond/lab/checkers/balance.py
+++ b/sloepond/lab/checkers/balance.py
@@ -1,4 +1,7 @@
-"""Imbalance: the busiest back end of a service against the mean."""
+"""Imbalance: the busiest back end of a service against the mean, in work per slot.
+
+Owns the samples of one run.  Relies on its caller to sample all back ends at the same moments.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checkers/configuration.py
+++ b/sloepond/lab/checkers/configuration.py
@@ -1,4 +1,7 @@
-"""Configurations: in force everywhere within seconds, and never an older one again."""
+"""Configurations: in force everywhere within seconds, and never an older one again.
+
+Owns what was in force at each process.  Relies on observations at short intervals, taken outside.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -19,9 +19,10 @@
 
 REPLY_MARGIN_S = 3.0
 """Seconds a packet that can be served is given until its flow counts as left without
-reply; the next item of a feed comes only after the feed's interval."""
+reply; the next item of a feed comes only after the feed's interval, 2 s."""
 SERVED_S = 1.0
-"""Seconds around the last reply in which packets belong to what was served before the silence."""
+"""Seconds around the last reply in which packets belong to what was served before the silence; not
+measured."""
 
 
 class ServiceTimes(msgspec.Struct, frozen=True):
--- a/sloepond/lab/checkers/places.py
+++ b/sloepond/lab/checkers/places.py
@@ -1,4 +1,8 @@
-"""Back ends: packets of their own service only, from permitted places only, no new work when leaving."""
+"""Back ends: packets of their own service only, from permitted places only, no new work when leaving.
+
+Owns what the operator has declared about each back end, and since when.  Relies on seeing every
+packet that reaches a back end.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -1,4 +1,7 @@
-"""Requests: whole and own answers, at most one execution, honest refusals."""
+"""Requests: whole and own answers, at most one execution, refusals of what has not run.
+
+Owns what was executed and refused.  Relies on seeing every execution and every outcome.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checkers/traffic.py
+++ b/sloepond/lab/checkers/traffic.py
@@ -1,4 +1,7 @@
-"""Control traffic: bytes that balancers send each other, for each balancer and second."""
+"""Control traffic: bytes that balancers send each other, for each balancer and second.
+
+Owns the sums of one run.  Relies on the balancers' machines to count what they send.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checkers/violations.py
+++ b/sloepond/lab/checkers/violations.py
@@ -1,4 +1,7 @@
-"""Broken promises: how often, and the first event of each."""
+"""Broken promises: how often, and the first events of each.
+
+Owns the log of one run, to which all checkers add.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/checks.py
+++ b/sloepond/lab/checks.py
@@ -1,11 +1,14 @@
-"""Checks a scenario beyond its types: every name must be one of the scenario."""
+"""Checks a scenario beyond its types: every name must be one of the scenario.
+
+Owns nothing; gives all findings with their place.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from sloepond.lab import faults
-from sloepond.lab.declaration import hall_places
+from sloepond.lab.declaration import hall_locations
 from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding, balancer_name
 
 _KINDS = ("session", "feed", "download")
@@ -57,7 +60,7 @@
 
 
 def _hall_names(scenario: Scenario) -> set[str]:
-    return {place.location.hall for place in hall_places(scenario.topology)}
+    return {location.hall for location in hall_locations(scenario.topology)}
 
 
 def _machine_names(scenario: Scenario) -> set[str]:
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -1,9 +1,13 @@
-"""What the operator of a scenario has declared, as resources of growing generations."""
+"""What the operator of a scenario has declared, as resources of growing generations.
+
+Owns the resources.  Relies on the project's validation: what is not valid is never declared.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
+from sloepond.lab.network import address
 from sloepond.lab.scenario import Scenario, ServiceModel, Topology
 from sloepond.resources.compiled import make_snapshot
 from sloepond.resources.model import (
@@ -26,39 +30,42 @@
 )
 from sloepond.resources.validation import validate_snapshot
 
+SERVICE_NETWORK = "10.90"
+"""First half of service addresses."""
+BACKEND_NETWORK = "10.91"
+"""First half of the addresses of back ends."""
 SERVICE_PORT = 9_000
+"""Port of every service address."""
 BACKEND_PORT = 9_100
+"""Port of every back end."""
 
 
-class HallPlace(msgspec.Struct, frozen=True):
-    """One hall: its location and its zone's number from 0."""
-
-    location: Location
-    zone: int
-
-
-def hall_places(topology: Topology) -> list[HallPlace]:
+def hall_locations(topology: Topology) -> list[Location]:
     """Return all halls, numbered through all zones and regions."""
-    places = []
-    for zone in range(topology.regions * topology.zones_per_region):
-        region = f"region-{zone // topology.zones_per_region + 1}"
-        for number in range(topology.halls_per_zone):
-            hall = f"hall-{zone * topology.halls_per_zone + number + 1}"
-            places.append(HallPlace(Location(region, f"zone-{zone + 1}", hall), zone))
-    return places
+    zones = range(topology.regions * topology.zones_per_region)
+    halls = range(topology.halls_per_zone)
+    return [
+        Location(
+            f"region-{zone // topology.zones_per_region + 1}",
+            f"zone-{zone + 1}",
+            f"hall-{zone * topology.halls_per_zone + hall + 1}",
+        )
+        for zone in zones
+        for hall in halls
+    ]
 
 
 class Declaration:
     """The operator's resources; `next_snapshot` makes each change a generation.
 
-    :ivar places: all halls.
+    :ivar halls: all of them.
     :ivar backends: by name.
     :ivar services: by name.
     """
 
     def __init__(self, scenario: Scenario) -> None:
-        self.places = hall_places(scenario.topology)
-        self._resources: list[Resource] = _place_resources(self.places)
+        self.halls = hall_locations(scenario.topology)
+        self._resources: list[Resource] = _place_resources(self.halls)
         self.backends: dict[str, Backend] = {}
         self.services: dict[str, Service] = {}
         self._valid_backends: dict[str, Backend] = {}
@@ -102,12 +109,12 @@
         if model.denied_hall:
             denied = (PlaceSelector(hall=f"hall-{model.denied_hall}"),)
         spec = ServiceSpec(
-            address=f"10.90.{number // 250}.{number % 250 + 1}:{SERVICE_PORT}",
+            address=address(SERVICE_NETWORK, number, SERVICE_PORT),
             permitted=(PlaceSelector(region=region),),
             denied=denied,
         )
         self.services[model.name] = Service(API_VERSION, Metadata(name=model.name), spec)
-        halls = [place.location.hall for place in self.places if place.location.region == region]
+        halls = [location.hall for location in self.halls if location.region == region]
         for index, name in enumerate(model.backend_names()):
             self._add_backend(model, name, halls[index % len(halls)])
 
@@ -115,7 +122,7 @@
         number = len(self.backends)
         spec = BackendSpec(
             service=model.name,
-            address=f"10.91.{number // 250}.{number % 250 + 1}:{BACKEND_PORT}",
+            address=address(BACKEND_NETWORK, number, BACKEND_PORT),
             hall=hall,
             slots=model.slots,
             connections=model.connections,
@@ -123,10 +130,9 @@
         self.backends[name] = Backend(API_VERSION, Metadata(name=name), spec)
 
 
-def _place_resources(places: list[HallPlace]) -> list[Resource]:
+def _place_resources(halls: list[Location]) -> list[Resource]:
     resources: dict[str, Resource] = {}
-    for place in places:
-        location = place.location
+    for location in halls:
         resources[location.region] = Region(API_VERSION, Metadata(name=location.region))
         resources[location.zone] = Zone(API_VERSION, Metadata(name=location.zone), ZoneSpec(location.region))
         resources[location.hall] = Hall(API_VERSION, Metadata(name=location.hall), HallSpec(location.zone))
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -1,4 +1,7 @@
-"""Carries out the timeline of a scenario in a world."""
+"""Carries out the timeline of a scenario in a world.
+
+Owns which faults are under way where several may overlap.  Relies on the world for all machines.
+"""
 
 from __future__ import annotations
 
@@ -13,6 +16,7 @@
 from sloepond.resources.model import BackendState
 
 STOP_POLL_S = 0.2
+"""Time between looks whether a stopping process has ended, seconds; not measured."""
 
 
 class Director:
@@ -36,14 +40,12 @@
             faults.BackendCrash: self._backend_crash,
             faults.BackendLie: self._backend_lie,
             faults.ConfigurationChange: self._configuration_change,
-            faults.PlatformDown: self._platform_down,
-            faults.PlatformStale: self._platform_stale,
+            faults.PlatformDown: self._withhold_platform,
+            faults.PlatformStale: self._withhold_platform,
             faults.ConfigurationDelay: self._configuration_delay,
         }
-        self._down = 0
-        self._stale: list[int] = []
+        self._withheld: list[faults.PlatformDown | faults.PlatformStale] = []
         self._blocked: list[set[tuple[str, str]]] = []
-        self._unreachable: list[set[str]] = []
 
     def schedule(self, timeline: tuple[faults.Fault, ...]) -> None:
         """Schedule all entries."""
@@ -63,7 +65,7 @@
         """Return the balancers named, or standing in the halls named."""
         wanted = set(names)
         hosts = self._world.fleet.balancers.values()
-        return [host for host in hosts if host.name in wanted or hall_of(host) in wanted]
+        return [host for host in hosts if host.name in wanted or host.endpoint.hall in wanted]
 
     def _crash(self, fault: faults.Crash) -> None:
         for host in self._hosts(fault.balancers):
@@ -105,7 +107,7 @@
             self._later(STOP_POLL_S, partial(self._when_ended, host, process, action))
 
     def _replace(self, host: BalancerHost) -> None:
-        new = self._world.fleet.add(hall_of(host))
+        new = self._world.fleet.add(host.endpoint.hall)
         self._world.note(f"{new.name} starts in place of {host.name}")
 
     def _rolling_replace(self, fault: faults.RollingReplace) -> None:
@@ -147,30 +149,22 @@
         pairs = {(first, second) for first in side for second in other if first != second}
         if not fault.one_way:
             pairs |= {(second, first) for first, second in pairs}
-        unreachable = side if fault.platform else set()
         self._world.note(f"partition: {', '.join(fault.side)} for {fault.duration_s:g} s")
         self._world.reach.partitioned_at = self._queue.now
         self._blocked.append(pairs)
-        self._unreachable.append(unreachable)
-        self._update_reach()
-        self._later(fault.duration_s, partial(self._heal, pairs, unreachable))
+        self._world.network.blocked = set().union(*self._blocked)
+        self._later(fault.duration_s, partial(self._heal, pairs))
 
-    def _heal(self, pairs: set[tuple[str, str]], unreachable: set[str]) -> None:
+    def _heal(self, pairs: set[tuple[str, str]]) -> None:
         self._world.note("partition heals")
         self._blocked = [kept for kept in self._blocked if kept is not pairs]
-        self._unreachable = [kept for kept in self._unreachable if kept is not unreachable]
-        self._update_reach()
-
-    def _update_reach(self) -> None:
         self._world.network.blocked = set().union(*self._blocked)
-        self._world.platform.unreachable = set().union(*self._unreachable)
 
     def _side(self, names: tuple[str, ...], backends: bool) -> set[str]:
         wanted = set(names)
         side = {host.name for host in self._hosts(names)}
         for host in self._world.backends.values():
-            location = host.endpoint.location
-            in_hall = backends and location is not None and location.hall in wanted
+            in_hall = backends and host.endpoint.hall in wanted
             if in_hall or host.name in wanted:
                 side.add(host.name)
         return side
@@ -237,31 +231,23 @@
         self._world.declaration.change_label()
         self._world.publish()
 
-    def _platform_down(self, fault: faults.PlatformDown) -> None:
-        self._world.note(f"configuration service down for {fault.duration_s:g} s")
-        self._down += 1
-        self._platform_changed()
-        self._later(fault.duration_s, self._platform_up)
-
-    def _platform_up(self) -> None:
-        self._down -= 1
+    def _withhold_platform(self, fault: faults.PlatformDown | faults.PlatformStale) -> None:
+        state = "down" if isinstance(fault, faults.PlatformDown) else "stale"
+        self._world.note(f"configuration service {state} for {fault.duration_s:g} s")
+        self._withheld.append(fault)
         self._platform_changed()
+        self._later(fault.duration_s, partial(self._restore_platform, fault))
 
-    def _platform_stale(self, fault: faults.PlatformStale) -> None:
-        self._world.note(f"configuration service stale for {fault.duration_s:g} s")
-        self._stale.append(fault.generations)
-        self._platform_changed()
-        self._later(fault.duration_s, partial(self._platform_fresh, fault.generations))
-
-    def _platform_fresh(self, generations: int) -> None:
-        self._stale.remove(generations)
+    def _restore_platform(self, fault: faults.PlatformDown | faults.PlatformStale) -> None:
+        self._withheld = [kept for kept in self._withheld if kept is not fault]
         self._platform_changed()
 
     def _platform_changed(self) -> None:
         platform = self._world.platform
-        platform.down = self._down > 0
-        platform.stale_generations = max(self._stale, default=0)
-        if platform.down or platform.stale_generations:
+        stale = [fault.generations for fault in self._withheld if isinstance(fault, faults.PlatformStale)]
+        platform.down = len(stale) < len(self._withheld)
+        platform.stale_generations = max(stale, default=0)
+        if self._withheld:
             self._world.platform_withheld()
         else:
             self._world.note("configuration service serves the latest generation")
@@ -269,26 +255,14 @@
 
     def _configuration_delay(self, fault: faults.ConfigurationDelay) -> None:
         hosts = self._hosts(fault.balancers)
-        names = {host.name for host in hosts}
-        self._world.note(f"no configuration reaches {', '.join(sorted(names))} for {fault.duration_s:g} s")
-        self._unreachable.append(names)
-        self._update_reach()
-        for host in hosts:
-            host.configuration_blocked = True
-        self._later(fault.duration_s, partial(self._end_delay, hosts, names))
+        names = ", ".join(sorted(host.name for host in hosts))
+        self._world.note(f"no configuration reaches {names} for {fault.duration_s:g} s")
+        self._block_configuration(hosts, 1)
+        self._later(fault.duration_s, partial(self._block_configuration, hosts, -1))
 
-    def _end_delay(self, hosts: list[BalancerHost], names: set[str]) -> None:
-        self._unreachable = [kept for kept in self._unreachable if kept is not names]
-        self._update_reach()
+    def _block_configuration(self, hosts: list[BalancerHost], change: int) -> None:
         for host in hosts:
-            host.configuration_blocked = False
-
-
-def hall_of(host: BalancerHost) -> str:
-    """Return the name of the hall a balancer stands in."""
-    location = host.endpoint.location
-    assert location is not None
-    return location.hall
+            host.configuration_blocks += change
 
 
 def _call(action: Callable[[], None]) -> None:
--- a/sloepond/lab/engine.py
+++ b/sloepond/lab/engine.py
@@ -1,4 +1,7 @@
-"""The simulated clock: one queue of events, ordered by time, then by arrival."""
+"""Simulated time: one queue of events, ordered by time, then by arrival; and random streams.
+
+Owns the clock of the run, which nothing else advances.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -1,4 +1,7 @@
-"""The fabric: sprays callers' packets evenly over the balancers it knows, with a lag."""
+"""The fabric: sprays callers' packets evenly over the balancers it knows, with a lag.
+
+Owns which balancers it knows.  Relies on the fleet to be told of starts, stops and ends.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -70,12 +70,11 @@
 class Partition(FaultBase, frozen=True, tag="partition"):
     """Machines of one side cannot reach those of the other.
 
-    Callers and the platform still reach both, unless `platform` is set.
+    Callers and the platform still reach both.
 
     :ivar side: halls, balancers or back ends of the one side.
     :ivar other: those of the other side; empty for all the rest.
     :ivar one_way: whether only packets from `side` to `other` are lost.
-    :ivar platform: whether `side` cannot reach the platform either.
     :ivar backends: whether back ends of the halls are part of the sides.
     """
 
@@ -83,7 +82,6 @@
     duration_s: float
     other: tuple[str, ...] = ()
     one_way: bool = False
-    platform: bool = False
     backends: bool = True
 
 
--- a/sloepond/lab/fleet.py
+++ b/sloepond/lab/fleet.py
@@ -1,7 +1,7 @@
 """The balancers: their machines, settings and the fabrics before them.
 
-Owns which balancers there are.  Relies on the network, the event
-queue and the platform's list of machines, which it keeps up to date.
+Owns which balancers there are.  Relies on the network, the event queue and the platform's list of
+machines, which it keeps up to date.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.balancer import BalancerHost, Surroundings
-from sloepond.lab.declaration import HallPlace
 from sloepond.lab.engine import EventQueue, RandomStreams
 from sloepond.lab.fabric import Fabric
 from sloepond.lab.hosting import NodeFactory
-from sloepond.lab.network import Endpoint, Network
+from sloepond.lab.network import Endpoint, Network, address
 from sloepond.lab.platform import Platform
 from sloepond.lab.scenario import Scenario, balancer_name
+from sloepond.resources.model import Location
 
 PEER_PORT = 7_000
-ADDRESSES_PER_NETWORK = 250
-"""Host numbers used in the last byte of an address, from 1."""
+"""Port at which balancers take messages of each other."""
+PEER_NETWORK = "10.0"
+"""First half of the addresses of balancers."""
 INCARNATION_BASE = 1_760_000_000_000
 """Milliseconds of wall time at simulated time 0."""
 SEEDS = 6
@@ -44,7 +45,7 @@
 
     :ivar balancers: machine name -> machine, those that have ended included.
     :ivar by_address: peer address -> machine.
-    :ivar fabrics: number of a zone from 0 -> the fabric before its balancers.
+    :ivar fabrics: zone -> the fabric before its balancers.
     """
 
     def __init__(
@@ -53,22 +54,22 @@
         medium: FleetMedium,
         factory: NodeFactory,
         settings: NodeSettings,
-        places: list[HallPlace],
+        halls: list[Location],
         surroundings: Surroundings,
     ) -> None:
         self._scenario = scenario
         self._medium = medium
         self._factory = factory
         self._base_settings = settings
-        self._places = places
         self._surroundings = surroundings
-        self._zones = {place.location.zone: place.zone for place in places}
+        self._locations = {location.hall: location for location in halls}
         self.balancers: dict[str, BalancerHost] = {}
         self.by_address: dict[str, BalancerHost] = {}
-        self.fabrics = {zone: self._make_fabric(zone) for zone in self._zones.values()}
-        for place in places:
+        zones = dict.fromkeys(location.zone for location in halls)
+        self.fabrics = {zone: self._make_fabric(number + 1) for number, zone in enumerate(zones)}
+        for location in halls:
             for _ in range(scenario.topology.balancers_per_hall):
-                self._add_machine(place)
+                self._add_machine(location)
         self._first = frozenset(self.balancers)
 
     def running(self) -> Iterator[BalancerHost]:
@@ -77,25 +78,29 @@
 
     def fabric_of(self, host: BalancerHost) -> Fabric:
         """Return the fabric that sends packets to `host`."""
-        assert host.endpoint.location is not None
-        return self.fabrics[self._zones[host.endpoint.location.zone]]
+        return self.fabrics[self._locations[host.endpoint.hall].zone]
 
-    def _make_fabric(self, zone: int) -> Fabric:
+    def fabrics_in(self, region: str) -> list[Fabric]:
+        """Return the fabrics of a region's zones."""
+        zones = {location.zone for location in self._locations.values() if location.region == region}
+        return [fabric for zone, fabric in self.fabrics.items() if zone in zones]
+
+    def _make_fabric(self, number: int) -> Fabric:
         """Return a fabric; the name of its random stream is part of what a seed stands for."""
         return Fabric(
             self._medium.queue,
             self._medium.network,
             self._medium.callers,
             self._scenario.platform.fabric_lag_s,
-            self._medium.streams.stream(f"fabric/cell-{zone + 1}"),
+            self._medium.streams.stream(f"fabric/cell-{number}"),
         )
 
-    def _add_machine(self, place: HallPlace) -> BalancerHost:
+    def _add_machine(self, location: Location) -> BalancerHost:
         number = len(self.balancers) + 1
         name = balancer_name(number)
         host = BalancerHost(
-            endpoint=self._medium.network.endpoint(name, place.location),
-            address=_peer_address(number),
+            endpoint=self._medium.network.endpoint(name, location),
+            address=address(PEER_NETWORK, number, PEER_PORT),
             queue=self._medium.queue,
             surroundings=self._surroundings,
             random_source=self._medium.streams.stream(f"balancer/{name}"),
@@ -116,8 +121,7 @@
 
     def add(self, hall: str) -> BalancerHost:
         """Start a balancer on a new machine in `hall`."""
-        place = next(place for place in self._places if place.location.hall == hall)
-        host = self._add_machine(place)
+        host = self._add_machine(self._locations[hall])
         self.start(host)
         return host
 
@@ -144,8 +148,3 @@
         names = listed or self._first
         peers = [peer for name, peer in self.balancers.items() if name in names and peer is not host]
         return tuple(peer.address for peer in peers)[:SEEDS]
-
-
-def _peer_address(number: int) -> str:
-    network, last = divmod(number, ADDRESSES_PER_NETWORK)
-    return f"10.0.{network}.{last + 1}:{PEER_PORT}"
--- a/sloepond/lab/machine_clock.py
+++ b/sloepond/lab/machine_clock.py
@@ -8,9 +8,9 @@
 import random
 
 CLOCK_SPREAD_S = 100_000.0
-"""Clocks start between 0 and this, seconds: more than a day apart, so that no two are comparable."""
+"""Clocks start between 0 and this, seconds, so that times of two machines cannot be compared."""
 DRIFT = 50e-6
-"""Largest share a clock runs fast or slow: the usual tolerance of a computer's quartz, 50 ppm."""
+"""Largest share a clock runs fast or slow, 50 ppm; not measured."""
 
 
 class MachineClock:
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -1,4 +1,7 @@
-"""The simulated network: latency, loss, duplication, reordering and partitions."""
+"""The simulated network: latency, loss, duplication, reordering and partitions.
+
+Owns the links and what is blocked.  Relies on the event queue: a datagram is a scheduled call.
+"""
 
 from __future__ import annotations
 
@@ -10,21 +13,32 @@
 from sloepond.lab.scenario import NetworkModel
 from sloepond.resources.model import Location
 
+ADDRESSES_PER_NETWORK = 250
+"""Numbers used in the last byte of an address, from 1."""
 _MILLISECOND = 0.001
+"""Seconds."""
+
+
+def address(network: str, number: int, port: int) -> str:
+    """Return an address `ip:port` in `network`, the first two bytes of it; numbers are from 0."""
+    third, last = divmod(number, ADDRESSES_PER_NETWORK)
+    return f"{network}.{third}.{last + 1}:{port}"
 
 
 class Endpoint:
     """One machine on the network.
 
     :ivar location: None for the callers, which stand outside the halls.
+    :ivar hall: name of its hall; empty for the callers.
     :ivar place: index of its place in the latency table.
     """
 
-    __slots__ = ("location", "name", "place")
+    __slots__ = ("hall", "location", "name", "place")
 
     def __init__(self, name: str, location: Location | None, place: int) -> None:
         self.name = name
         self.location = location
+        self.hall = location.hall if location is not None else ""
         self.place = place
 
 
--- a/sloepond/lab/platform.py
+++ b/sloepond/lab/platform.py
@@ -1,4 +1,7 @@
-"""The platform: a configuration service that can be read, and a list of machines that lags."""
+"""The platform: a configuration service that can be read, and a list of machines that lags.
+
+Owns the generations published and the changes of machines.  Relies on its callers for the time.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,6 @@
 
     :ivar down: whether reads of the configuration fail.
     :ivar stale_generations: how many generations old the answer is.
-    :ivar unreachable: names of machines that cannot reach the platform.
     """
 
     def __init__(self, machine_list_lag_s: float) -> None:
@@ -31,15 +33,14 @@
         self._machines: dict[str, Member] = {}
         self.down = False
         self.stale_generations = 0
-        self.unreachable: set[str] = set()
 
     def publish(self, snapshot: ConfigurationSnapshot) -> None:
         """Declare a new generation."""
         self._snapshots.append(snapshot)
 
-    def read(self, machine: str) -> ConfigurationSnapshot | None:
-        """Return what `machine` is answered, None where the read fails."""
-        if self.down or machine in self.unreachable:
+    def read(self) -> ConfigurationSnapshot | None:
+        """Return the configuration, None where the read fails."""
+        if self.down:
             return None
         index = max(0, len(self._snapshots) - 1 - self.stale_generations)
         return self._snapshots[index]
--- a/sloepond/lab/plot.py
+++ b/sloepond/lab/plot.py
@@ -1,4 +1,7 @@
-"""Draws one result: load per back end, broken flows and control bytes over time."""
+"""Draws one result: load of each back end, broken flows and control bytes over time.
+
+Owns nothing.  Relies on matplotlib, an optional dependency, imported when a plot is drawn.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,8 @@
 _WIDTH_INCHES = 10.0
 _HEIGHT_INCHES = 9.0
 _PANELS = 3
-_MARK_SIZE = 6.0
+_MARK_SIZE = 3.0
+"""Points."""
 
 
 def plot_result(result: LabResult, path: Path) -> None:
@@ -52,6 +56,6 @@
 
 def _draw_control(axes: Any, result: LabResult) -> None:
     values = result.series.control_bytes
-    axes.plot(range(1, len(values) + 1), values, marker=".", markersize=_MARK_SIZE / 2)
+    axes.plot(range(1, len(values) + 1), values, marker=".", markersize=_MARK_SIZE)
     axes.set_ylabel("control bytes/s per balancer")
     axes.set_ylim(bottom=0)
--- a/sloepond/lab/reach.py
+++ b/sloepond/lab/reach.py
@@ -1,4 +1,7 @@
-"""Who can reach whom: what the checkers ask about faults."""
+"""Who can reach whom: what the checkers ask about faults.
+
+Owns the time of the last partition.  Relies on the network for what is blocked.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from sloepond.lab.network import Network
 
 NOTICE_S = 2.0
-"""Time after the start of a partition in which balancers may still send into it."""
+"""Time after the start of a partition in which balancers may still send into it, seconds; not measured."""
 
 
 class Reach:
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -1,4 +1,7 @@
-"""The outcome of one run."""
+"""The outcome of one run: measures, broken promises, timeline and series for plots.
+
+Owns the form of `--json` and of result files.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -1,4 +1,8 @@
-"""Runs one scenario with one seed, and judges it."""
+"""Runs one scenario with one seed, and judges it.
+
+Owns one run from its start to its result.  Relies on the world to simulate, and on the scenario's
+expectations for what is broken.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,9 @@
 from sloepond.lab.world import World
 
 PROGRESS_STEP_S = 0.5
+"""Simulated time between reports of progress, seconds."""
 _DECIMALS = 4
+"""Decimals of the measures."""
 
 Progress = Callable[[float, float], None]
 """Called with the simulated seconds done and those in all."""
@@ -34,10 +40,7 @@
     :param ordered_flows: whether flows are streams, in which a back end knows a copy of a request as one.
     :raises ValueError: where the scenario's resources or settings are not valid.
     """
-    started = time.perf_counter()
-    run = LabRun(scenario, seed, factory, ordered_flows)
-    run.run(progress)
-    return run.result(time.perf_counter() - started)
+    return LabRun(scenario, seed, factory, ordered_flows).run(progress)
 
 
 class LabRun:
@@ -61,8 +64,9 @@
         Director(self.world).schedule(timeline)
         self._end = load_end(scenario) + scenario.timing.settle_s
 
-    def run(self, progress: Progress | None = None) -> None:
-        """Simulate until the end."""
+    def run(self, progress: Progress | None = None) -> LabResult:
+        """Simulate until the end; return what was measured and which promises broke."""
+        started = time.perf_counter()
         self.world.start()
         self._sampler.start()
         queue = self.world.queue
@@ -70,9 +74,9 @@
             queue.run_until(min(self._end, queue.now + PROGRESS_STEP_S))
             if progress is not None:
                 progress(queue.now, self._end)
+        return self._result(time.perf_counter() - started)
 
-    def result(self, wall_seconds: float) -> LabResult:
-        """Return what was measured and which promises broke."""
+    def _result(self, wall_seconds: float) -> LabResult:
         measures = self._measures(wall_seconds)
         return LabResult(
             scenario=self.scenario.name,
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -1,7 +1,11 @@
-"""Looks at the world at fixed times: configurations, balance, bytes and isolation."""
+"""Looks at the world at fixed times: configurations, balance, bytes and isolation.
+
+Owns the meters of balance and traffic.  Relies on the world for what to look at.
+"""
 
 from __future__ import annotations
 
+from sloepond.core.deadlines import NEVER
 from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.checkers.balance import BalanceMeter, SecondMean
 from sloepond.lab.checkers.configuration import BalancerObservation
@@ -10,9 +14,11 @@
 from sloepond.lab.world import World
 
 CONFIGURATION_INTERVAL_S = 0.1
+"""Time between looks at configurations: a fortieth of the limit of 4 s that is checked."""
 READING_INTERVAL_S = 0.1
+"""Time between readings of the work in flight; ten make one sample of balance."""
 SECOND = 1.0
-_NEVER = float("inf")
+"""Time between samples, seconds."""
 
 
 class Sampler:
@@ -60,9 +66,9 @@
     def _reachable_since(self, host: BalancerHost) -> float:
         """Return since when the process runs and configurations can reach it."""
         now = self._queue.now
-        if host.paused or not self._has_way(host):
+        if host.paused or host.configuration_blocks:
             self._connected_since[host.name] = now
-            return _NEVER
+            return NEVER
         return max(host.available_since, self._connected_since.get(host.name, 0.0))
 
     def _peer_generation(self, host: BalancerHost) -> int:
@@ -79,17 +85,6 @@
         ]
         return max(generations, default=0)
 
-    def _has_way(self, host: BalancerHost) -> bool:
-        unreachable = self._world.platform.unreachable
-        if host.name not in unreachable:
-            return True
-        if host.configuration_blocked:
-            return False
-        return any(self._connects(host, peer) for peer in self._world.fleet.running())
-
-    def _connects(self, host: BalancerHost, peer: BalancerHost) -> bool:
-        return peer.name not in self._world.platform.unreachable and self._world.reach.is_peer(host, peer)
-
     # Every second
 
     def _second_ended(self, _: None) -> None:
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -1,6 +1,6 @@
 """Scenarios: what world is simulated, what happens in it, what must hold.
 
-A scenario is one TOML document.  Unknown keys are refused; all findings are
+A scenario is one TOML document.  Owns its form; unknown keys are refused, and all findings are
 collected with their place and reported together.
 """
 
--- a/sloepond/lab/socket_buffers.py
+++ b/sloepond/lab/socket_buffers.py
@@ -11,8 +11,7 @@
 from sloepond.core.events import Event
 
 SOCKET_BUFFER = 512
-"""Datagrams that wait at one socket, more are lost: a receive buffer of 212,992 bytes, Linux's
-default, holds a few hundred small datagrams."""
+"""Datagrams that wait at one socket; more are lost.  Not measured."""
 
 
 class Socket(enum.IntEnum):
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -1,4 +1,8 @@
-"""The simulated world: builds machines from a scenario and carries datagrams between them."""
+"""The simulated world: builds machines from a scenario and carries datagrams between them.
+
+Owns all machines, the network, the platform and the checkers of one run.  Relies on nothing outside
+the run: the same scenario and seed give the same course.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 from sloepond.standins.content import BackendIdentity
 
 READ_TIMEOUT_S = 1.0
-"""Time after which a read of a configuration service that is down fails."""
+"""Time after which a read of a configuration service that is down fails, seconds; not measured."""
 
 
 class World:
@@ -54,7 +58,7 @@
         self.backends: dict[str, BackendHost] = {}
         self._backends_by_address: dict[str, BackendHost] = {}
         self._build_backends(ordered_flows)
-        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.places, self)
+        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.halls, self)
         self.reach = Reach(self.queue, self.network, self.fleet.balancers, self.backends)
         self.flow_checker = FlowChecker(self.log, self.reach, scenario.callers.patience_s)
         self.callers = CallerPopulation(
@@ -103,15 +107,9 @@
             )
 
     def _entrance(self, service: str) -> ServiceEntrance:
-        names = [model.name for model in self.scenario.services]
-        topology = self.scenario.topology
-        region = names.index(service) % topology.regions
-        fabrics = [
-            fabric
-            for zone, fabric in self.fleet.fabrics.items()
-            if zone // topology.zones_per_region == region
-        ]
-        return ServiceEntrance(service, self.declaration.services[service].spec.address, list(fabrics))
+        compiled = self.compiled.services_by_name[service]
+        region = compiled.backends[0].location.region
+        return ServiceEntrance(service, compiled.address, self.fleet.fabrics_in(region))
 
     # Datagrams of balancers
 
@@ -162,7 +160,7 @@
 
     def read_configuration(self, host: BalancerHost) -> None:
         """Answer a read of the configuration after its latency."""
-        snapshot = self.platform.read(host.name)
+        snapshot = None if host.configuration_blocks else self.platform.read()
         delay = self.scenario.platform.read_latency_ms / 1000
         if snapshot is None:
             event = ConfigurationReadFailed("configuration service does not answer")
