--- a/features/lab/runs.feature
+++ b/features/lab/runs.feature
@@ -41,7 +41,7 @@
   Scenario: The lab command prints the packets of one flow
     When the command lab run pause-and-wake --json --share 0.001 --seed 1 --trace b9e772b80f75 is given
     Then the lab command exits with 0 and prints one object with every measure
-    And the lab command exits with 0 and names SendToBackend
+    And the lab command exits with 0 and names BackendPacket
 
   Scenario: The lab command refuses a policy that does not exist
     When the command lab run steady --share 0.0005 --policy no-such-policy is given
--- a/features/steps/lab_stateless_node.py
+++ b/features/steps/lab_stateless_node.py
@@ -9,8 +9,7 @@
 
 import random
 from collections.abc import Sequence
-
-from xxhash import xxh3_64_intdigest
+from hashlib import blake2b
 
 from sloepond.core.caller_packets import backend_packet, caller_reply, refusal_of
 from sloepond.core.commands import (
@@ -39,8 +38,7 @@
 from sloepond.core.settings import NodeSettings
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledBackend, CompiledConfiguration
 
-INCARNATION_MASK = (1 << 64) - 1
-"""The seed of a hash has 64 bits."""
+HASH_BYTES = 8
 STOP_AFTER_S = 3.0
 """Seconds a planned stop goes on, so that the fabric learns of it."""
 
@@ -120,6 +118,8 @@
 
 def rendezvous_choice(flow: FlowKey, backends: Sequence[CompiledBackend]) -> CompiledBackend:
     """Return the back end that draws the largest hash of its name and the flow."""
-    text = (flow.caller_address + flow.service_address).encode()
-    seed = xxh3_64_intdigest(text, flow.incarnation & INCARNATION_MASK)
-    return max(backends, key=lambda backend: xxh3_64_intdigest(backend.name.encode(), seed))
+
+    def draw(backend: CompiledBackend) -> bytes:
+        return blake2b(f"{backend.name} {flow}".encode(), digest_size=HASH_BYTES).digest()
+
+    return max(backends, key=draw)
--- a/sloepond/lab/checkers/configuration.py
+++ b/sloepond/lab/checkers/configuration.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import msgspec
 
 from sloepond.lab.checkers.violations import Promise, ViolationLog
@@ -17,14 +19,14 @@
     :ivar generation: 0 where nothing is in force yet.
     :ivar reachable_since: since when it has run, not paused, and had a way to the
         platform or to a peer that had; infinity where it has none now.
+    :ivar peer_generation: returns the highest generation in force at the peers it can reach now.
     """
 
     name: str
     incarnation: int
     generation: int
     reachable_since: float
-    peer_generation: int = 0
-    """Highest generation in force at the peers it can reach now."""
+    peer_generation: Callable[[], int]
 
 
 class _Published(msgspec.Struct):
@@ -89,8 +91,8 @@
             return
         started_using = not before and generation > 0
         known = now - self._fleet_generation_at > self.NEWCOMER_S
-        could_know = observation.peer_generation > generation
-        if started_using and known and could_know and generation < self._fleet_generation:
+        is_old = started_using and known and generation < self._fleet_generation
+        if is_old and observation.peer_generation() > generation:
             detail = (
                 f"{observation.name} started with generation {generation}"
                 f" while {self._fleet_generation} was in force"
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 from sloepond.core.deadlines import NEVER
 from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.checkers.balance import BalanceMeter, SecondMean
@@ -28,7 +30,6 @@
         self._world = world
         self._queue = world.queue
         self._connected_since: dict[str, float] = {}
-        self._started_using: dict[str, set[int]] = {}
         self.balance = BalanceMeter()
         self.traffic = TrafficMeter()
         self.in_flight: dict[str, list[float]] = {name: [] for name in world.backends}
@@ -58,7 +59,7 @@
                 incarnation=host.process,
                 generation=host.node.configuration.in_force.generation,
                 reachable_since=self._reachable_since(host),
-                peer_generation=self._peer_generation(host),
+                peer_generation=partial(self._peer_generation, host),
             )
             checker.observe(observation, now)
         self._queue.schedule(now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
@@ -72,12 +73,7 @@
         return max(host.available_since, self._connected_since.get(host.name, 0.0))
 
     def _peer_generation(self, host: BalancerHost) -> int:
-        """Return what a process that has just put its first generation in force could have heard of."""
-        if host.process in self._started_using.get(host.name, ()):
-            return 0
-        assert host.node is not None
-        if host.node.configuration.in_force.generation:
-            self._started_using.setdefault(host.name, set()).add(host.process)
+        """Return the highest generation in force at the peers that a process can reach now."""
         generations = [
             peer.node.configuration.in_force.generation
             for peer in self._world.fleet.running()
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import tomllib
+from collections.abc import Iterator
 from typing import Any
 
 import msgspec
@@ -240,17 +241,8 @@
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError([ScenarioFinding(place, str(error))]) from error
-    return _convert(document, place)
-
-
-def _convert(document: dict[str, Any], place: str) -> Scenario:
-    findings: list[ScenarioFinding] = []
-    for key, value in document.items():
-        field_type = Scenario.__annotations__.get(key)
-        if field_type is None:
-            findings.append(ScenarioFinding(f"{place}: {key}", "unknown key"))
-            continue
-        findings.extend(_convert_field(key, value, place))
+    types = {field.name: field.type for field in msgspec.structs.fields(Scenario)}
+    findings = [finding for item in document.items() for finding in _key_findings(*item, types, place)]
     if findings:
         raise ScenarioError(findings)
     try:
@@ -259,18 +251,18 @@
         raise ScenarioError([ScenarioFinding(place, str(error))]) from error
 
 
-def _convert_field(key: str, value: Any, place: str) -> list[ScenarioFinding]:
-    """Return the findings of one top-level key; items of a list are checked one by one."""
-    field_types = {field.name: field.type for field in msgspec.structs.fields(Scenario)}
-    items = value if isinstance(value, list) else [value]
-    findings = []
-    for number, item in enumerate(items, start=1):
+def _key_findings(key: str, value: Any, types: dict[str, Any], place: str) -> Iterator[ScenarioFinding]:
+    """Yield the findings of one top-level key; items of a list are checked one by one."""
+    if key not in types:
+        yield ScenarioFinding(f"{place}: {key}", "unknown key")
+        return
+    is_list = isinstance(value, list)
+    for number, item in enumerate(value if is_list else [value], start=1):
         try:
-            msgspec.convert([item] if isinstance(value, list) else item, field_types[key])
+            msgspec.convert([item] if is_list else item, types[key])
         except msgspec.ValidationError as error:
-            suffix = f"[{number}]" if isinstance(value, list) else ""
-            findings.append(ScenarioFinding(f"{place}: {key}{suffix}", str(error)))
-    return findings
+            suffix = f"[{number}]" if is_list else ""
+            yield ScenarioFinding(f"{place}: {key}{suffix}", str(error))
 
 
 def scaled(scenario: Scenario, share: float) -> Scenario:
