--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -1,4 +1,7 @@
-"""Requests: whole and own answers, at most one execution, honest refusals."""
+"""Requests: whole and own answers, at most one execution, refusals of what has not run.
+
+Owns what was executed and refused.  Relies on seeing every execution and every outcome.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,7 @@
 
 
 class RequestChecker:
-    """Compares what back ends ran with what callers were told.
-
-    :ivar refused: requests and flows refused.
-    :ivar unknown: requests whose outcome stayed unknown to the caller.
-    """
+    """Compares what back ends ran with what callers were told."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -1,7 +1,13 @@
-"""Looks at the world at fixed times: configurations, balance, bytes and isolation."""
+"""Looks at the world at fixed times: configurations, balance, bytes and isolation.
+
+Owns the meters of balance and traffic.  Relies on the world for what to look at.
+"""
 
 from __future__ import annotations
 
+from functools import partial
+
+from sloepond.core.deadlines import NEVER
 from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.checkers.balance import BalanceMeter, SecondMean
 from sloepond.lab.checkers.configuration import BalancerObservation
@@ -10,9 +16,11 @@
 from sloepond.lab.world import World
 
 CONFIGURATION_INTERVAL_S = 0.1
+"""Time between looks at configurations: a fortieth of the limit of 4 s that is checked."""
 READING_INTERVAL_S = 0.1
+"""Time between readings of the work in flight; ten make one sample of balance."""
 SECOND = 1.0
-_NEVER = float("inf")
+"""Time between samples, seconds."""
 
 
 class Sampler:
@@ -22,7 +30,6 @@
         self._world = world
         self._queue = world.queue
         self._connected_since: dict[str, float] = {}
-        self._started_using: dict[str, set[int]] = {}
         self.balance = BalanceMeter()
         self.traffic = TrafficMeter()
         self.in_flight: dict[str, list[float]] = {name: [] for name in world.backends}
@@ -30,7 +37,7 @@
         self._balance_until = load_end(world.scenario)
 
     def start(self) -> None:
-        """Begin to sample, the balance and bytes once the cells have formed."""
+        """Begin to sample, the balance and bytes once the balancers have started."""
         self._queue.schedule(self._queue.now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
         self._queue.schedule(self._world.scenario.timing.form_s, self._begin_seconds)
 
@@ -52,7 +59,7 @@
                 incarnation=host.process,
                 generation=host.node.configuration.in_force.generation,
                 reachable_since=self._reachable_since(host),
-                peer_generation=self._peer_generation(host),
+                peer_generation=partial(self._peer_generation, host),
             )
             checker.observe(observation, now)
         self._queue.schedule(now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
@@ -60,18 +67,13 @@
     def _reachable_since(self, host: BalancerHost) -> float:
         """Return since when the process runs and configurations can reach it."""
         now = self._queue.now
-        if host.paused or not self._has_way(host):
+        if host.paused or host.configuration_blocks:
             self._connected_since[host.name] = now
-            return _NEVER
+            return NEVER
         return max(host.available_since, self._connected_since.get(host.name, 0.0))
 
     def _peer_generation(self, host: BalancerHost) -> int:
-        """Return what a process that has just put its first generation in force could have heard of."""
-        if host.process in self._started_using.get(host.name, ()):
-            return 0
-        assert host.node is not None
-        if host.node.configuration.in_force.generation:
-            self._started_using.setdefault(host.name, set()).add(host.process)
+        """Return the highest generation in force at the peers that a process can reach now."""
         generations = [
             peer.node.configuration.in_force.generation
             for peer in self._world.fleet.running()
@@ -79,17 +81,6 @@
         ]
         return max(generations, default=0)
 
-    def _has_way(self, host: BalancerHost) -> bool:
-        unreachable = self._world.platform.unreachable
-        if host.name not in unreachable:
-            return True
-        if host.configuration_blocked:
-            return False
-        return any(self._connects(host, peer) for peer in self._world.fleet.running())
-
-    def _connects(self, host: BalancerHost, peer: BalancerHost) -> bool:
-        return peer.name not in self._world.platform.unreachable and self._world.reach.is_peer(host, peer)
-
     # Every second
 
     def _second_ended(self, _: None) -> None:
