--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -9,6 +9,7 @@
 import msgspec
 from forwarding_model import record
 
+from sloepond.core.forwarding.assembly import NodeOptions
 from sloepond.core.forwarding.commands import (
     FetchRoutes,
     FetchSnapshot,
@@ -163,7 +164,8 @@
         self.watches = {key: watch for key, watch in self.watches.items() if key[0] != ip}
         zone = f"z{int(ip.rpartition('.')[2]) % 3}"
         chance = random.Random(self.random.random())
-        node = ForwardingNode(zone, chance, ip, self.seeds, **{"capacity": 0.1, **self.options})
+        options = NodeOptions(ip=ip, seeds=self.seeds, **{"capacity": 0.1, **self.options})
+        node = ForwardingNode(zone, chance, options)
         self.nodes[ip] = node
         self.carry_out(ip, node, node.start(self.now))
         self.carry_out(ip, node, node.handle(PeersJoined(), self.now))
--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -4,6 +4,7 @@
 
 import random
 
+from sloepond.core.forwarding.assembly import NodeOptions
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -89,7 +90,8 @@
 
 def fresh_node(seed=1, seeds=("10.1.0.2", "10.1.0.3", "10.1.0.4"), **options):
     """Return a node that has not started."""
-    return ForwardingNode("north", random.Random(seed), "10.1.0.1", seeds, **options)
+    options = NodeOptions(ip="10.1.0.1", seeds=seeds, **options)
+    return ForwardingNode("north", random.Random(seed), options)
 
 
 class Harness:
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
-from sloepond.core.forwarding.peers.reader_election import READERS, Role
+from sloepond.core.forwarding.peers.known_readers import READERS
+from sloepond.core.forwarding.peers.reader_election import Role
 from sloepond.core.forwarding.placement.evacuations import Evacuations
 from sloepond.core.forwarding.state.backend_records import BackendState
 from sloepond.core.forwarding.state.backends import BackendDirectory
--- /dev/null
+++ b/sloepond/core/forwarding/assembly.py
@@ -0,0 +1,132 @@
+"""Builds the parts of a forwarding node and connects them.
+
+Owns: the order in which the parts are built.  Two of them draw from the shared random source while
+they are built (the peer table where there are more seeds than it keeps, then the reader election), so
+the order is part of a node's behaviour.  Relies on: all parts; only `node.py` uses this module.
+"""
+
+from __future__ import annotations
+
+import random
+
+import msgspec
+
+from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.events import Subject
+from sloepond.core.forwarding.health.backend_checks import BackendChecks
+from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.reachability import Reachability
+from sloepond.core.forwarding.lifecycle.stall_guard import StallGuard
+from sloepond.core.forwarding.lifecycle.stop_procedure import StopProcedure
+from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.peers.dissemination import Dissemination
+from sloepond.core.forwarding.peers.exchange import PeerExchange
+from sloepond.core.forwarding.peers.peer_table import PeerTable
+from sloepond.core.forwarding.peers.reader_election import ReaderElection
+from sloepond.core.forwarding.placement.evacuations import Evacuations
+from sloepond.core.forwarding.placement.forwarder import Forwarder
+from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.placement.slow_start import SlowStart, SlowStartLimit
+from sloepond.core.forwarding.state.backends import BackendDirectory
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.store.staleness_bound import CHANGE_LIMIT_S
+from sloepond.core.forwarding.store.store_answers import StoreAnswers
+from sloepond.core.forwarding.store.watcher import StoreWatcher
+
+IDENTITY_BITS = 63
+"""Bits of the identity that a process draws at its start.  Not measured: it fits a signed 64-bit integer,
+and any two processes of a fleet of 10,000 draw the same one with a probability of 5e-12."""
+
+
+class NodeOptions(msgspec.Struct, frozen=True):
+    """What the settings say about one balancer.
+
+    :ivar ip: address at which peers reach this balancer.
+    :ivar seeds: addresses of balancers that may be up.
+    :ivar places: where flows may go.
+    :ivar capacity: share of a core that the process may use.
+    :ivar slow_start_limit: bounds new flows of back ends that are slow after their start.
+    :ivar kill_after_s: time in seconds from the request to stop until the process is killed.
+    :ivar change_limit_s: time in seconds within which a change must be in force; 0 where the settings
+        name none, `CHANGE_LIMIT_S` is used then.
+    """
+
+    ip: str = ""
+    seeds: tuple[str, ...] = ()
+    places: PlaceRules = ANYWHERE
+    capacity: float = 1.0
+    slow_start_limit: SlowStartLimit | None = None
+    kill_after_s: float = 0.0
+    change_limit_s: float = 0.0
+
+
+class NodeParts(msgspec.Struct, frozen=True):
+    """The parts of one node, connected with each other."""
+
+    local: LocalState
+    stall_guard: StallGuard
+    slow_start: SlowStart
+    failing: FailingBackends
+    forwarder: Forwarder
+    dissemination: Dissemination
+    answers: StoreAnswers
+    exchange: PeerExchange
+    stop: StopProcedure
+    checks: BackendChecks
+
+
+def assemble(hall: str, random_source: random.Random, options: NodeOptions) -> NodeParts:
+    """Build the parts of a node.
+
+    :param hall: hall of this balancer.
+    :param random_source: seeded by the caller.
+    """
+    local = _local_state(hall, random_source, options)
+    stall_guard = StallGuard(local.watchers.values())
+    slow_start = SlowStart(options.ip, local.peers, local.routes, options.slow_start_limit)
+    waiting = WaitingRequests()
+    failing = FailingBackends(options.ip, local.peers, local.backends, waiting, local.counters, random_source)
+    forwarder = Forwarder(
+        hall,
+        local.routes,
+        local.backends,
+        stall_guard,
+        slow_start,
+        failing,
+        waiting,
+        local.counters,
+        random_source,
+    )
+    reachability = Reachability(local.backends, random_source)
+    election = ReaderElection(random_source.getrandbits(IDENTITY_BITS), options.capacity, random_source)
+    dissemination = Dissemination(local, election, options.change_limit_s or CHANGE_LIMIT_S)
+    exchange = PeerExchange(local, dissemination, reachability, failing)
+    return NodeParts(
+        local,
+        stall_guard,
+        slow_start,
+        failing,
+        forwarder,
+        dissemination,
+        StoreAnswers(local, dissemination),
+        exchange,
+        StopProcedure(local, exchange, options.kill_after_s),
+        BackendChecks(local.backends, forwarder.observer, reachability, exchange, local.counters),
+    )
+
+
+def _local_state(hall: str, random_source: random.Random, options: NodeOptions) -> LocalState:
+    routes = RouteTable(random_source)
+    backends = BackendDirectory(options.places)
+    return LocalState(
+        hall,
+        options.ip,
+        routes,
+        backends,
+        Evacuations(routes, backends),
+        {subject: StoreWatcher(subject, random_source) for subject in Subject},
+        PeerTable(options.ip, hall, options.seeds, random_source),
+        ForwardingCounters(),
+        random_source,
+    )
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -1,4 +1,8 @@
-"""Events of the forwarding node: what happened."""
+"""Events of the forwarding node: what the runtime reports to it.
+
+Owns: the events and the unions that group them by where they come from.  Relies on: `state` and `peers`
+for the records and messages that events carry.
+"""
 
 from __future__ import annotations
 
@@ -15,19 +19,19 @@
 
 
 class Subject(enum.IntEnum):
-    """What is followed in the store."""
+    """What is watched in the store."""
 
     ROUTES = 0
     BACKENDS = 1
 
 
 class StoreFailure(enum.Enum):
-    """Why a call to the store brought nothing."""
+    """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
     TIMED_OUT = "timed_out"
     REFUSED = "refused"
-    """The store said that it did nothing."""
+    """The store answered that it did nothing."""
     THROTTLED = "throttled"
     HISTORY_LOST = "history_lost"
     MALFORMED = "malformed"
@@ -75,7 +79,7 @@
 
 
 class StoreCallFailed(msgspec.Struct, frozen=True):
-    """A call to the store brought nothing.
+    """A read or a watch failed.
 
     :ivar was_watch: whether it was a watch, not a read.
     """
@@ -101,7 +105,7 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """The time asked for by `next_deadline` has come (or later)."""
+    """The time of `next_deadline` has come, or is past."""
 
 
 class SettingsChanged(msgspec.Struct, frozen=True):
@@ -120,7 +124,7 @@
 
 
 class PeersJoined(msgspec.Struct, frozen=True):
-    """Peers can be spoken to from now on."""
+    """Peers can be reached from now on."""
 
 
 class PeerMessageReceived(msgspec.Struct, frozen=True):
@@ -134,20 +138,20 @@
 
 
 class SnapshotReceived(msgspec.Struct, frozen=True):
-    """A peer has told all it knows."""
+    """A requested snapshot has come from a peer."""
 
     ip: str
     snapshot: Snapshot
 
 
 class FetchFailed(msgspec.Struct, frozen=True):
-    """A peer that was asked on a stream did not answer, or knows nothing."""
+    """A request to a peer by stream has failed, or the peer knows nothing."""
 
     ip: str
 
 
 class RoutesReceived(msgspec.Struct, frozen=True):
-    """A peer has told differences that lead to its version of the routes.
+    """Requested differences that lead to a peer's version of the routes have come.
 
     :ivar deltas: each applies to the version that the one before leads to.
     """
@@ -192,21 +196,9 @@
     result: CheckResult
 
 
-StoreEvent = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged | StoreCallFailed
-Event = (
-    StoreEvent
-    | StoreProbed
-    | StoreHeard
-    | PeersJoined
-    | PeerMessageReceived
-    | SnapshotReceived
-    | FetchFailed
-    | RoutesReceived
-    | OpeningHeld
-    | UnknownTokenMet
-    | BackendSuspected
-    | BackendChecked
-    | TimerFired
-    | SettingsChanged
-    | StopRequested
-)
+StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
+StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StoreHeard
+PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
+PacketEvent = OpeningHeld | UnknownTokenMet | BackendSuspected | BackendChecked
+ProcessEvent = PeersJoined | SettingsChanged | StopRequested
+Event = StoreEvent | PeerEvent | PacketEvent | ProcessEvent | TimerFired
--- /dev/null
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -0,0 +1,43 @@
+"""Forgets what has expired, at regular intervals.
+
+Owns: the time of the next round.  Relies on: each part to know what of its own has expired.
+"""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.assembly import NodeParts
+
+HOUSEKEEPING_S = 0.5
+"""Seconds between rounds.  Not measured: well below the shortest time after which something is forgotten
+(1.0 s), so that nothing is kept for twice as long."""
+
+
+class Housekeeping:
+    """Calls every part that keeps something for a limited time."""
+
+    def __init__(self, parts: NodeParts) -> None:
+        self._parts = parts
+        self._due_at = 0.0
+
+    def start(self, now: float) -> None:
+        """Schedule the first round."""
+        self._due_at = now + HOUSEKEEPING_S
+
+    def next_deadline(self) -> float:
+        """Return when `on_time` has something to do."""
+        return self._due_at
+
+    def on_time(self, now: float) -> None:
+        """Forget what has expired, if a round is due."""
+        if now < self._due_at:
+            return
+        self._due_at = now + HOUSEKEEPING_S
+        parts = self._parts
+        parts.local.backends.forget_departed(now)
+        parts.forwarder.observer.forget_resting(now)
+        parts.forwarder.observer.expire_requests(now)
+        parts.forwarder.admission.forget_admitted(now)
+        parts.slow_start.forget(now)
+        parts.failing.forget(now)
+        parts.forwarder.admission.balancers = parts.exchange.balancers
+        parts.dissemination.forget(now)
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -1,10 +1,13 @@
-"""How a fresh balancer comes to know anything: from a peer in its hall, else from the store.
+"""Bootstrap: a fresh balancer gets routes and back ends from a peer in its hall, else from the store.
 
 A peer is tried first: one exchange within the hall takes the place of a read of the routes
 and of the whole list, which are priced and many after a restart of a large fleet.  Where no
 peer answers at once, or the one that is asked is busy, the store is read, first the list of
 back ends: open flows, which are nearly all packets, need nothing else.  Where the store does
 not answer either, peers are asked again, later in other halls too.
+
+Owns: when the next peer is asked, and until when the first reads of the store wait.  Relies on: `PeerTable`
+to choose peers, the watchers, whose first reads it holds back, `Snapshots` to take what a peer sends.
 """
 
 from __future__ import annotations
@@ -12,67 +15,59 @@
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.commands import FetchSnapshot
 from sloepond.core.forwarding.events import StoreFailure, Subject
+from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.messages import Heartbeat, Snapshot
-from sloepond.core.forwarding.peers.peer_table import FANOUT, PeerTable
-from sloepond.core.forwarding.peers.reader_election import FRESH_S
-from sloepond.core.forwarding.state.backends import BackendDirectory
-from sloepond.core.forwarding.state.route_table import RouteTable
-from sloepond.core.forwarding.store.watcher import StoreWatcher
+from sloepond.core.forwarding.peers.peer_table import FANOUT
+from sloepond.core.forwarding.store.staleness import FRESH_S
 
 PEERS_FIRST_S = 0.08
-"""How long a peer that is found is asked before the store is read in earnest: two round trips
+"""Seconds for which a peer may be found before the store is read whole.  Not measured: two round trips
 between halls and the processor time of three messages on 0.04 of a core."""
 BACKENDS_WAIT_S = 0.02
-"""How long the first read of the back ends waits for a peer to be found: two round trips
-between halls and a peer's processor time.  With 0.08 s for both reads the worth of three days
-with a loss of all processes was 0.005, 0.004 and 0.011 lower; with no wait it is 0.003 higher,
-but each restart of a balancer reads the list."""
+"""Seconds that the first read of the back ends waits for a peer to be found: two round trips between halls
+and a peer's processor time.  Measured over three days with a loss of all processes: 0.08 s for both reads
+was worse on each; with no wait each restart of a balancer reads the list from the store."""
 ROUTES_WAIT_S = 0.05
-"""The same for the routes: the list of 75 back ends takes 25 ms on a link of 10 Mbit/s and
+"""The same for the routes.  Not measured: the list of 75 back ends takes 25 ms on a link of 10 Mbit/s and
 comes first."""
 FETCH_S = 0.25
-"""How long they wait for what a peer was asked for, and time until another one is asked."""
+"""Seconds that the reads wait for a requested snapshot, and until another peer is asked.  Not measured: a
+snapshot of 0.15 MB takes 0.12 s on a link of 10 Mbit/s."""
 ASK_PEERS_AFTER_S = 0.3
-"""How long a fresh balancer waits for the store before it asks peers again."""
+"""Seconds that a fresh balancer waits for the store before it asks peers again.  Not measured: several times
+what the store takes to answer a small read."""
 ASK_ANYWHERE_AFTER_S = 1.2
-"""How long it asks only peers in its own hall: bytes between halls are priced."""
+"""Seconds for which it asks only peers in its own hall: bytes between halls have a price.  Measured over a
+quiet day of a large fleet: 0.010 GB between halls with it, 0.015 GB without."""
 JOIN_S = 0.1
-"""Time for peers to answer the first heartbeats, and for reads under way to go on."""
+"""Seconds for peers to answer the first heartbeats, and for reads under way to go on.  Not measured: many
+times the way between halls, about 2 ms."""
 STORE_ANSWERS_S = 2.5
-"""How long a store that is answering keeps it from asking peers."""
+"""Seconds after the start for which a store that is answering keeps it from asking peers.  Not measured: a
+configuration of 2,588 routes takes about 1 s on a link of 10 Mbit/s."""
 
 
 class Bootstrap:
-    """What a fresh balancer asks until it knows routes and back ends.
-
-    :param watchers: their first reads are held back while a peer may answer.
-    """
-
-    def __init__(
-        self,
-        hall: str,
-        peers: PeerTable,
-        routes: RouteTable,
-        backends: BackendDirectory,
-        watchers: dict[Subject, StoreWatcher],
-    ) -> None:
-        self._hall = hall
-        self._peers = peers
-        self._routes = routes
-        self._backends = backends
-        self._watchers = watchers
+    """Requests of a fresh balancer until it knows routes and back ends."""
+
+    def __init__(self, local: LocalState) -> None:
+        self._hall = local.hall
+        self._peers = local.peers
+        self._routes = local.routes
+        self._backends = local.backends
+        self._watchers = local.watchers
         self._commands: list[FetchSnapshot] = []
         self._started_at = -NEVER
         self._ask_at = NEVER
         self._ask_anywhere_at = NEVER
         self._reads_at = -NEVER
-        self._asked = ""
+        self._first_source = ""
         self._may_ask_again = False
         self._contacted: set[str] = set()
         self._contacts_left = FANOUT
 
     def begin(self, now: float) -> None:
-        """Begin: where there may be peers, the store is not read yet."""
+        """Begin: where there may be peers, hold back the first reads of the store."""
         self._started_at = now
         if len(self._peers):
             self._reads_at = now + PEERS_FIRST_S
@@ -85,7 +80,7 @@
         self._ask_anywhere_at = self._started_at + ASK_ANYWHERE_AFTER_S
 
     def take_commands(self) -> list[FetchSnapshot]:
-        """Return whom to ask for all it knows, and forget it."""
+        """Return the requests issued since the last call, and forget them."""
         commands, self._commands = self._commands, []
         return commands
 
@@ -110,25 +105,25 @@
         self._commands.extend(FetchSnapshot(ip) for ip in sources)
         return tuple(self._peers.choose(now))
 
-    def peer_heard(self, ip: str, heartbeat: Heartbeat, now: float) -> tuple[str, ...]:
+    def heartbeat_received(self, ip: str, heartbeat: Heartbeat, now: float) -> tuple[str, ...]:
         """Ask a peer in this hall that knows something; return others to send a heartbeat to.
 
         Not while the store is being read and has not been silent for long.
         """
         is_too_late = now >= self._reads_at and not self._may_ask_again
-        if self._is_done or is_too_late or (self._asked and now < self._reads_at):
+        if self._is_done or is_too_late or (self._first_source and now < self._reads_at):
             return ()
         if heartbeat.hall != self._hall or not heartbeat.routes_version or heartbeat.is_leaving:
             return self._choose_unknown(heartbeat.known_peers)
         self._commands.append(FetchSnapshot(ip))
         self._may_ask_again = False
         if now < self._reads_at:
-            self._asked = ip
+            self._first_source = ip
             self._read_store_at(now + FETCH_S)
         return ()
 
     def _choose_unknown(self, ips: tuple[str, ...]) -> tuple[str, ...]:
-        """Return some peers not contacted yet; few, however many others name."""
+        """Return some peers not contacted yet; few, however many a heartbeat names."""
         unknown = [ip for ip in ips if ip not in self._contacted]
         chosen = tuple(unknown[: self._contacts_left])
         self._contacted.update(chosen)
@@ -136,27 +131,27 @@
         return chosen
 
     def fetch_failed(self, ip: str, now: float) -> None:
-        """Read the store at once where the peer that was asked first has nothing to say."""
-        if ip == self._asked and now < self._reads_at:
+        """Read the store at once where the peer that was asked first sends nothing."""
+        if ip == self._first_source and now < self._reads_at:
             self._read_store_at(now)
 
     def snapshot_taken(self, snapshot: Snapshot, now: float) -> None:
-        """Read the store all the same where a peer has not heard of it lately."""
+        """Read the store all the same where what the peer sent is stale."""
         if max(snapshot.routes_age_s, snapshot.backends_age_s) < FRESH_S:
             return
         if now < self._reads_at:
             self._read_store_at(now)
             for watcher in self._watchers.values():
-                watcher.distrust(now)
+                watcher.invalidate(now)
 
     def store_heard(self, now: float) -> None:
-        """Ask no peer for all it knows while the store is answering, for a while at most."""
+        """Ask no peer for a snapshot while the store is answering, for a while at most."""
         if self._ask_at < NEVER:
             latest = self._started_at + STORE_ANSWERS_S
             self._ask_at = max(self._ask_at, min(now + ASK_PEERS_AFTER_S, latest))
 
     def store_failed(self, reason: StoreFailure, now: float) -> None:
-        """Ask a peer soon where the store refuses; one that is silent may still answer."""
+        """Ask a peer soon where the store refuses; a store that is silent may still answer."""
         if self._ask_at == NEVER or reason is StoreFailure.TIMED_OUT:
             return
         self._ask_at = min(self._ask_at, max(now, self._started_at + JOIN_S))
--- a/sloepond/core/forwarding/lifecycle/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -1,8 +1,12 @@
-"""How long a stopping balancer forwards on: as long as routers may still send packets to it.
+"""How long a stopping balancer keeps forwarding: as long as routers may still send packets to it.
 
-Routers drop a balancer soon after it says that it is not ready, but where fewer than half
-of the balancers of a hall are ready they use all of them, those that stop too.  So what
-counts is whether packets still come, and how many balancers of the hall are ready.
+Routers drop a balancer soon after it says that it is not ready, but where fewer than half of the balancers
+of a hall are ready they use all of them, those that stop too.  So what counts is whether packets still
+come, and how many balancers of the hall are ready.  Measured over days with a planned removal of balancers
+in two fleets, requests not served: 414 and 612 when it ended after 1.8 s in any case, 25 and 7 so.
+
+Owns: when the stop was requested and when it is complete.  Relies on: the caller to report packets and to
+count the balancers of the hall.
 """
 
 from __future__ import annotations
@@ -14,19 +18,21 @@
 from sloepond.core.deadlines import NEVER
 
 LEAST_FORWARD_S = 1.8
-"""How long a stopping balancer forwards on in any case: routers ask twice a second, drop it
-after two answers that it is not ready, and packets are on their way meanwhile."""
+"""Seconds for which a stopping balancer keeps forwarding in any case.  Not measured: routers check readiness
+twice a second, drop it after two answers that it is not ready, and packets are on their way meanwhile."""
 QUIET_S = 0.5
-"""Time without a caller's packet after which routers are taken to have dropped it: one round
-of their questions."""
+"""Seconds without a caller's packet after which routers count as having dropped it.  Not measured: one
+interval of their readiness checks."""
 STOP_MARGIN_S = 1.0
-"""Time before it would be killed at which a stopping process ends at the latest.  With 0.6 s
-some processes on machines 5.5 times slower than usual were killed all the same."""
+"""Seconds before it would be killed at which a stopping process ends at the latest.  Measured with 0.6 s:
+some processes on machines 5.5 times slower than usual were killed before they had ended."""
 LONGEST_READY_S = 2.4
-"""How long a stopping balancer says that it is ready at most.  Routers must have dropped it
-4 s after the request to stop; they take up to 1.0 s for that, more on a slow machine."""
+"""Most seconds for which a stopping balancer says that it is ready.  Routers must have dropped it 4 s after
+the request to stop; they take up to 1.0 s for that, more on a slow machine.  Measured with 3.2 s: 9
+requests not served in place of 25, but routers still counted it as ready after the 4 s."""
 READY_SHARE = 0.5
-"""Share of a hall's balancers below which routers use all of them."""
+"""Share of a hall's balancers that must be ready, else routers use all of them.  Given by the routers' rule,
+not chosen here."""
 
 
 class StopReason(enum.Enum):
@@ -72,7 +78,7 @@
         return self._requested_at < NEVER
 
     def request(self, now: float) -> None:
-        """Begin; further requests change nothing."""
+        """Begin; a second request changes nothing."""
         if not self.is_requested:
             self._requested_at = now
             self._review_at = now + LEAST_FORWARD_S
@@ -100,7 +106,7 @@
         return now - self._requested_at
 
     def review(self, hall: HallBalancers, now: float) -> StopReason | None:
-        """Return why the process may end now, None where it forwards on."""
+        """Return why the process may end now, None where it keeps forwarding."""
         if now < self._review_at:
             return None
         ends_at = self._requested_at + self._longest_s
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -1,28 +1,30 @@
-"""Carries a planned stop out: tells peers, counts the balancers of the hall, ends."""
+"""Carries out a planned stop: tells peers, counts the balancers of the hall, ends the process.
+
+Owns: nothing but its commands.  Relies on: `PlannedStop`, which decides when to end; `PeerExchange` to tell
+peers; `PeerTable` to count the balancers of the hall.
+"""
 
 from __future__ import annotations
 
-from sloepond.core.forwarding.commands import Command, CompleteStop, LogKind, WriteLog
-from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.commands import Command, CompleteStop, LogKind
 from sloepond.core.forwarding.lifecycle.planned_stop import LEAST_FORWARD_S, HallBalancers, PlannedStop
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
 from sloepond.core.forwarding.peers.exchange import PeerExchange
-from sloepond.core.forwarding.peers.peer_table import PeerTable
 
 
 class StopProcedure:
     """The planned stop of one balancer.
 
-    :param kill_after_s: time from the request to stop after which the process is killed.
+    :param kill_after_s: seconds from the request to stop after which the process is killed.
     """
 
-    def __init__(
-        self, kill_after_s: float, peers: PeerTable, exchange: PeerExchange, counters: ForwardingCounters
-    ) -> None:
+    def __init__(self, local: LocalState, exchange: PeerExchange, kill_after_s: float) -> None:
         self._stop = PlannedStop(kill_after_s)
-        self._peers = peers
+        self._peers = local.peers
         self._exchange = exchange
-        self._counters = counters
-        self._commands: list[Command] = []
+        self._counters = local.counters
+        self._outbox = Outbox(local.counters)
 
     @property
     def is_requested(self) -> bool:
@@ -34,20 +36,19 @@
 
         :param is_configured: whether this one knows routes and back ends.
         """
-        ready, others = self._peers.hall_count(now)
+        peers = self._peers.hall_count(now)
         is_ready = is_configured and not self.is_requested
-        return HallBalancers(ready + is_ready, others + (not is_ready))
+        return HallBalancers(peers.ready + is_ready, peers.others + (not is_ready))
 
     def says_ready(self, is_configured: bool, now: float) -> bool:
-        """Tell whether routers are told to send packets here."""
+        """Return the answer to the routers' readiness check."""
         if not self.is_requested:
             return is_configured
         return is_configured and self._stop.stays_ready(self.hall_balancers(is_configured, now), now)
 
     def take_commands(self) -> list[Command]:
-        """Return what is to be done, and forget it."""
-        commands, self._commands = self._commands, []
-        return commands
+        """Return the commands issued since the last call, and forget them."""
+        return self._outbox.take()
 
     def packet_seen(self, now: float) -> None:
         """Note a caller's packet."""
@@ -60,14 +61,14 @@
         return self._stop.next_deadline()
 
     def request(self, is_configured: bool, now: float) -> None:
-        """Begin; further requests change nothing."""
+        """Begin; a second request changes nothing."""
         if self.is_requested:
             return
         self._stop.request(now)
         self._exchange.leave(now)
         hall = self.hall_balancers(is_configured, now)
         detail = f"forwards_on_s={LEAST_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
-        self._commands.append(WriteLog(LogKind.STOPPING, "process", detail))
+        self._outbox.log(LogKind.STOPPING, "process", detail)
 
     def on_time(self, is_configured: bool, now: float) -> None:
         """End where routers send no packets here any more, or too little time is left."""
@@ -79,5 +80,5 @@
             f"reason={reason.value} after_s={self._stop.elapsed_s(now):.2f} "
             f"packets={self._stop.packets} zone_ready={hall.ready} zone_others={hall.others}"
         )
-        self._commands.append(WriteLog(LogKind.STOP_COMPLETED, "process", detail))
-        self._commands.append(CompleteStop())
+        self._outbox.log(LogKind.STOP_COMPLETED, "process", detail)
+        self._outbox.add(CompleteStop())
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -1,9 +1,12 @@
-"""What changes in the store, told from balancer to balancer.
+"""Gossip about changes of the store: builds the messages of readers and takes those of others.
 
-Readers of the store confirm several times over what they know; each confirmation is
-passed on by every balancer once, to a few random peers, so all hear it within a few
-steps whatever the size of the fleet.  It holds what has changed lately.  Who has missed
-more than that asks the peer it heard from, then another one, then the store.
+Readers of the store confirm several times over what they know; every balancer passes each confirmation on
+once, to a few random peers, so it reaches all within a few steps whatever the size of the fleet.  It
+carries what has changed lately.  Who has missed more than that requests it from the sender, then from
+another peer, then from the store.
+
+Owns: which revisions were confirmed last.  Relies on: `ChangeIndex` and `RouteHistory` for what has changed
+since a revision or a version, `ListChecksum` for the anti-entropy checksum of the list.
 """
 
 from __future__ import annotations
@@ -21,13 +24,17 @@
 from sloepond.core.forwarding.state.route_table import RouteTable
 
 MAXIMUM_BACKENDS = 12
-"""Back ends in one message, so that it fits a datagram."""
+"""Back ends in one message.  Not measured: about 90 bytes each, so that the message fits a datagram of 1,400
+bytes."""
 MAXIMUM_MESSAGES = 8
-"""Messages that answer one question; who lacks more reads the whole list."""
+"""Messages that answer one request; who lacks more reads the whole list from the store.  Not measured: 96
+back ends, about 10 kB."""
 REPEATS = 2
-"""Confirmations of one reader that hold a change of back ends, against lost datagrams."""
+"""Confirmations of one reader that carry a change of back ends, against lost datagrams.  Measured between
+195 balancers over one day: 66 MB with two, 71 MB where changes were repeated for 2.2 s."""
 REPEAT_ROUTES_S = 2.2
-"""How long a change of the routes is repeated."""
+"""Seconds for which confirmations carry a change of the routes.  Not measured: two confirmations of a
+reader, at 0.9 s each, and a margin."""
 
 
 class ChangeGossip:
@@ -47,7 +54,7 @@
 
     @property
     def list_checksum(self) -> int:
-        """Digest of the back ends that are listed."""
+        """Anti-entropy checksum of the back ends that are listed."""
         return self._backends.list_checksum
 
     def routes_taken(self, now: float) -> None:
@@ -55,7 +62,7 @@
         self._routes_taken_at = now
 
     def confirmed_changes(self, revision: int, now: float) -> tuple[Changes, ...]:
-        """Return what a reader confirms now: changes of the last moments, in parts.
+        """Return what a reader confirms now: the changes since its last confirmations, in parts.
 
         :param revision: the store's revision up to which the reader knows all.
         """
@@ -96,7 +103,7 @@
         return self._evacuations.take(changes.evacuated, now)
 
     def take_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
-        """Take changed back ends; return those that were news.
+        """Take changed back ends; return those that differ from what was known.
 
         :param complete_to: revision up to which all changes are known here.
         """
@@ -105,16 +112,16 @@
     def advanced(self, changes: Changes, revision: int) -> int:
         """Return the revision up to which all is known after changes were taken.
 
-        Whoever lacks what came before them knows all the same if its list is that of the sender.
-        That the sender names no later change does not tell it: a balancer that has started lately
-        never heard of what had left the list before.
+        Where the changes before them are missing here, all is known only if both lists are the same.
+        That the sender names no later change proves nothing: a balancer that has started lately never
+        received what had left the list before.
         """
         is_list_alike = changes.list_checksum == self.list_checksum
         knows_base = revision >= changes.base_revision or is_list_alike
         return max(revision, changes.revision) if knows_base else revision
 
     def _repeated_from(self, revision: int) -> int:
-        """Return the revision confirmed a few times ago, from which changes are told."""
+        """Return the revision confirmed a few times ago; changes after it are sent once more."""
         base = min(self._confirmed[0], revision) if self._confirmed else revision
         self._confirmed.append(revision)
         return base
@@ -122,20 +129,20 @@
     def _parts(self, base: int, revision: int, now: float) -> Iterator[Changes]:
         """Return all changes between two revisions, in parts that follow each other.
 
-        Where not all of them are remembered, the later ones: whoever began with the same list has
-        all with them, which the digest shows.  A fleet of 20 that is killed whole while entries
-        lapse knows all of them within 0.5 s of their return in 24 of 30 seeded runs, else in 14.
+        Where not all of them are remembered, the later ones: who began with the same list then has all,
+        which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse knows
+        all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
         """
         base = max(base, self._backends.changes.complete_from)
         names = self._backends.changes.since(base) or ()
-        known = [backend for name in names if (backend := self._backends.by_name(name)) is not None]
-        known.sort(key=lambda backend: backend.revision)
-        for begin in range(0, max(1, len(known)), MAXIMUM_BACKENDS):
-            part = known[begin : begin + MAXIMUM_BACKENDS]
-            rest = known[begin + MAXIMUM_BACKENDS :]
+        changed = [backend for name in names if (backend := self._backends.by_name(name)) is not None]
+        changed.sort(key=lambda backend: backend.revision)
+        for begin in range(0, max(1, len(changed)), MAXIMUM_BACKENDS):
+            part = changed[begin : begin + MAXIMUM_BACKENDS]
+            rest = changed[begin + MAXIMUM_BACKENDS :]
             end = max(base, min(revision, rest[0].revision - 1)) if rest else revision
-            told = tuple(backend.as_known(now) for backend in part)
-            yield self._changes(None, base, end, told, is_all=not rest)
+            sent = tuple(backend.as_known(now) for backend in part)
+            yield self._changes(None, base, end, sent, is_all=not rest)
             base = end
 
     def _about_routes(self, delta: RouteDelta | None, revision: int) -> Changes:
@@ -146,7 +153,7 @@
         delta: RouteDelta | None,
         base: int,
         revision: int,
-        told: tuple[KnownBackend, ...] = (),
+        backends: tuple[KnownBackend, ...] = (),
         *,
         is_all: bool,
     ) -> Changes:
@@ -155,6 +162,6 @@
         :param is_all: whether all is known up to `revision` and no further.
         """
         latest = self._backends.changes.latest
-        known = self._evacuations.known
-        digest = self.list_checksum if is_all else NO_CHECKSUM
-        return Changes(self._routes.version, delta, base, revision, latest, told, known, digest)
+        evacuated = self._evacuations.known
+        checksum = self.list_checksum if is_all else NO_CHECKSUM
+        return Changes(self._routes.version, delta, base, revision, latest, backends, evacuated, checksum)
--- /dev/null
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -0,0 +1,145 @@
+"""Confirmations: readers say what holds in the store, and gossip carries it to all balancers.
+
+Owns: when this balancer, as a reader, confirms next; when, as a follower, it pulls the last confirmations
+from peers; the last confirmation of each reader.  Relies on: `ReaderElection` to tell new messages from
+copies, `ChangeGossip` to build the changes in a message, `ChangeIntake` to take those received.
+"""
+
+from __future__ import annotations
+
+from sloepond.core.deadlines import NEVER
+from sloepond.core.forwarding.events import Subject
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
+from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
+from sloepond.core.forwarding.peers.change_intake import ChangeIntake
+from sloepond.core.forwarding.peers.messages import Changes, Confirmation, ConfirmationsRequest
+from sloepond.core.forwarding.peers.reader_election import ReaderElection
+from sloepond.core.forwarding.peers.recent_confirmations import RecentConfirmations, without_changes
+from sloepond.core.forwarding.store.staleness import Staleness
+
+PULL_AFTER_S = 0.9
+"""Staleness in seconds at which a follower pulls the last confirmations from peers.  Not measured: one
+interval of the readers' confirmations."""
+PULL_INTERVAL_S = 0.25
+"""Seconds until it pulls from other peers.  Not measured: twice within the time from `PULL_AFTER_S` until
+the staleness counts as too great (`FRESH_S`)."""
+GATHER_S = 0.02
+"""Seconds for which a reader gathers changes before it confirms them.  Not measured: longer than the
+answers of one call take to be read, a tenth of the brief gathering of a watch."""
+
+
+class Confirmations:
+    """Sends, passes on, takes and pulls confirmations."""
+
+    def __init__(
+        self,
+        local: LocalState,
+        election: ReaderElection,
+        gossip: ChangeGossip,
+        intake: ChangeIntake,
+        staleness: Staleness,
+        outbox: Outbox,
+    ) -> None:
+        self._election = election
+        self._watchers = local.watchers
+        self._peers = local.peers
+        self._gossip = gossip
+        self._intake = intake
+        self._staleness = staleness
+        self._outbox = outbox
+        self._recent = RecentConfirmations()
+        self._number = 0
+        self._confirm_at = NEVER
+        self._pull_at = NEVER
+
+    def start(self, now: float) -> None:
+        """Pull the last confirmations at once."""
+        self._pull_at = now
+
+    def next_deadline(self) -> float:
+        """Return when `on_time` has something to do."""
+        return min(self._confirm_at, self._pull_at)
+
+    def on_time(self, now: float, store_answered_at: float) -> None:
+        """Confirm or pull, if it is time.
+
+        :param store_answered_at: when the store last answered any call of this balancer.
+        """
+        if now >= self._confirm_at:
+            self._confirm(now, store_answered_at)
+        if now >= self._pull_at:
+            self._pull(now)
+
+    def schedule(self, now: float) -> None:
+        """Confirm soon, if this balancer is a reader."""
+        if self._election.is_reader:
+            self._confirm_at = min(self._confirm_at, now + GATHER_S)
+
+    def cancel(self) -> None:
+        """Confirm nothing more: this balancer is no longer a reader."""
+        self._confirm_at = NEVER
+
+    def claim(self, now: float) -> None:
+        """Claim the role of a reader before a random few, who pass the claim on."""
+        changes = Changes(0, None, 0, 0, 0)
+        self._outbox.send(self._peers.choose(now), self._message(True, 0.0, changes))
+
+    def received(self, ip: str, message: Confirmation, now: float) -> None:
+        """Take a confirmation or a claim, and pass a new one on once."""
+        election = self._election
+        is_new = election.message_received(
+            message.reader, message.rank, message.number, message.is_claim, now
+        )
+        if not is_new:
+            return
+        brings_changes = self._intake.brings_changes(message.changes)
+        if brings_changes or election.is_among_best(message.reader, now):
+            passed_on = message if brings_changes else without_changes(message)
+            self._outbox.send(self._peers.choose_near(now), passed_on)
+        if message.is_claim:
+            return
+        self._recent.note(message, now)
+        if self._intake.take(ip, message.changes, message.age_s, now):
+            self.schedule(now)
+        self._intake.compare_lists(ip, message.changes, now)
+
+    def requested(self, ip: str, now: float) -> None:
+        """Send a peer the last confirmations, with their age; it requests the changes it lacks."""
+        for message in self._recent.recent(now):
+            self._outbox.send([ip], message)
+
+    def forget(self, now: float) -> None:
+        """Forget confirmations that are too old to send."""
+        self._recent.forget(now)
+
+    def _confirm(self, now: float, store_answered_at: float) -> None:
+        """Send peers what is known here, if the store answers and all of it was read."""
+        self._confirm_at = NEVER
+        is_sound = not self._election.is_failing and all(
+            watcher.is_sound for watcher in self._watchers.values()
+        )
+        if not self._election.is_reader or not is_sound:
+            return
+        age_s = max(0.0, now - store_answered_at)
+        for subject in Subject:
+            self._staleness.confirmed(subject, now - age_s)
+        revision = self._watchers[Subject.BACKENDS].revision
+        for changes in self._gossip.confirmed_changes(revision, now):
+            message = self._message(False, age_s, changes)
+            self._recent.note(message, now)
+            self._outbox.send(self._peers.choose_near(now), message)
+
+    def _pull(self, now: float) -> None:
+        """Request the last confirmations from peers if none has come for long."""
+        age_s = self._staleness.oldest(now)
+        if self._election.is_reader or age_s < PULL_AFTER_S:
+            self._pull_at = now + max(PULL_AFTER_S - age_s, PULL_INTERVAL_S)
+            return
+        self._pull_at = now + PULL_INTERVAL_S
+        self._outbox.send(self._peers.choose(now), ConfirmationsRequest())
+
+    def _message(self, is_claim: bool, age_s: float, changes: Changes) -> Confirmation:
+        self._number += 1
+        identity, rank = self._election.identity, self._election.rank
+        return Confirmation(identity, rank, self._number, is_claim, age_s, changes)
--- a/sloepond/core/forwarding/peers/list_comparison.py
+++ b/sloepond/core/forwarding/peers/list_comparison.py
@@ -1,14 +1,21 @@
-"""Compares this balancer's list of back ends with those of the readers, by digests."""
+"""Anti-entropy: compares this balancer's list of back ends with those of the readers, by checksum.
+
+Owns: since when the lists differ, and the backoff between reads because of it.  Relies on:
+`ChangeIntake`, which calls it only where both lists count as complete up to the same revision.
+"""
 
 from __future__ import annotations
 
 from sloepond.core.deadlines import NEVER
 
 DIFFERS_S = 0.4
-"""How long all digests heard differ before the list is read anew: a change travels to all in about
-0.05 s, and one that was lost is asked for after 0.1 s and again after 0.3 s."""
-LONGEST_PATIENCE_S = 25.0
-"""The same after some reads that did not help: the readers' list may be the wrong one."""
+"""Seconds for which all checksums received must differ before the list is read anew.  A change reaches all
+in about 0.05 s, and one that was lost is requested after 0.1 s and again after 0.3 s.  Measured on a model
+fleet under random faults, 36 s a seed: back ends kept for good after kills in 2 of 60 seeds without the
+comparison, in 0 of 210 with it."""
+LONGEST_TIMEOUT_S = 25.0
+"""Seconds up to which that time doubles with each read that does not help: the readers' list may be the
+wrong one.  Not measured: `DIFFERS_S` doubled six times, less than the interval of regular reads (60 s)."""
 
 
 class ListComparison:
@@ -16,7 +23,7 @@
 
     def __init__(self) -> None:
         self._differs_since = NEVER
-        self._patience_s = DIFFERS_S
+        self._timeout_s = DIFFERS_S
 
     def compare(self, is_alike: bool, now: float) -> bool:
         """Take one comparison; return whether the list is to be read anew.
@@ -25,11 +32,11 @@
         """
         if is_alike:
             self._differs_since = NEVER
-            self._patience_s = DIFFERS_S
+            self._timeout_s = DIFFERS_S
             return False
         self._differs_since = min(self._differs_since, now)
-        if now - self._differs_since < self._patience_s:
+        if now - self._differs_since < self._timeout_s:
             return False
         self._differs_since = NEVER
-        self._patience_s = min(LONGEST_PATIENCE_S, 2.0 * self._patience_s)
+        self._timeout_s = min(LONGEST_TIMEOUT_S, 2.0 * self._timeout_s)
         return True
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -1,4 +1,8 @@
-"""What balancers say to each other, by datagram (`PeerMessage`) or stream (`Snapshot`)."""
+"""Messages between balancers, by datagram (`PeerMessage`) or by stream (`StreamRequest` and its answers).
+
+Owns: the form of the messages.  Each is encoded as an array in the order of its fields with its tag in
+front, so fields are added at the end only, with a default.  Relies on: `msgspec`.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +16,11 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A balancer is alive and knows this much.
+    """The sender is alive and knows this much.
 
     :ivar routes_version: version of the routes in force, 0 for none.
     :ivar backends_revision: the store's revision of the last change of back ends
-        it has seen.
+        that the sender knows.
     :ivar is_leaving: whether it stops.
     :ivar known_peers: IP addresses of a few other balancers.
     :ivar hall: hall of the sender.
@@ -30,13 +34,13 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A question: the back end that has this token."""
+    """Requests the back end that has a token."""
 
     token: int
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The back end that has a token.
+    """Answers `TokenRequest`: the back end that has the token.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
     :ivar said_leaving: whether it had said that it leaves.
@@ -69,8 +73,8 @@
     :ivar changed_at: revision of the last change of a back end known to the sender.
     :ivar backends: changed back ends as they are now.
     :ivar evacuated: all evacuated halls the sender knows of.
-    :ivar list_checksum: digest of the sender's list of back ends at `revision`, `NO_CHECKSUM` where it
-        tells none.
+    :ivar list_checksum: anti-entropy checksum of the sender's list of back ends at `revision`,
+        `NO_CHECKSUM` where the message carries none.
     """
 
     routes_version: int
@@ -84,7 +88,7 @@
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A reader of the store tells all others what it knows; each passes it on once.
+    """A reader of the store confirms to all others what it knows; each passes it on once.
 
     :ivar reader: identity of the reader's process.
     :ivar rank: of the reader; see `ReaderElection`.
@@ -102,20 +106,20 @@
 
 
 class ChangesRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A question: what has changed since a version of the routes and a revision."""
+    """Requests what has changed since a version of the routes and a revision of the store."""
 
     routes_version: int
     revision: int
 
 
 class ChangesReply(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """An answer to `ChangesRequest`, or a part of it."""
+    """Answers `ChangesRequest`, or a part of it."""
 
     changes: Changes
 
 
 class ConfirmationsRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A question of a balancer that has heard no confirmation lately: the last ones heard."""
+    """Requests the last confirmations, for a balancer that has received none lately."""
 
 
 class BackendUnreachable(msgspec.Struct, frozen=True, array_like=True, tag=8):
@@ -125,7 +129,7 @@
 
 
 class RequestUnanswered(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """A back end has left a request of the sender unanswered; goes to those assigned to it."""
+    """A back end has left a request of the sender unanswered; sent to the balancers assigned to it."""
 
     name: str
 
@@ -156,7 +160,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that a balancer knows, for one that has just started.
+    """All that a balancer knows, for one that has just started; answers `SnapshotRequest`.
 
     :ivar routes_age_s: seconds since the store last answered about the routes.
     :ivar backends_age_s: the same about the back ends.
@@ -172,11 +176,11 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asked on a stream: all that the other one knows."""
+    """Requests a snapshot, on a stream."""
 
 
 class RoutesRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Asked on a stream: the differences since a version of the routes."""
+    """Requests the differences since a version of the routes, on a stream."""
 
     version: int
 
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -1,7 +1,10 @@
-"""Other balancers: a partial view, kept by heartbeats to a random few.
+"""Peer sampling: each balancer keeps a partial view of the others, by heartbeats to a random few.
 
-Nothing is agreed on.  A heartbeat says how much its sender knows, so that one whose
-knowledge has missed a change asks for it; and it spreads addresses.
+Membership needs no agreement.  A heartbeat says how much its sender knows, so that who has missed a change
+requests it; and it carries addresses of other balancers.
+
+Owns: the peers known, and when each was last heard.  Relies on: `Heartbeats` to send and take heartbeats,
+the settings for seeds.
 """
 
 from __future__ import annotations
@@ -15,41 +18,62 @@
 from sloepond.core.forwarding.peers.messages import Heartbeat
 
 HEARTBEAT_INTERVAL_S = 1.0
+"""Seconds between heartbeats, drawn from 0.8 to 1.2 times this so that they do not stay in step.  Not
+measured: with `FANOUT` it makes 3 datagrams a second of each balancer, whatever the size of the fleet."""
 FANOUT = 3
-"""Peers that each heartbeat and each question goes to."""
+"""Peers that each heartbeat, request and passed-on message goes to.  Not measured alone: simulated, gossip
+at this fanout misses 5% of the balancers; three readers and the pull make up for it."""
 MAXIMUM_PEERS = 128
-"""Peers kept; of more, a random one makes room."""
+"""Peers kept; a random one makes room for another.  Not measured: bounds the memory and the time to choose
+peers, and holds most of the largest fleet seen (195 balancers)."""
 SHARED_PEERS = 4
-"""Addresses carried by a heartbeat."""
+"""Addresses carried by a heartbeat.  Not measured: one more than `FANOUT`, 16 bytes each at most."""
 SILENT_S = 5.0
-"""Silence after which a peer is no longer asked."""
-ZONE_FANOUT = 32
-"""Peers of its hall that a balancer tells at once that it stops: all of a hall where it is
-small, and of a larger one enough that most of those that stop with it know."""
+"""Seconds of silence after which a peer no longer counts as alive.  Not measured: several heartbeat
+intervals, since a peer hears of a balancer only now and then."""
+HALL_FANOUT = 32
+"""Peers of its hall to which a balancer says at once that it stops: all of a small hall, and of a larger
+one enough that most of those that stop with it know.  Not measured alone; with the rule of `planned_stop`,
+of which it is a part, requests not served fell from 414 to 25 over days with a planned removal."""
 FORGOTTEN_S = 20.0
-"""Silence after which a peer is told of others when it speaks again."""
-TOLD_S = 3.0
-"""How long a peer counts as alive because another one hears it.  Only peers heard by
-oneself are told of, so one that is gone is forgotten everywhere."""
+"""Seconds of silence after which a peer counts as new: it is sent a heartbeat with addresses when it is
+heard again.  Not measured: long enough that heartbeats at random have reached every known peer."""
+VOUCHED_S = 3.0
+"""Seconds for which a peer counts as alive because a heartbeat of another one names it.  Heartbeats name
+only peers that their sender has heard itself, so one that is gone is forgotten everywhere.  Measured on a
+simulated fleet of 40 without it: seeds were sent ten times the datagrams of others, and some machines were
+sent almost none."""
 
 
 class Peer(msgspec.Struct):
     """One other balancer.
 
-    :ivar heard_at: when it was last heard, -inf for never.
-    :ivar told_at: when another peer last told that it hears it.
+    :ivar heard_at: when its last message came, `-NEVER` for never.
+    :ivar vouched_at: when a heartbeat of another peer last named it, `-NEVER` for never.
+    :ivar is_leaving: whether it has said that it stops.
     :ivar is_ready: whether it has said that it knows routes and does not stop.
     :ivar hall: its hall, empty where it is not known.
     """
 
     ip: str
     heard_at: float = -NEVER
-    told_at: float = -NEVER
+    vouched_at: float = -NEVER
     is_leaving: bool = False
     is_ready: bool = False
     hall: str = ""
 
 
+class HallPeers(msgspec.Struct, frozen=True):
+    """Peers of the hall that were heard lately.
+
+    :ivar ready: those that live and have said that they are ready.
+    :ivar others: those that stop, are silent, or know no routes yet.
+    """
+
+    ready: int
+    others: int
+
+
 class PeerTable:
     """The peers known to one balancer.
 
@@ -74,18 +98,18 @@
         return [peer.ip for peer in self._peers.values() if not peer.is_leaving]
 
     def alive(self, now: float) -> list[str]:
-        """Return the addresses of the peers that are alive as far as is known."""
+        """Return the addresses of the peers that count as alive."""
         return [peer.ip for peer in self._peers.values() if self._is_alive(peer, now)]
 
-    def hall_count(self, now: float) -> tuple[int, int]:
-        """Return how many peers of the hall are ready, and how many others were lately heard."""
+    def hall_count(self, now: float) -> HallPeers:
+        """Count the peers of the hall, this balancer left out."""
         lately = [
             peer
             for peer in self._peers.values()
             if peer.hall == self._hall and now - peer.heard_at < FORGOTTEN_S
         ]
         ready = sum(peer.is_ready and self._is_alive(peer, now) for peer in lately)
-        return ready, len(lately) - ready
+        return HallPeers(ready, len(lately) - ready)
 
     def seeds_changed(self, seeds: Iterable[str]) -> None:
         """Take other seeds; peers known stay."""
@@ -94,11 +118,11 @@
             self._learn(seed)
 
     def is_new(self, ip: str, now: float) -> bool:
-        """Tell whether a peer has not been heard for long: it may know nobody."""
+        """Tell whether a peer has been silent for long: it may know nobody."""
         peer = self._peers.get(ip)
         return peer is None or now - peer.heard_at > FORGOTTEN_S
 
-    def heard(self, ip: str, heartbeat: Heartbeat, now: float) -> None:
+    def heartbeat_received(self, ip: str, heartbeat: Heartbeat, now: float) -> None:
         """Take a peer's heartbeat."""
         peer = self._learn(ip)
         if peer is not None:
@@ -107,20 +131,20 @@
             peer.is_ready = heartbeat.routes_version > 0 and not heartbeat.is_leaving
             peer.hall = heartbeat.hall
         for known in heartbeat.known_peers:
-            told = self._learn(known)
-            if told is not None:
-                told.told_at = now
+            named = self._learn(known)
+            if named is not None:
+                named.vouched_at = now
 
-    def heard_from(self, ip: str, now: float) -> None:
-        """Note that a peer has said something."""
+    def message_received(self, ip: str, now: float) -> None:
+        """Note that a peer has sent some message."""
         peer = self._learn(ip)
         if peer is not None:
             peer.heard_at = now
 
     def choose(self, now: float, count: int = FANOUT) -> list[str]:
-        """Return addresses of a random few that are alive as far as is known.
+        """Return addresses of a random few that count as alive.
 
-        One that may be dead is among them now and then, so that a healed cut is noticed.
+        One that may be dead is among them now and then, so that the end of a partition is noticed.
         """
         alive = self.alive(now)
         others = [peer.ip for peer in self._peers.values() if not self._is_alive(peer, now)]
@@ -132,7 +156,7 @@
     def choose_near(self, now: float) -> list[str]:
         """Return addresses of a few living peers, most of them in the same hall.
 
-        Bytes between halls are priced; one peer from anywhere keeps the halls in touch.
+        Bytes between halls have a price; one peer from anywhere keeps the halls in touch.
         """
         near = self._alive_in_hall(now)
         chosen = self._random.sample(near, min(FANOUT - 1, len(near)))
@@ -142,14 +166,14 @@
     def choose_in_hall(self, now: float) -> list[str]:
         """Return addresses of the living peers of the hall, of many a random part."""
         near = self._alive_in_hall(now)
-        return self._random.sample(near, min(ZONE_FANOUT, len(near)))
+        return self._random.sample(near, min(HALL_FANOUT, len(near)))
 
     def _alive_in_hall(self, now: float) -> list[str]:
         peers = self._peers.values()
         return [peer.ip for peer in peers if peer.hall == self._hall and self._is_alive(peer, now)]
 
     def choose_source(self, now: float, may_be_far: bool) -> list[str]:
-        """Return the address of a peer to fetch much from, in the same hall if possible.
+        """Return the address of a peer to fetch a snapshot from, in the same hall if possible.
 
         :param may_be_far: whether one in another hall, or in an unknown one, will do.
         """
@@ -172,8 +196,8 @@
 
     @staticmethod
     def _is_alive(peer: Peer, now: float) -> bool:
-        is_known = now - peer.heard_at < SILENT_S or now - peer.told_at < TOLD_S
-        return is_known and not peer.is_leaving
+        is_heard = now - peer.heard_at < SILENT_S or now - peer.vouched_at < VOUCHED_S
+        return is_heard and not peer.is_leaving
 
     def _learn(self, ip: str) -> Peer | None:
         if ip == self._ip:
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -1,10 +1,13 @@
-"""Which balancers read the store: a few, elected without agreement.
+"""Reader election: which few balancers read the store, without agreement.
 
-A reader watches the store and confirms what it knows to all others, several times over.
-Each follower counts the readers it hears.  When there are too few, it waits a random
-moment, claims the role, and reads if no better ones claim it meanwhile; when there are
-too many, the worst resign.  Two parts of a fleet that cannot reach each other have
-readers of their own, and a balancer that hears nobody reads for itself.
+A reader watches the store and confirms what it knows to all others.  Each follower counts the readers it
+receives messages of.  When there are too few, it waits a random time, becomes a candidate, claims the
+role, and reads if no better ones claim it meanwhile; when there are too many, the worst resign.  Two parts
+of a fleet that cannot reach each other have readers of their own, and a balancer that receives nothing
+reads for itself.  One reader more or less does no harm, since readers only confirm.
+
+Owns: the role of this balancer.  Relies on: `KnownReaders` for the others, the caller to say how stale
+what it knows is, and to carry the role out.
 """
 
 from __future__ import annotations
@@ -12,61 +15,51 @@
 import enum
 import random
 
-import msgspec
-
 from sloepond.core.deadlines import NEVER
+from sloepond.core.forwarding.peers.known_readers import READERS, KnownReaders
 
-READERS = 3
-"""Readers a fleet has."""
-READER_SILENT_S = 2.0
-"""Silence after which a reader is taken to be gone."""
-HEARD_LATELY_S = 1.2
-"""Silence after which a reader keeps nobody from claiming whose knowledge is old: readers confirm
-each 0.9 s, and all must have been silent for `FRESH_S` where none of them is the cause."""
-CLAIM_LASTS_S = 0.7
-"""How long a claim counts that no confirmation follows."""
 CLAIM_WAIT_S = 0.08
-"""Time for better claims to be heard."""
-FRESH_S = 1.5
-"""Age of what is known above which a reader is needed at once."""
+"""Seconds for better claims to arrive before a candidate reads.  Not measured: gossip reaches all in about
+0.05 s."""
 START_S = 0.3
-"""Time for a process that has just started to hear of readers: it asks peers for their
-last confirmations at once, so silence means that all have just started."""
+"""Seconds for a process that has just started to receive confirmations, which it pulls at once, so silence
+means that all have just started.  Measured with 1.0 s in its place: after a loss of all processes the
+first watch began 1.26 s after the first read, and entries that came back meanwhile were unknown."""
 START_S_PER_PEER = 0.015
-"""The same, for each peer heard of: the larger a fleet that starts, the more claims meet."""
+"""The same in seconds for each peer known: the larger a fleet that starts, the more claims meet.  Measured
+in a fleet of 74: all claim at 0.3 s without it; no effect on requests served was shown."""
 URGENT_DELAY_S = 0.35
-"""Longest wait before a claim while nothing is confirmed."""
+"""Longest random wait in seconds before a claim while nothing is confirmed.  Not measured: four times
+`CLAIM_WAIT_S`, so that few claims meet."""
 DELAY_S = 2.0
-"""The same while there are readers, but too few."""
+"""The same while there are readers, but too few.  Not measured: nothing is late then, so a longer wait
+lets fewer claims meet."""
 CAPACITY_FACTOR = 8.0
-"""How much sooner a balancer with a whole core claims the role."""
+"""How much sooner a balancer with a whole core becomes a candidate: the wait is divided by 1 + 8 times its
+share of a core.  Not measured: reading a large configuration takes a small machine 0.2 s, so larger ones
+should read."""
 BARRED_S = 1.5
-"""How long a reader that has failed leaves the role to others: once to twice this."""
+"""Seconds for which a reader that has failed leaves the role to others: once to twice this.  Not measured:
+longer than a candidate needs to become a reader, at most 0.6 s."""
 FAILING_S = 0.6
-"""How long calls may fail before a reader gives the role up."""
+"""Seconds for which calls to the store may fail before a reader resigns.  Not measured: about four tries
+with the waits of the backoff."""
 CHECK_INTERVAL_S = 0.2
+"""Seconds between reviews of the role.  Not measured: a tenth of the silence after which a reader is gone."""
+RANK_STEPS = 1000.0
+"""The random part of a rank is at most a core divided by this, so that equal machines differ in rank.  Not
+measured: below the smallest step in which machines' shares of a core differ."""
 
 
 class Role(enum.Enum):
-    """What a balancer does about the store."""
+    """What a balancer does about the store; the values stand in log lines."""
 
     FOLLOWER = "listener"
+    """Takes what readers confirm."""
     CANDIDATE = "claimant"
+    """Has claimed the role of a reader and waits for better claims."""
     READER = "reader"
-
-
-class KnownReader(msgspec.Struct):
-    """One reader, or one that claims to become one.
-
-    :ivar number: number of the last confirmation heard.
-    :ivar heard_at: when that was.
-    :ivar counts_until: time until which it counts without being heard again.
-    """
-
-    rank: float
-    number: int
-    heard_at: float
-    counts_until: float
+    """Watches the store and confirms what it knows to all others."""
 
 
 class ReaderElection:
@@ -74,16 +67,17 @@
 
     :param identity: number of this process, drawn at its start.
     :param capacity: share of a core it may use; the larger, the sooner it reads.
+    :ivar rank: of two readers the one with the higher rank stays.
     :ivar role: what it does now.
     """
 
     def __init__(self, identity: int, capacity: float, random_source: random.Random) -> None:
         self.identity = identity
         self.capacity = capacity
-        self.rank = capacity + random_source.random() / 1000.0
+        self.rank = capacity + random_source.random() / RANK_STEPS
         self.role = Role.FOLLOWER
         self._random = random_source
-        self._readers: dict[int, KnownReader] = {}
+        self._others = KnownReaders()
         self._started_at = -NEVER
         self._check_at = NEVER
         self._claim_at = NEVER
@@ -105,37 +99,23 @@
         """Return when `on_time` has something to do."""
         return min(self._check_at, self._claim_at)
 
-    def heard(self, identity: int, rank: float, number: int, is_claim: bool, now: float) -> bool:
-        """Note a claim or a confirmation; return whether it is a new one."""
+    def message_received(self, identity: int, rank: float, number: int, is_claim: bool, now: float) -> bool:
+        """Note a claim or a confirmation of a reader; return whether it is a new one."""
         if identity == self.identity:
             return False
-        known = self._readers.get(identity)
-        if known is not None and number <= known.number:
-            return False
-        lasts_s = CLAIM_LASTS_S if is_claim else READER_SILENT_S
-        self._readers[identity] = KnownReader(rank, number, now, now + lasts_s)
-        return True
+        return self._others.message_received(identity, rank, number, is_claim, now)
 
     def is_among_best(self, identity: int, now: float) -> bool:
         """Tell whether a reader is one of those that stay when there are too many.
 
-        Only their confirmations are passed on, so that too many readers, as at the start
-        of a large fleet, do not multiply what is sent.
+        Only their confirmations are passed on, so that too many readers, as at the start of a large
+        fleet, do not multiply what is sent.
         """
-        rank = self._readers[identity].rank
-        better = sum(reader.counts_until > now and reader.rank > rank for reader in self._readers.values())
-        return better < READERS
+        return self._others.count_better(self._others.rank_of(identity), now) < READERS
 
-    def readers_heard(self, now: float) -> int:
+    def readers_counted(self, now: float) -> int:
         """Return how many other readers there are as far as is known."""
-        return sum(reader.counts_until > now for reader in self._readers.values())
-
-    def heard_lately(self, now: float) -> int:
-        """Return how many other readers and candidates were heard a moment ago."""
-        return sum(
-            reader.counts_until > now and now - reader.heard_at < HEARD_LATELY_S
-            for reader in self._readers.values()
-        )
+        return self._others.count(now)
 
     def store_failed(self, now: float) -> None:
         """Note that a call to the store has failed."""
@@ -155,56 +135,49 @@
         """Change the role if it is time.
 
         :param is_fresh: whether what is known was confirmed lately.
-        :param hears_peers: whether any other balancer is heard.
+        :param hears_peers: whether any other balancer was heard lately.
         :param peers: other balancers known.
         """
         if now < self.next_deadline():
             return
         self._check_at = now + CHECK_INTERVAL_S
         if self.role is Role.FOLLOWER:
-            self._consider_claim(now, is_fresh, peers)
+            self._consider_candidacy(now, is_fresh, peers)
         elif self.role is Role.CANDIDATE:
-            self._consider_claim_won(now)
+            self._consider_reading(now)
         else:
             self._consider_resigning(now, hears_peers)
 
     def forget_silent(self, now: float) -> None:
-        """Forget readers not heard for long."""
-        gone = [
-            key for key, reader in self._readers.items() if now - reader.counts_until > 10 * READER_SILENT_S
-        ]
-        for key in gone:
-            del self._readers[key]
-
-    def _consider_claim(self, now: float, is_fresh: bool, peers: int) -> None:
-        heard = self.readers_heard(now) if is_fresh else self.heard_lately(now)
+        """Forget readers that have been silent for long."""
+        self._others.forget_silent(now)
+
+    def _consider_candidacy(self, now: float, is_fresh: bool, peers: int) -> None:
+        readers = self._others.count(now) if is_fresh else self._others.count_recent(now)
         may_claim_at = max(self._barred_until, self._started_at + START_S + START_S_PER_PEER * peers)
-        if heard >= READERS or now < may_claim_at:
+        if readers >= READERS or now < may_claim_at:
             self._claim_at = NEVER
             return
         if self._claim_at == NEVER:
-            longest_s = DELAY_S if is_fresh and heard else URGENT_DELAY_S
-            drawn = self._random.random() * longest_s
-            self._claim_at = now + drawn / (1.0 + CAPACITY_FACTOR * self.capacity)
+            longest_s = DELAY_S if is_fresh and readers else URGENT_DELAY_S
+            drawn_s = self._random.random() * longest_s
+            self._claim_at = now + drawn_s / (1.0 + CAPACITY_FACTOR * self.capacity)
         if now >= self._claim_at:
             self._claim_at = NEVER
             self.role = Role.CANDIDATE
             self._claimed_at = now
             self._check_at = now + CLAIM_WAIT_S
 
-    def _consider_claim_won(self, now: float) -> None:
+    def _consider_reading(self, now: float) -> None:
         if now < self._claimed_at + CLAIM_WAIT_S:
             return
-        is_needed = self._better_readers(now) < READERS
+        is_needed = self._others.count_better(self.rank, now) < READERS
         self.role = Role.READER if is_needed else Role.FOLLOWER
         self._failing_since = None
 
     def _consider_resigning(self, now: float, hears_peers: bool) -> None:
-        if self._better_readers(now) >= READERS:
+        if self._others.count_better(self.rank, now) >= READERS:
             self.role = Role.FOLLOWER
         elif self._failing_since is not None and now - self._failing_since > FAILING_S and hears_peers:
             self.role = Role.FOLLOWER
             self._barred_until = now + BARRED_S * (1.0 + self._random.random())
-
-    def _better_readers(self, now: float) -> int:
-        return sum(reader.counts_until > now and reader.rank > self.rank for reader in self._readers.values())
--- /dev/null
+++ b/sloepond/core/forwarding/peers/reader_role.py
@@ -0,0 +1,84 @@
+"""Carries out the role that the reader election gives this balancer.
+
+Owns: nothing but the change from one role to the next.  Relies on: `ReaderElection`, which decides;
+`StoreProbing`, `Confirmations` and the watchers, which a reader starts and a follower stops.
+"""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.commands import LogKind
+from sloepond.core.forwarding.events import Subject
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
+from sloepond.core.forwarding.peers.confirmations import Confirmations
+from sloepond.core.forwarding.peers.reader_election import ReaderElection, Role
+from sloepond.core.forwarding.store.probing import StoreProbing
+from sloepond.core.forwarding.store.staleness import Staleness
+
+
+class ReaderRole:
+    """Starts and stops reading the store when the role changes, and logs why."""
+
+    def __init__(
+        self,
+        local: LocalState,
+        election: ReaderElection,
+        staleness: Staleness,
+        probing: StoreProbing,
+        confirmations: Confirmations,
+        outbox: Outbox,
+    ) -> None:
+        self._local = local
+        self._election = election
+        self._staleness = staleness
+        self._probing = probing
+        self._confirmations = confirmations
+        self._outbox = outbox
+
+    def on_time(self, now: float, hears_peers: bool) -> None:
+        """Review the staleness and the role.
+
+        :param hears_peers: whether any peer was heard lately.
+        """
+        before = self._election.role
+        is_fresh = self._staleness.is_fresh(now)
+        if self._staleness.review(now):
+            self._log_stale(now)
+        self._election.on_time(now, is_fresh, hears_peers, len(self._local.peers))
+        role = self._election.role
+        if role is before:
+            return
+        self._log_change(role, is_fresh, now)
+        if role is Role.CANDIDATE:
+            self._confirmations.claim(now)
+        elif role is Role.READER:
+            self._begin_reading(now)
+        elif before is Role.READER:
+            self._end_reading()
+
+    def _begin_reading(self, now: float) -> None:
+        self._probing.begin(now)
+        for watcher in self._local.watchers.values():
+            watcher.begin_watching(now)
+
+    def _end_reading(self) -> None:
+        self._confirmations.cancel()
+        self._probing.end()
+        for watcher in self._local.watchers.values():
+            watcher.end_watching()
+
+    def _log_stale(self, now: float) -> None:
+        self._local.counters.knowledge_old += 1
+        ages = " ".join(
+            f"{subject.name.lower()}_age_s={self._staleness.of(subject, now):.2f}" for subject in Subject
+        )
+        detail = f"heard={self._election.readers_counted(now)} {ages}"
+        self._outbox.log(LogKind.KNOWLEDGE_OLD, self._election.role.value, detail)
+
+    def _log_change(self, role: Role, is_fresh: bool, now: float) -> None:
+        self._local.counters.role_changes += 1
+        detail = (
+            f"heard={self._election.readers_counted(now)} fresh={is_fresh} "
+            f"failing={self._election.is_failing} age_s={self._staleness.oldest(now):.2f}"
+        )
+        self._outbox.log(LogKind.ROLE_CHANGED, role.value, detail)
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -1,15 +1,18 @@
-"""The last confirmation heard of each reader, for peers that have heard none lately."""
+"""The last confirmation of each reader, for peers that have received none lately.
+
+Owns: one confirmation for each reader.  Relies on: `Confirmations`, which adds those it receives.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 from sloepond.core.forwarding.peers.messages import Changes, Confirmation
-from sloepond.core.forwarding.peers.reader_election import FRESH_S
+from sloepond.core.forwarding.store.staleness import FRESH_S
 
 
 class RecentConfirmation(msgspec.Struct, frozen=True):
-    """The last confirmation of a reader and when it was heard."""
+    """The last confirmation of a reader and when it was received."""
 
     message: Confirmation
     at: float
@@ -19,48 +22,48 @@
     """One confirmation for each reader."""
 
     def __init__(self) -> None:
-        self._heard: dict[int, RecentConfirmation] = {}
+        self._by_reader: dict[int, RecentConfirmation] = {}
 
     def note(self, message: Confirmation, now: float) -> None:
         """Keep a confirmation in place of the reader's last one."""
-        self._heard[message.reader] = RecentConfirmation(message, now)
+        self._by_reader[message.reader] = RecentConfirmation(message, now)
 
     def recent(self, now: float) -> list[Confirmation]:
         """Return those that are still fresh, with their age and without changes.
 
-        After a loss of all processes everyone asks the few seeds for them, four times a
-        second; changes told each time made 1,066 kB/s of a seed before 195 balancers, 600 without.
+        After a loss of all processes everyone requests them from the few seeds, four times a second;
+        with changes each seed sent 1,066 kB/s to 195 balancers, without them 600 kB/s.
         """
         recent: list[Confirmation] = []
-        for heard in self._heard.values():
-            age_s = heard.message.age_s + now - heard.at
+        for received in self._by_reader.values():
+            age_s = received.message.age_s + now - received.at
             if age_s < FRESH_S:
-                recent.append(msgspec.structs.replace(without_changes(heard.message), age_s=age_s))
+                recent.append(msgspec.structs.replace(without_changes(received.message), age_s=age_s))
         return recent
 
     def forget(self, now: float) -> None:
-        """Forget those that are fresh no longer."""
-        old = [reader for reader, heard in self._heard.items() if now - heard.at > FRESH_S]
+        """Forget those that are no longer fresh."""
+        old = [reader for reader, received in self._by_reader.items() if now - received.at > FRESH_S]
         for reader in old:
-            del self._heard[reader]
+            del self._by_reader[reader]
 
 
 def without_changes(message: Confirmation) -> Confirmation:
-    """Return a confirmation that only names how much its reader knows.
+    """Return a confirmation that only says how much its reader knows.
 
-    Whoever learns of changes passes them on once; all who hear them again pass on only that
-    they are confirmed, and who lacks them then asks.  What 195 balancers sent each other
-    over one day fell from 254 to 68 MB by this and by telling each change in two confirmations.
+    Whoever learns of changes passes them on once; all who receive them again pass on only that they are
+    confirmed, and who lacks them then requests them.  What 195 balancers sent each other over one day
+    fell from 254 to 68 MB by this and by sending each change in two confirmations.
     """
-    told = message.changes
+    sent = message.changes
     bare = Changes(
-        told.routes_version,
+        sent.routes_version,
         None,
-        told.revision,
-        told.revision,
-        told.changed_at,
+        sent.revision,
+        sent.revision,
+        sent.changed_at,
         (),
-        told.evacuated,
-        told.list_checksum,
+        sent.evacuated,
+        sent.list_checksum,
     )
     return msgspec.structs.replace(message, changes=bare)
--- /dev/null
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -0,0 +1,55 @@
+"""Snapshots: routes and back ends as one balancer has them, for one that has just started.
+
+Owns: nothing; it reads and updates the local state.  Relies on: `Staleness` for the age that goes with
+a snapshot, the runtime to carry it by stream.
+"""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.commands import LogKind
+from sloepond.core.forwarding.events import SnapshotReceived, Subject
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
+from sloepond.core.forwarding.peers.messages import Snapshot
+from sloepond.core.forwarding.store.staleness import Staleness
+
+
+class Snapshots:
+    """Makes snapshots and takes those of peers."""
+
+    def __init__(self, local: LocalState, staleness: Staleness, outbox: Outbox) -> None:
+        self._local = local
+        self._staleness = staleness
+        self._outbox = outbox
+
+    def make(self, now: float) -> Snapshot:
+        """Return all that is known here."""
+        local = self._local
+        return Snapshot(
+            local.routes.in_force,
+            self._staleness.of(Subject.ROUTES, now),
+            tuple(backend.as_known(now) for backend in local.backends),
+            self._staleness.of(Subject.BACKENDS, now),
+            local.watchers[Subject.BACKENDS].revision,
+            local.evacuations.known,
+        )
+
+    def received(self, event: SnapshotReceived, now: float) -> None:
+        """Take what a peer knows where nothing newer is known here."""
+        local, snapshot = self._local, event.snapshot
+        is_first = not local.backends.is_listed
+        is_newer = local.routes.take(snapshot.routes)
+        complete_to = local.watchers[Subject.BACKENDS].known_beyond(snapshot.revision)
+        added = sum(local.backends.take(known, complete_to, now) for known in snapshot.backends)
+        local.evacuations.take(snapshot.evacuated, now)
+        if is_first:
+            local.backends.list_begins(snapshot.revision)
+            local.watchers[Subject.BACKENDS].peer_informed(snapshot.revision, now)
+            local.watchers[Subject.ROUTES].peer_informed(0, now)
+        local.counters.knowledge_taken += 1
+        detail = (
+            f"routes={snapshot.routes.version} newer={is_newer} routes_age_s={snapshot.routes_age_s:.2f} "
+            f"backends_added={added} backends_age_s={snapshot.backends_age_s:.2f} "
+            f"evacuated={','.join(local.evacuations.known.halls) or 'none'}"
+        )
+        self._outbox.log(LogKind.KNOWLEDGE_TAKEN, event.ip, detail)
--- /dev/null
+++ b/sloepond/core/forwarding/peers/unreachable_gossip.py
@@ -0,0 +1,40 @@
+"""Gossip about back ends that some balancer could not reach.
+
+Owns: the names of back ends that are to be checked here because of it.  Relies on: `Reachability`,
+which remembers what was heard lately, so that each balancer passes a name on once.
+"""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.health.reachability import Reachability
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
+from sloepond.core.forwarding.peers.messages import BackendUnreachable
+
+
+class UnreachableGossip:
+    """Spreads the names of back ends that could not be reached, and collects those to check."""
+
+    def __init__(self, local: LocalState, reachability: Reachability, outbox: Outbox) -> None:
+        self._local = local
+        self._reachability = reachability
+        self._outbox = outbox
+        self._suspected: list[str] = []
+
+    def spread(self, name: str, now: float) -> None:
+        """Send a name to a few peers; each passes it on once."""
+        self._outbox.send(self._local.peers.choose_near(now), BackendUnreachable(name))
+
+    def received(self, name: str, now: float) -> None:
+        """Take a name from a peer: pass it on, and check the back end if it has flows here."""
+        backend = self._local.backends.by_name(name)
+        if backend is None or not self._reachability.suspected_by_peer(backend, now):
+            return
+        self.spread(name, now)
+        if backend.flows:
+            self._suspected.append(name)
+
+    def take_suspected(self) -> list[str]:
+        """Return back ends with flows here that peers could not reach, and forget them."""
+        suspected, self._suspected = self._suspected, []
+        return suspected
--- a/sloepond/core/forwarding/store/missed_changes.py
+++ b/sloepond/core/forwarding/store/missed_changes.py
@@ -1,7 +1,10 @@
-"""Finds out that a watch has missed a change: the store's revision goes on without it.
+"""Notices that a watch has missed a change: the store's revision goes on without it.
 
-An answer to a watch may be lost without a word, on a connection that says nothing more.  The
-answers to probes beside it name the store's revision.
+The answer to a watch may be lost without an error, on a connection that stays silent.  The answers to
+probes beside it name the store's revision.
+
+Owns: the revision of the last probe, and the backoff between reads for this reason.  Relies on:
+`StoreProbing`, which passes on each answer.
 """
 
 from __future__ import annotations
@@ -11,18 +14,18 @@
 from sloepond.core.deadlines import NEVER
 
 READ_INTERVAL_S = 1.0
-"""The least time between reads for this reason; it doubles with each that brings nothing, since
-others may write to the store what nobody here follows."""
+"""The least seconds between reads for this reason; it doubles with each that brings nothing, since others
+may write to the store what nobody here watches.  Not measured: one probe interval."""
 LONGEST_READ_INTERVAL_S = 60.0
-"""The most it grows to: as often as everything is read without a reason."""
+"""Seconds up to which it doubles.  Not measured: the interval of regular reads of the list."""
 
 
 class KnownState(NamedTuple):
     """What is known when a probe is answered.
 
-    :ivar revision: revision up to which a watch or a read has told all.
+    :ivar revision: revision up to which a watch or a read has brought all.
     :ivar routes_version: version of the routes in force.
-    :ivar list_checksum: digest of the list of back ends.
+    :ivar list_checksum: anti-entropy checksum of the list of back ends.
     """
 
     revision: int
--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -1,4 +1,7 @@
-"""How old what a balancer knows is: seconds since the store, or a reader of it, confirmed it."""
+"""Staleness: seconds since the store, or a reader of it, confirmed what a balancer knows.
+
+Owns: when readers last confirmed each subject.  Relies on: the watchers for own reads of the store.
+"""
 
 from __future__ import annotations
 
@@ -6,24 +9,27 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.events import Subject
-from sloepond.core.forwarding.peers.reader_election import FRESH_S
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
+FRESH_S = 1.5
+"""Staleness in seconds above which a reader is needed at once.  Not measured: readers confirm each 0.9 s, so
+one confirmation may be missed; a change must be in force within 3 s."""
+
 
 class Staleness:
     """When each subject was confirmed last.
 
     :param watchers: own reads of the store confirm too.
-    :ivar is_old: whether a subject was unconfirmed for longer than `FRESH_S` when last reviewed.
+    :ivar is_stale: whether a subject was unconfirmed for longer than `FRESH_S` when last reviewed.
     """
 
     def __init__(self, watchers: Mapping[Subject, StoreWatcher]) -> None:
         self._watchers = watchers
         self._confirmed_at = dict.fromkeys(Subject, -NEVER)
-        self.is_old = False
+        self.is_stale = False
 
     def confirmed(self, subject: Subject, at: float) -> None:
-        """Note that all that is known of a subject was true at a time."""
+        """Note that what is known of a subject held in the store at a time."""
         self._confirmed_at[subject] = max(self._confirmed_at[subject], at)
 
     def of(self, subject: Subject, now: float) -> float:
@@ -31,7 +37,7 @@
         return now - max(self._confirmed_at[subject], self._watchers[subject].confirmed_at)
 
     def oldest(self, now: float) -> float:
-        """Return the age of the subject that was confirmed longest ago, at most `NEVER`."""
+        """Return seconds since the subject that was confirmed longest ago was, at most `NEVER`."""
         return min(NEVER, max(self.of(subject, now) for subject in Subject))
 
     @property
@@ -46,7 +52,7 @@
         return self.oldest(now) < FRESH_S
 
     def review(self, now: float) -> bool:
-        """Look at the age; return whether it has become old since the last look."""
-        was_old = self.is_old
-        self.is_old = not self.is_fresh(now)
-        return self.is_old and not was_old
+        """Compare the staleness with `FRESH_S`; return whether it has exceeded it since the last review."""
+        was_stale = self.is_stale
+        self.is_stale = not self.is_fresh(now)
+        return self.is_stale and not was_stale
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -1,56 +1,49 @@
-"""Takes what the store answers: routes, back ends, failures."""
+"""Takes the store's answers: routes, back ends, failures.
+
+Owns: nothing; it updates the local state.  Relies on: the watchers, which schedule the next call;
+`Dissemination`, which tells peers what is new.
+"""
 
 from __future__ import annotations
 
-from sloepond.core.forwarding.commands import Command, LogKind, WriteLog
-from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.commands import Command, LogKind
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
     RoutesChanged,
     RoutesRead,
+    StoreAnswer,
     StoreCallFailed,
-    StoreEvent,
     Subject,
 )
+from sloepond.core.forwarding.local_state import LocalState
+from sloepond.core.forwarding.outbox import Outbox
 from sloepond.core.forwarding.peers.dissemination import Dissemination
-from sloepond.core.forwarding.placement.evacuations import Evacuations
 from sloepond.core.forwarding.state.backend_records import BackendRecord
-from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls, changed_halls
-from sloepond.core.forwarding.state.route_table import RouteTable
 from sloepond.core.forwarding.state.routes import RouteConfiguration
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 
 class StoreAnswers:
-    """Brings answers of the store to what is known, to its followers and to the dissemination."""
-
-    def __init__(
-        self,
-        routes: RouteTable,
-        backends: BackendDirectory,
-        evacuations: Evacuations,
-        watchers: dict[Subject, StoreWatcher],
-        dissemination: Dissemination,
-        counters: ForwardingCounters,
-    ) -> None:
-        self._routes = routes
-        self._backends = backends
-        self._evacuations = evacuations
-        self._watchers = watchers
+    """Applies answers of the store to the local state."""
+
+    def __init__(self, local: LocalState, dissemination: Dissemination) -> None:
+        self._routes = local.routes
+        self._backends = local.backends
+        self._evacuations = local.evacuations
+        self._watchers = local.watchers
+        self._counters = local.counters
         self._dissemination = dissemination
-        self._counters = counters
-        self._commands: list[Command] = []
+        self._outbox = Outbox(local.counters)
         self._now = 0.0
 
     def take_commands(self) -> list[Command]:
-        """Return what is to be done, and forget it."""
-        commands, self._commands = self._commands, []
-        return commands
+        """Return the commands issued since the last call, and forget them."""
+        return self._outbox.take()
 
-    def take(self, event: StoreEvent, now: float) -> None:
-        """Take the answer to a call, or that there was none."""
+    def take(self, event: StoreAnswer | StoreCallFailed, now: float) -> None:
+        """Take the answer to a call, or its failure."""
         self._now = now
         if isinstance(event, StoreCallFailed):
             self._failed(event)
@@ -58,7 +51,12 @@
         subject = Subject.ROUTES if isinstance(event, RoutesRead | RoutesChanged) else Subject.BACKENDS
         watcher = self._watchers[subject]
         if watcher.failures:
-            self._log(LogKind.STORE_REGAINED, subject.name.lower(), f"failures={watcher.failures}")
+            self._outbox.log(LogKind.STORE_REGAINED, subject.name.lower(), f"failures={watcher.failures}")
+        self._take_answer(event, watcher)
+        self._dissemination.store_answered(self._now)
+
+    def _take_answer(self, event: StoreAnswer, watcher: StoreWatcher) -> None:
+        """Apply an answer, then note its revision with the subject's watcher."""
         if isinstance(event, RoutesRead):
             self._take_routes(event.configuration)
             self._take_evacuated(EvacuatedHalls(event.revision, tuple(sorted(event.evacuated))))
@@ -69,19 +67,18 @@
             self._take_evacuated(changed_halls(self._evacuations.known, event.halls, event.revision))
             watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
-            revision = _sure_revision(event, watcher)
+            revision = _certain_revision(event, watcher)
             self._take_list(event, revision, watcher.known_beyond(revision))
             watcher.read(revision, self._now)
         else:
             self._take_changes(event, watcher.known_beyond(event.revision))
             watcher.watched(event.revision, self._now)
-        self._dissemination.store_answered(self._now)
 
     def _failed(self, event: StoreCallFailed) -> None:
         self._counters.store_failures += 1
         watcher = self._watchers[event.subject]
         if not watcher.failures:
-            self._log(LogKind.STORE_LOST, event.subject.name.lower(), f"reason={event.reason.value}")
+            self._outbox.log(LogKind.STORE_LOST, event.subject.name.lower(), f"reason={event.reason.value}")
         watcher.failed(event.reason, event.was_watch, self._now)
         self._dissemination.store_failed(event, self._now)
 
@@ -90,13 +87,15 @@
             return
         self._counters.configurations_taken += 1
         self._dissemination.routes_read(self._now)
-        self._log(LogKind.ROUTES_IN_FORCE, str(configuration.version), f"routes={len(configuration.routes)}")
+        self._outbox.log(
+            LogKind.ROUTES_IN_FORCE, str(configuration.version), f"routes={len(configuration.routes)}"
+        )
 
     def _take_evacuated(self, evacuated: EvacuatedHalls) -> None:
         if not self._evacuations.take(evacuated, self._now):
             return
-        self._dissemination.news_taken(self._now)
-        self._log(
+        self._dissemination.change_learned(self._now)
+        self._outbox.log(
             LogKind.HALLS_EVACUATED,
             ",".join(evacuated.halls) or "none",
             f"from=store rev={evacuated.revision}",
@@ -105,25 +104,25 @@
     def _take_list(self, event: BackendsRead, revision: int, complete_to: int) -> None:
         """Take the whole list.
 
-        What had left it before the answer was never seen here, so peers that know less are told
-        changes from the store's revision at the answer on, also where the list may be older.
+        What had left it before the answer was never seen here, so peers that know less are sent only
+        changes after the store's revision at the answer, also where the list may be older.
 
-        :param revision: revision up to which the list surely holds all changes.
+        :param revision: revision up to which the list certainly holds all changes.
         :param complete_to: revision up to which all changes are known here, if that is beyond the list.
         """
         changed = self._backends.listed(event.records, revision, self._now, complete_to)
         self._backends.list_begins(event.revision)
         self._counters.backend_changes += changed
         if changed:
-            self._dissemination.news_taken(self._now)
-            self._log(
+            self._dissemination.change_learned(self._now)
+            self._outbox.log(
                 LogKind.BACKEND_CHANGED,
                 "list",
                 f"changed={changed} listed={len(event.records)} rev={revision}",
             )
 
     def _take_changes(self, event: BackendsChanged, complete_to: int) -> None:
-        """Take what a watch has told.
+        """Take what a watch has brought.
 
         :param complete_to: revision up to which all changes are known here, if that is beyond the answer.
         """
@@ -136,15 +135,12 @@
                 state = "departed"
             if changed:
                 self._counters.backend_changes += 1
-                self._dissemination.news_taken(self._now)
-                self._log(LogKind.BACKEND_CHANGED, change.name, f"state={state} rev={change.revision}")
-
-    def _log(self, kind: LogKind, subject: str, detail: str) -> None:
-        self._commands.append(WriteLog(kind, subject, detail))
+                self._dissemination.change_learned(self._now)
+                self._outbox.log(LogKind.BACKEND_CHANGED, change.name, f"state={state} rev={change.revision}")
 
 
-def _sure_revision(event: BackendsRead, watcher: StoreWatcher) -> int:
-    """Return the revision up to which a list surely holds all changes.
+def _certain_revision(event: BackendsRead, watcher: StoreWatcher) -> int:
+    """Return the revision up to which a list certainly holds all changes.
 
     One that may be stale holds at least the changes it shows.
     """
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -4,6 +4,7 @@
 
 import random
 
+from sloepond.core.forwarding.assembly import NodeOptions
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.placement.places import PlaceRules
@@ -31,13 +32,17 @@
     node = ForwardingNode(
         settings.hall,
         random.Random(),
-        settings.ip,
-        settings.seeds,
-        PlaceRules(regions=settings.regions),
-        settings.capacity,
-        None if slack_per_s is None else SlowStartLimit(settings.cold_factor, slack_per_s),
-        settings.kill_after_s,
-        settings.change_limit_s,
+        NodeOptions(
+            ip=settings.ip,
+            seeds=settings.seeds,
+            places=PlaceRules(regions=settings.regions),
+            capacity=settings.capacity,
+            slow_start_limit=None
+            if slack_per_s is None
+            else SlowStartLimit(settings.cold_factor, slack_per_s),
+            kill_after_s=settings.kill_after_s,
+            change_limit_s=settings.change_limit_s,
+        ),
     )
     logs = LogWriter(node.counters)
     logs.write(WriteLog(LogKind.STARTED, settings.name, f"zone={settings.hall} store={settings.store}"))
