--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -17,15 +17,19 @@
 from sloepond.core.forwarding.commands import ResetFlows
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import PeerMessageReceived, TimerFired
-from sloepond.core.forwarding.health.failing_backends import JUDGES, FailingBackends
-from sloepond.core.forwarding.health.failure_judge import (
+from sloepond.core.forwarding.health.outlier_detector import (
     FAILURES,
     FAILURES_OF_ONE,
     LASTS_S,
     WINDOW_S,
-    FailureJudge,
+    OutlierDetector,
+)
+from sloepond.core.forwarding.health.outlier_ejection import ASSIGNED_BALANCERS, OutlierEjection
+from sloepond.core.forwarding.load.waiting_requests import (
+    UNANSWERED_AFTER_S,
+    UNANSWERED_FACTOR,
+    WaitingRequests,
 )
-from sloepond.core.forwarding.load.waiting_requests import PATIENCE_FACTOR, PATIENCE_S, WaitingRequests
 from sloepond.core.forwarding.peers.messages import BackendFailing
 from sloepond.core.forwarding.peers.peer_table import PeerTable
 from sloepond.core.forwarding.placement.rendezvous import assigned
@@ -154,7 +158,7 @@
     fleet = context.fleet
     backend = ForwardingBackend(record(1), 0.0)
     fleet.mute = {backend.name}
-    for ip in assigned(backend, fleet.ips, JUDGES):
+    for ip in assigned(backend, fleet.ips, ASSIGNED_BALANCERS):
         fleet.kill(ip)
 
 
@@ -194,9 +198,9 @@
 class WaitingRequest:
     """A flow with one request."""
 
-    def __init__(self, backend, asked_at):
+    def __init__(self, backend, requested_at):
         self.backend = backend
-        self.asked_at = asked_at
+        self.requested_at = requested_at
 
 
 @then("exactly the requests that have waited for longer than usual count as unanswered, for any course")
@@ -210,25 +214,26 @@
     def holds(course, usual_s):
         waiting, backend = WaitingRequests(), ForwardingBackend(record(1), 0.0)
         for _ in range(4):
-            waiting.answered(backend.service, usual_s, 10.0)
-        patience_s = max(PATIENCE_S, PATIENCE_FACTOR * usual_s)
+            waiting.answer_seen(backend.service, usual_s, 10.0)
+        after_s = max(UNANSWERED_AFTER_S, UNANSWERED_FACTOR * usual_s)
         now, asked, answers, unanswered = 10.0, [], [], 0
         for pause_s, answered_after_s in course:
             now += pause_s
             for at, flow in [each for each in answers if each[0] <= now]:
-                flow.asked_at = 0.0
+                flow.requested_at = 0.0
                 answers.remove((at, flow))
             flow = WaitingRequest(backend, now)
-            waiting.asked(flow, now)
+            waiting.request_seen(flow, now)
             asked.append((now, answered_after_s))
             if answered_after_s is not None:
                 answers.append((now + answered_after_s, flow))
             unanswered += len(waiting.take_unanswered(now))
             assert waiting.next_deadline() > now
-        assert _unanswered_at(asked, now, patience_s) <= unanswered <= _unanswered_at(asked, now, PATIENCE_S)
+        most = _unanswered_at(asked, now, UNANSWERED_AFTER_S)
+        assert _unanswered_at(asked, now, after_s) <= unanswered <= most
         end = now + 10.0
         for _, flow in answers:
-            flow.asked_at = 0.0
+            flow.requested_at = 0.0
         unanswered += len(waiting.take_unanswered(end))
         assert unanswered == sum(after_s is None for _, after_s in asked)
         assert waiting.take_unanswered(end + 10.0) == []
@@ -236,9 +241,9 @@
     holds()
 
 
-def _unanswered_at(asked, now, patience_s):
+def _unanswered_at(asked, now, unanswered_after_s):
     """Return how many requests without an answer have waited for long at a time."""
-    return sum(after_s is None and now - at >= patience_s for at, after_s in asked)
+    return sum(after_s is None and now - at >= unanswered_after_s for at, after_s in asked)
 
 
 @then("at most a third of the back ends a flow may go to is passed over, for any verdicts")
@@ -251,15 +256,15 @@
         directory.listed([record(number) for number in range(1, count + 1)], 5, now)
         peers = PeerTable("10.1.0.1", "north", (), chance)
         counters = ForwardingCounters()
-        failing = FailingBackends("10.1.0.1", peers, directory, WaitingRequests(), counters, chance)
+        ejection = OutlierEjection("10.1.0.1", peers, directory, WaitingRequests(), counters, chance)
         for number, lasts_s in verdicts:
-            failing.message_received("10.1.0.2", BackendFailing(record(number).name, lasts_s), now)
+            ejection.message_received("10.1.0.2", BackendFailing(record(number).name, lasts_s), now)
         backends = list(directory)
-        kept = failing.usable(backends, now)
+        kept = ejection.usable(backends, now)
         assert len(backends) - len(kept) <= len(backends) / 3
         named = {record(number).name for number, _ in verdicts}
         assert len(kept) == len(backends) or {b.name for b in backends} - {b.name for b in kept} <= named
-        assert list(failing.usable(backends, now + 2 * LASTS_S[-1])) == backends
+        assert list(ejection.usable(backends, now + 2 * LASTS_S[-1])) == backends
 
     holds()
 
@@ -271,18 +276,18 @@
     @PROPERTY
     @for_all(reports)
     def holds(course):
-        judge, now, seen, ends_at, verdicts = FailureJudge(), 100.0, [], 0.0, 0
+        detector, now, seen, ends_at, ejections = OutlierDetector(), 100.0, [], 0.0, 0
         for pause_s, reporter in course:
             now += pause_s
             seen.append((now, reporter))
-            lasts_s = judge.report("i-1", reporter, now)
+            lasts_s = detector.report("i-1", reporter, now)
             if not lasts_s:
                 continue
             assert lasts_s in LASTS_S and now >= ends_at
             lately = [ip for at, ip in seen if now - at < WINDOW_S]
-            if not verdicts:
+            if not ejections:
                 assert len(lately) >= (FAILURES if len(set(lately)) > 1 else FAILURES_OF_ONE)
-            verdicts += 1
+            ejections += 1
             ends_at = now + lasts_s
 
     holds()
--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -8,10 +8,10 @@
 from __future__ import annotations
 
 from sloepond.core.configuration.sources import DIGEST_PREFIX
-from sloepond.core.configuration.token_bucket import TokenBucket
 from sloepond.core.context import NEVER, NodeContext
 from sloepond.core.membership_reader import MembershipReader
 from sloepond.core.messages import ConfigurationOffered, Member
+from sloepond.core.token_bucket import TokenBucket
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
 
 FOREIGN_OFFERS = 3
--- a/sloepond/core/configuration/sender.py
+++ b/sloepond/core/configuration/sender.py
@@ -9,10 +9,10 @@
 from sloepond.core.configuration.delta import ConfigurationDelta, DeltaHistory
 from sloepond.core.configuration.encoding import encode_delta, encode_slices, part_count, part_of
 from sloepond.core.configuration.sliced_work import SLICE_UNITS, SlicedWork
-from sloepond.core.configuration.token_bucket import TokenBucket
 from sloepond.core.context import NodeContext
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested
 from sloepond.core.settings import ConfigurationSettings
+from sloepond.core.token_bucket import TokenBucket
 from sloepond.resources.compiled import CompiledConfiguration
 
 WINDOW_PARTS = 32
--- a/sloepond/core/forwarding/health/__init__.py
+++ b/sloepond/core/forwarding/health/__init__.py
@@ -1,1 +1,1 @@
-"""Which back ends are unreachable or failing, and which flows are reset for it."""
+"""Health of back ends: which are unreachable or ejected, and which flows are reset for it."""
--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -1,4 +1,9 @@
-"""Back ends that seem to be gone: when they are checked, and what follows from the verdicts."""
+"""Checks of back ends that seem to be gone, and what follows from the results.
+
+A back end that cannot be reached while another one can: its flows seen here are reset and peers
+are told, who check for themselves before they reset anything.  Owns the commands of checks;
+relies on `reachability` (when to check, what a result changes) and `flow_resets`.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +17,10 @@
 from sloepond.core.forwarding.state.backends import BackendDirectory
 
 OPENING_SILENCE_S = 0.08
-"""Time without a packet after a flow's opening one that makes its back end to be checked.
-The next one comes after two ways between halls and two to the caller, about 6 ms."""
+"""Seconds without a packet after a flow's opening one that make its back end be checked.  The next
+one comes after two ways between halls and two to the caller, about 6 ms; the caller's copy after
+200 ms.  With resets of resting flows and checks of 0.16 s a day of dead back ends went from 0.875
+to 0.955 of worth, 122 to 31 requests not served."""
 
 
 class BackendChecks:
@@ -40,7 +47,7 @@
         self._commands: list[Command] = []
 
     def take_commands(self, now: float) -> list[Command]:
-        """Return what is to be done, and forget it."""
+        """Return the commands since the last call, with the next flows to be reset."""
         segments = self._flow_resets.take(now)
         if segments:
             self._counters.flows_reset_resting += len(segments)
@@ -50,15 +57,16 @@
 
     def next_deadline(self) -> float:
         """Return when there is something to check or to reset."""
-        return min(self._flow_resets.next_deadline(), self._observer.unanswered_since() + OPENING_SILENCE_S)
+        oldest = self._observer.oldest_unanswered_opening()
+        return min(self._flow_resets.next_deadline(), oldest + OPENING_SILENCE_S)
 
     def on_time(self, now: float) -> None:
         """Check back ends that left an opening packet unanswered for longer than that takes."""
-        for backend in self._observer.take_unanswered(now - OPENING_SILENCE_S):
+        for backend in self._observer.take_unanswered_openings(now - OPENING_SILENCE_S):
             self._counters.openings_unanswered += 1
             self.suspected(backend.name, now)
 
-    def told_by_peers(self, now: float) -> None:
+    def check_suspected_by_peers(self, now: float) -> None:
         """Check back ends with flows here that peers could not reach."""
         for name in self._exchange.take_suspected():
             self.suspected(name, now)
@@ -66,7 +74,7 @@
     def suspected(self, name: str, now: float) -> None:
         """Check a back end that may be gone, unless it was lately."""
         backend = self._backends.by_name(name)
-        if backend is not None and self._reachability.may_check(backend, now):
+        if backend is not None and self._reachability.begin_check(backend, now):
             self._counters.backends_checked += 1
             control = self._reachability.control(backend, now)
             self._commands.append(CheckBackend(name, backend.endpoint, control))
@@ -77,7 +85,7 @@
         if backend is None:
             return
         if event.result is CheckResult.UNKNOWN:
-            if self._reachability.in_doubt(backend, now):
+            if self._reachability.undecided(backend, now):
                 self.suspected(backend.name, now)
         else:
             self._reachability.checked(backend, event.result, now)
--- a/sloepond/core/forwarding/health/flow_resets.py
+++ b/sloepond/core/forwarding/health/flow_resets.py
@@ -1,8 +1,9 @@
 """Flows that rest on a back end that is gone are reset, so that no request is sent into them.
 
 A caller that keeps a flow open sends its next request into it, and one that may not be
-repeated fails if the flow is reset only then.  Told while the flow rests, the caller opens
-a new one for that request.
+repeated fails if the flow is reset only then.  Reset while it rests, the caller opens a new
+one for that request.  Owns the flows that are still to be reset; relies on `flow_observer` for
+the flows seen of a back end.
 """
 
 from __future__ import annotations
@@ -15,9 +16,10 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 RESETS_A_STEP = 100
-"""Resets sent at once, so that packets of other flows are not held up: 100 take about 2 ms."""
+"""Resets sent at once, so that packets of other flows are not held up: 100 take about 2 ms of
+processor time."""
 STEP_S = 0.01
-"""Time between two steps."""
+"""Seconds between two steps, so that resets take a fifth of the processor at most."""
 
 
 class FlowResets:
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -1,8 +1,11 @@
-"""Back ends that seem to be gone are checked; flows of those that are gone are reset.
+"""Reachability: which suspected back ends are checked, and what a check's result changes.
 
-A request that is repeated, an opening packet that is repeated, an entry that left the
-list without a word, a peer's word: each only makes this balancer try to reach the back
-end by itself.  A back end that accepts connections keeps its flows, however slow it is.
+A request that is repeated, an opening packet that is repeated or that nothing follows, an entry
+that left the list without a word, a peer's word: each only makes this balancer try to connect to
+the back end itself.  A back end that accepts connections keeps its flows, however slow it is.
+
+Owns the rate of checks and the checks that are undecided; the results stand at the back ends
+themselves.  `backend_checks` starts checks and resets flows.
 """
 
 from __future__ import annotations
@@ -13,50 +16,56 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
 from sloepond.core.forwarding.state.backends import DEPARTED_MEMORY_S, BackendDirectory
+from sloepond.core.token_bucket import TokenBucket
 
 CHECK_INTERVAL_S = 1.0
-"""Least time between two checks of one back end."""
+"""Least seconds between two checks of one back end: ten times as long as a check takes.  Not
+measured."""
 CHECKS_PER_S = 20.0
-"""Checks of all back ends together, over a longer time and at once: callers cannot cause more."""
+"""Checks of all back ends together, over a longer time and at once: callers cannot cause more.  Not
+measured."""
 UNREACHABLE_S = 4.0
-"""How long a verdict on a back end that is listed stands."""
+"""Seconds for which the flows of a listed back end that wasn't reached are reset: a little longer
+than the 3.6 s for which its entry stands after it has crashed."""
 AVOIDED_S = 0.6
-"""How long a back end that is being checked is given no new flows."""
+"""Seconds for which a back end that is being checked is chosen only where there is no other: a check
+takes 0.1 s, and 0.3 s with its two repeats."""
 CONTROL_DRAWS = 8
-"""How many back ends are looked at for one to be reached meanwhile."""
-DOUBTS = 2
-"""How often a check that is in doubt is repeated at once with another control.  Where a
-sixth of all back ends dies together, so does each sixth control."""
+"""Back ends drawn at random of which one is the control: with three halls one of the suspect's own
+hall is among eight in 96% of the draws (1 - (2/3)^8)."""
+UNDECIDED_REPEATS = 2
+"""How often a check that has shown nothing is repeated at once with another control.  Where a sixth
+of all back ends dies together, so does each sixth control.  On a day of such failures worth 0.960
+without repeats and checks of 0.16 s, 0.973 with repeats and checks of 0.1 s."""
 SUSPECTED_S = 3.0
-"""How long a peer's word counts."""
+"""Seconds for which a peer's word makes packets to a back end start a check.  Not measured."""
 
 
 class Reachability:
-    """Limits checks and keeps their verdicts."""
+    """Limits checks and keeps their results."""
 
     def __init__(self, backends: BackendDirectory, random_source: random.Random) -> None:
         self._backends = backends
         self._random = random_source
-        self._allowed = CHECKS_PER_S
-        self._refilled_at = 0.0
+        self._checks = TokenBucket(CHECKS_PER_S, CHECKS_PER_S)
         self._controls: dict[str, ForwardingBackend] = {}
-        self._doubts: dict[str, int] = {}
+        self._undecided: dict[str, int] = {}
 
-    def may_check(self, backend: ForwardingBackend, now: float) -> bool:
-        """Tell whether a suspicion is followed by a check now; it counts as begun."""
+    def begin_check(self, backend: ForwardingBackend, now: float) -> bool:
+        """Tell whether a suspicion is followed by a check now; if so it has begun."""
         if now - backend.checked_at < CHECK_INTERVAL_S:
             return False
-        self._allowed = min(CHECKS_PER_S, self._allowed + (now - self._refilled_at) * CHECKS_PER_S)
-        self._refilled_at = now
-        if self._allowed < 1.0:
+        if not self._checks.take(now, 1.0):
             return False
-        self._allowed -= 1.0
         backend.checked_at = now
         backend.silent_until = max(backend.silent_until, now + AVOIDED_S)
         return True
 
     def control(self, suspect: ForwardingBackend, now: float) -> Endpoint | None:
-        """Return a back end that is listed and not suspected itself, in the same hall if possible."""
+        """Draw a back end to be reached meanwhile, so that a fault of this balancer's link shows.
+
+        :returns: the address of one that is listed and not suspected, in the same hall if possible.
+        """
         usable = [
             backend
             for backend in self._backends
@@ -72,21 +81,24 @@
         self._controls[suspect.name] = drawn[0]
         return drawn[0].endpoint
 
-    def in_doubt(self, backend: ForwardingBackend, now: float) -> bool:
-        """Take a check that has shown nothing; return whether to check again at once."""
+    def undecided(self, backend: ForwardingBackend, now: float) -> bool:
+        """Take a check in which the control wasn't reached either.
+
+        :returns: whether to check again at once.
+        """
         control = self._controls.pop(backend.name, None)
         if control is not None:
             control.silent_until = max(control.silent_until, now + AVOIDED_S)
-        doubts = self._doubts.pop(backend.name, 0) + 1
-        if control is None or doubts > DOUBTS:
+        undecided = self._undecided.pop(backend.name, 0) + 1
+        if control is None or undecided > UNDECIDED_REPEATS:
             return False
-        self._doubts[backend.name] = doubts
+        self._undecided[backend.name] = undecided
         backend.checked_at = now - CHECK_INTERVAL_S
         return True
 
     def checked(self, backend: ForwardingBackend, result: CheckResult, now: float) -> None:
         """Take the result of a check that has shown something."""
-        self._doubts.pop(backend.name, None)
+        self._undecided.pop(backend.name, None)
         self._controls.pop(backend.name, None)
         backend.suspected_until = 0.0
         if result is CheckResult.REACHABLE:
@@ -97,7 +109,7 @@
         backend.silent_until = max(backend.silent_until, now + UNREACHABLE_S)
 
     def suspected_by_peer(self, backend: ForwardingBackend, now: float) -> bool:
-        """Take a peer's word; return whether it is new here."""
+        """Take a peer's word that it couldn't reach a back end; return whether that is new here."""
         is_new = backend.suspected_until <= now and not backend.is_unreachable(now)
         if is_new:
             backend.suspected_until = now + SUSPECTED_S
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -1,8 +1,9 @@
 """Load of back ends, seen from callers' packets alone: answers go past the balancer.
 
-Data from a caller is a request; an acknowledgement that advances is its answer on
-the way.  Only flows whose packets pass here are seen, and nothing that is forwarded
-depends on this: it may forget a flow at any time.
+Data from a caller is a request; an acknowledgement that advances is its answer on the way.
+Owns what was seen of the flows whose packets pass here and the counts at each back end
+(`flows`, `in_flight`, `latency`), and tells `waiting_requests` of requests and answers.  No
+packet of an open flow depends on this for its way: a flow may be forgotten at any time.
 """
 
 from __future__ import annotations
@@ -17,42 +18,46 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 MAXIMUM_FLOWS = 20_000
-"""Flows observed at once; the one that rested longest is forgotten for a new one."""
+"""Flows observed at once; the one that rested longest is forgotten for a new one.  Bounds memory;
+not measured."""
 REST_S = 20.0
-"""Rest after which a flow counts as ended."""
+"""Seconds without a packet after which a flow counts as ended: longer than the 15 s for which a flow
+may rest where the routes say nothing else.  Not measured."""
 ANSWER_LIMIT_S = 0.15
-"""Time after which a request counts as answered: the last part of an answer is often
-acknowledged with the next request only."""
+"""Seconds after which a request counts as answered for the load of its back end: the last part of
+an answer is often acknowledged with the next request only.  With 1 s in its place a day with
+faults loses 0.0065 of worth (mean of five).  The longest of 20,784 requests to healthy back ends
+waited 0.152 s for its first acknowledgement."""
 
 
 class ObservedFlow:
     """What was seen of one flow.
 
     :ivar acknowledged: last acknowledgement seen, 0 for none.
-    :ivar asked_at: when the request was first seen of which no part of an answer has
-        been acknowledged, 0 for none.
     :ivar sequence: of the last data seen, -1 for none.
     :ivar opened_at: time of the opening packet, 0 for none or once another has followed.
-    :ivar requested_at: time of the request under way, 0 for none; a new flow counts as
-        one request.
+    :ivar requested_at: when the request was first seen of which no part of an answer has been
+        acknowledged, 0 for none.
+    :ivar data_at: time of the last data of the request that counts as under way, 0 for none; a new
+        flow counts as one request.
     """
 
     __slots__ = (
-        "acknowledged", "asked_at", "backend", "last_seen", "opened_at", "requested_at", "sequence",
+        "acknowledged", "backend", "data_at", "last_seen", "opened_at", "requested_at", "sequence",
     )  # fmt: skip
 
     def __init__(self, backend: ForwardingBackend, now: float) -> None:
         self.backend = backend
         self.last_seen = now
         self.acknowledged = 0
-        self.asked_at = 0.0
-        self.opened_at = 0.0
         self.requested_at = 0.0
+        self.opened_at = 0.0
+        self.data_at = 0.0
         self.sequence = -1
 
 
 class SeenFlow(NamedTuple):
-    """What a reset of a flow is made of.
+    """What a reset of a flow needs.
 
     :ivar key: of the flow; see `Segment.flow_key`.
     :ivar acknowledged: its caller's last acknowledgement, 0 for none.
@@ -93,19 +98,19 @@
         flow = self._add(key, backend, now)
         flow.opened_at = now
         self._opening.append(flow)
-        self._request_sent(key, flow, now)
+        self._begin_in_flight(key, flow, now)
 
-    def unanswered_since(self) -> float:
-        """Return when the oldest opening packet was sent on that nothing has followed, else `NEVER`."""
+    def oldest_unanswered_opening(self) -> float:
+        """Return when the oldest opening packet was forwarded that nothing has followed, else `NEVER`."""
         opening = self._opening
         while opening and not opening[0].opened_at:
             opening.popleft()
         return opening[0].opened_at if opening else NEVER
 
-    def take_unanswered(self, before: float) -> list[ForwardingBackend]:
-        """Return the back ends of opening packets sent on before a time that nothing has followed."""
+    def take_unanswered_openings(self, before: float) -> list[ForwardingBackend]:
+        """Return the back ends of opening packets forwarded before a time that nothing has followed."""
         silent: list[ForwardingBackend] = []
-        while self.unanswered_since() <= before:
+        while self.oldest_unanswered_opening() <= before:
             flow = self._opening.popleft()
             if flow.backend not in silent:
                 silent.append(flow.backend)
@@ -137,36 +142,39 @@
         if is_advanced and not segment.length:
             self._latency_seen(flow, now)
         if segment.is_closing or segment.is_reset:
-            self._given_up(flow, now)
+            self._closed_unanswered(flow, now)
             self._remove(key)
             return False
         is_repeated = False
         if segment.length:
             is_repeated = flow.sequence == segment.sequence
             flow.sequence = segment.sequence
-            if is_advanced or not flow.asked_at:
-                flow.asked_at = now
-                self._waiting.asked(flow, now)
-            self._request_sent(key, flow, now)
+            if is_advanced or not flow.requested_at:
+                flow.requested_at = now
+                self._waiting.request_seen(flow, now)
+            self._begin_in_flight(key, flow, now)
         elif is_advanced:
-            self._answer_seen(key, flow)
+            self._end_in_flight(key, flow)
         flow.acknowledged = segment.acknowledgement
         return is_repeated
 
     def _latency_seen(self, flow: ObservedFlow, now: float) -> None:
         """Note the time from a request to the first acknowledgement of its answer."""
-        if not flow.asked_at:
+        if not flow.requested_at:
             return
-        latency_s = now - flow.asked_at
-        flow.asked_at = 0.0
+        latency_s = now - flow.requested_at
+        flow.requested_at = 0.0
         self.request_latency.observe(latency_s)
         flow.backend.latency.observe(latency_s, now)
-        self._waiting.answered(flow.backend.service, latency_s, now)
+        self._waiting.answer_seen(flow.backend.service, latency_s, now)
 
-    def _given_up(self, flow: ObservedFlow, now: float) -> None:
-        """Take the wait of a caller that closes without an answer as the least latency."""
-        if flow.asked_at:
-            flow.backend.latency.observe(now - flow.asked_at, now)
+    def _closed_unanswered(self, flow: ObservedFlow, now: float) -> None:
+        """Take the wait of a caller that closes without an answer as a latency: it would be longer still.
+
+        A day of back ends that hang had 0.9511 of worth without this and 0.9645 with it (means of two runs).
+        """
+        if flow.requested_at:
+            flow.backend.latency.observe(now - flow.requested_at, now)
 
     def forget_resting(self, now: float) -> None:
         """Forget flows that rest."""
@@ -180,18 +188,18 @@
     def expire_requests(self, now: float) -> None:
         """Count requests as answered whose answer cannot be seen."""
         for key, flow in list(self._busy.items()):
-            if now - flow.requested_at > ANSWER_LIMIT_S:
-                self._answer_seen(key, flow)
+            if now - flow.data_at > ANSWER_LIMIT_S:
+                self._end_in_flight(key, flow)
 
-    def _request_sent(self, key: int, flow: ObservedFlow, now: float) -> None:
-        if not flow.requested_at:
+    def _begin_in_flight(self, key: int, flow: ObservedFlow, now: float) -> None:
+        if not flow.data_at:
             flow.backend.in_flight += 1
             self._busy[key] = flow
-        flow.requested_at = now
+        flow.data_at = now
 
-    def _answer_seen(self, key: int, flow: ObservedFlow) -> None:
-        if flow.requested_at:
-            flow.requested_at = 0.0
+    def _end_in_flight(self, key: int, flow: ObservedFlow) -> None:
+        if flow.data_at:
+            flow.data_at = 0.0
             flow.backend.in_flight -= 1
             del self._busy[key]
 
@@ -207,7 +215,7 @@
         flow = self._flows.pop(key, None)
         if flow is None:
             return
-        self._answer_seen(key, flow)
+        self._end_in_flight(key, flow)
         flow.opened_at = 0.0
-        flow.asked_at = 0.0
+        flow.requested_at = 0.0
         flow.backend.flows -= 1
--- a/sloepond/core/forwarding/load/latency.py
+++ b/sloepond/core/forwarding/load/latency.py
@@ -1,11 +1,14 @@
-"""Latencies as counts between fixed bounds."""
+"""Histograms of latencies for the metrics: counts between fixed bounds.
+
+Each owns its counts; `flow_observer` feeds them, nothing is decided by them.
+"""
 
 from __future__ import annotations
 
 import bisect
 
 BOUNDS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
-"""Upper bounds of the counts, the same everywhere so that histograms can be added."""
+"""Upper bounds of the counts, the same everywhere so that histograms can be added.  Seconds."""
 
 
 class LatencyHistogram:
--- a/sloepond/core/forwarding/load/latency_estimate.py
+++ b/sloepond/core/forwarding/load/latency_estimate.py
@@ -1,11 +1,17 @@
-"""How long one back end takes to answer, as far as it was seen lately."""
+"""How long one back end takes to answer, as far as this balancer has seen it lately.
+
+Owns an exponentially fading mean; `flow_observer` feeds it, `selection` compares the means.
+"""
 
 from __future__ import annotations
 
 HALF_LIFE_S = 2.0
-"""Time after which what was seen counts half."""
+"""Seconds after which a latency counts half, so that a back end that has recovered is tried again.
+With 4 s (and `SLOW_FACTOR` 1.5) two days of slow back ends had 0.9704 and 0.9556 of worth, with 2 s
+0.9699, 0.9761, 0.9513 and 0.9396: within the spread."""
 LEAST_WEIGHT = 2.0
-"""Answers, weighted by age, below which nothing is said of a back end."""
+"""Answers, weighted by age, below which nothing is said of a back end: times of one kind of request
+vary by half."""
 
 
 class LatencyEstimate:
--- a/sloepond/core/forwarding/load/waiting_requests.py
+++ b/sloepond/core/forwarding/load/waiting_requests.py
@@ -1,4 +1,9 @@
-"""Requests that no part of an answer has been acknowledged of, and since when."""
+"""Requests that wait for an answer: no part of one has been acknowledged by their callers yet.
+
+Owns, for each service, the requests that wait and how long they usually do; relies on
+`flow_observer` for requests and answers.  A request that has waited too long is evidence of a
+failing back end (`health.outlier_ejection`).
+"""
 
 from __future__ import annotations
 
@@ -9,10 +14,11 @@
 from sloepond.core.forwarding.load.latency_estimate import LatencyEstimate
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
-PATIENCE_S = 0.5
-"""Wait from which a request counts as unanswered.  Callers acknowledge answers of one packet
-too: of 20,700 requests to healthy back ends none waited for longer than 0.16 s."""
-PATIENCE_FACTOR = 6.0
+UNANSWERED_AFTER_S = 0.5
+"""Seconds of waiting after which a request counts as unanswered.  Callers acknowledge answers of one
+packet too: of 20,784 requests to healthy back ends the longest wait was 0.152 s.  With 0.3 s 148 and
+11 requests were not served on days of hanging and of mute back ends, with 0.5 s 149 and 9."""
+UNANSWERED_FACTOR = 6.0
 """The same in usual waits of the service, where these are long: a back end that works on two
 requests and queues eight answers within five of them."""
 
@@ -20,40 +26,40 @@
 class WaitingFlow(Protocol):
     """A flow with a request.
 
-    :ivar asked_at: when the request under way was first seen, 0 for none.
+    :ivar requested_at: when the request that waits was first seen, 0 for none.
     """
 
-    asked_at: float
+    requested_at: float
     backend: ForwardingBackend
 
 
 class ServiceRequests:
     """Requests of one service, the oldest first, and how long they usually wait.
 
-    :ivar patience_s: wait from which one of them counts as unanswered.
+    :ivar unanswered_after_s: wait after which one of them counts as unanswered.
     """
 
     def __init__(self) -> None:
         self._waiting: collections.deque[tuple[float, WaitingFlow]] = collections.deque()
         self._usual = LatencyEstimate()
-        self.patience_s = PATIENCE_S
+        self.unanswered_after_s = UNANSWERED_AFTER_S
 
-    def asked(self, flow: WaitingFlow, now: float) -> None:
+    def request_seen(self, flow: WaitingFlow, now: float) -> None:
         """Note a new request."""
         self._waiting.append((now, flow))
 
-    def answered(self, seconds: float, now: float) -> None:
+    def answer_seen(self, seconds: float, now: float) -> None:
         """Note how long a request has waited."""
         self._usual.observe(seconds, now)
         usual_s = self._usual.mean(now)
-        self.patience_s = max(PATIENCE_S, PATIENCE_FACTOR * (usual_s or 0.0))
+        self.unanswered_after_s = max(UNANSWERED_AFTER_S, UNANSWERED_FACTOR * (usual_s or 0.0))
 
     def next_deadline(self) -> float:
         """Return when the oldest request that waits counts as unanswered."""
         waiting = self._waiting
-        while waiting and waiting[0][1].asked_at != waiting[0][0]:
+        while waiting and waiting[0][1].requested_at != waiting[0][0]:
             waiting.popleft()
-        return waiting[0][0] + self.patience_s if waiting else NEVER
+        return waiting[0][0] + self.unanswered_after_s if waiting else NEVER
 
     def take_oldest(self) -> ForwardingBackend:
         """Return the back end of the oldest request that waits, and forget the request."""
@@ -66,13 +72,13 @@
     def __init__(self) -> None:
         self._services: dict[str, ServiceRequests] = {}
 
-    def asked(self, flow: WaitingFlow, now: float) -> None:
+    def request_seen(self, flow: WaitingFlow, now: float) -> None:
         """Note a new request."""
-        self._of(flow.backend.service).asked(flow, now)
+        self._of(flow.backend.service).request_seen(flow, now)
 
-    def answered(self, service: str, seconds: float, now: float) -> None:
-        """Note how long a request of a service has waited."""
-        self._of(service).answered(seconds, now)
+    def answer_seen(self, service: str, seconds: float, now: float) -> None:
+        """Note how long a request of a service has waited for the first part of its answer."""
+        self._of(service).answer_seen(seconds, now)
 
     def next_deadline(self) -> float:
         """Return when the next request counts as unanswered."""
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -37,13 +37,14 @@
     UnknownTokenMet,
 )
 from sloepond.core.forwarding.health.backend_checks import OPENING_SILENCE_S, BackendChecks
-from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.outlier_ejection import OutlierEjection
 from sloepond.core.forwarding.health.reachability import Reachability
 from sloepond.core.forwarding.lifecycle.planned_stop import HallBalancers
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_S, StallGuard
 from sloepond.core.forwarding.lifecycle.stop_procedure import StopProcedure
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
 from sloepond.core.forwarding.load.latency import LatencyHistogram
-from sloepond.core.forwarding.load.waiting_requests import PATIENCE_S, WaitingRequests
+from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S, WaitingRequests
 from sloepond.core.forwarding.packets import Segment
 from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
 from sloepond.core.forwarding.peers.dissemination import Dissemination
@@ -51,9 +52,12 @@
 from sloepond.core.forwarding.peers.messages import Snapshot
 from sloepond.core.forwarding.peers.peer_table import PeerTable
 from sloepond.core.forwarding.peers.reader_election import ReaderElection, Role
+from sloepond.core.forwarding.placement.eligibility import Eligibility
 from sloepond.core.forwarding.placement.evacuations import Evacuations
 from sloepond.core.forwarding.placement.forwarder import Forwarder
+from sloepond.core.forwarding.placement.opening import Openings
 from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.placement.selection import Selector
 from sloepond.core.forwarding.placement.slow_start import SlowStart, SlowStartLimit
 from sloepond.core.forwarding.state.backend import Decision
 from sloepond.core.forwarding.state.backends import BackendDirectory
@@ -106,18 +110,17 @@
         peers = PeerTable(ip, hall, seeds, random_source)
         self._slow_start = SlowStart(ip, peers, self.routes, slow_start_limit)
         waiting = WaitingRequests()
-        self._failing = FailingBackends(ip, peers, self.backends, waiting, self.counters, random_source)
-        self._forwarder = Forwarder(
-            hall,
+        self._ejection = OutlierEjection(ip, peers, self.backends, waiting, self.counters, random_source)
+        observer = FlowObserver(waiting)
+        openings = Openings(
             self.routes,
-            self.backends,
             self._stall_guard,
-            self._slow_start,
-            self._failing,
-            waiting,
+            Eligibility(self.backends, self._slow_start, self._ejection),
+            Selector(hall, random_source),
+            observer,
             self.counters,
-            random_source,
         )
+        self._forwarder = Forwarder(self.backends, observer, openings)
         reachability = Reachability(self.backends, random_source)
         self._dissemination = Dissemination(
             ReaderElection(random_source.getrandbits(IDENTITY_BITS), capacity, random_source),
@@ -145,14 +148,12 @@
             self._watchers,
             self._dissemination,
             reachability,
-            self._failing,
+            self._ejection,
             self.counters,
             random_source,
         )
         self._stop = StopProcedure(kill_after_s, peers, self._exchange, self.counters)
-        self._checks = BackendChecks(
-            self.backends, self._forwarder.observer, reachability, self._exchange, self.counters
-        )
+        self._checks = BackendChecks(self.backends, observer, reachability, self._exchange, self.counters)
         self._commands: list[Command] = []
         self._now = 0.0
         self._deadline = NEVER
@@ -225,7 +226,7 @@
         """Start; `now` in seconds of a monotonic clock."""
         self._now = now
         self._housekeeping_at = now + HOUSEKEEPING_S
-        self._forwarder.admission.start(now)
+        self._forwarder.openings.admission.start(now)
         self._slow_start.start(now)
         self._exchange.bootstrap.begin(now)
         self._ask_store()
@@ -250,7 +251,7 @@
             if decision.backend is not None and self._dissemination.age.is_old:
                 self.counters.flows_placed_unconfirmed += 1
         elif segment.length:
-            self._deadline = min(self._deadline, now + PATIENCE_S)
+            self._deadline = min(self._deadline, now + UNANSWERED_AFTER_S)
         return decision
 
     def handle(self, event: Event, now: float) -> list[Command]:
@@ -274,7 +275,7 @@
         elif isinstance(event, StoreHeard):
             self._exchange.bootstrap.store_heard(now)
         elif isinstance(event, OpeningHeld):
-            self._forwarder.hold(event.segment, event.datagram, now)
+            self._forwarder.openings.hold(event.segment, event.datagram, now)
         else:
             self._take_from_others(event)
         self._ask_store()
@@ -300,7 +301,7 @@
         """Take what concerns peers and what back ends seem to be."""
         if isinstance(event, PeerMessageReceived):
             self._exchange.message_received(event, self._now)
-            self._checks.told_by_peers(self._now)
+            self._checks.check_suspected_by_peers(self._now)
         elif isinstance(event, SnapshotReceived):
             self._exchange.snapshot_received(event, self._now)
         elif isinstance(event, FetchFailed):
@@ -317,7 +318,7 @@
     @property
     def backends_passed_over(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
-        return self._failing.passed_over(self._now)
+        return self._ejection.ejected(self._now)
 
     def next_deadline(self) -> float:
         """Return when to send `TimerFired` next."""
@@ -325,12 +326,12 @@
 
     def _finish(self) -> list[Command]:
         self._log_told()
-        routed = self._forwarder.routed(self._now)
+        routed = self._forwarder.openings.take_routed(self._now)
         if routed:
             self._commands.append(ForwardHeld(routed))
         self._commands.extend(self._checks.take_commands(self._now))
         self._commands.extend(self._stop.take_commands())
-        self._commands.extend(self._failing.take_commands())
+        self._commands.extend(self._ejection.take_commands())
         self._commands.extend(self._answers.take_commands())
         self._commands.extend(self._exchange.take_commands())
         self._commands.extend(self._dissemination.take_commands())
@@ -340,9 +341,9 @@
             self._stall_guard.next_deadline(),
             self._exchange.next_deadline(),
             self._dissemination.next_deadline(),
-            self._forwarder.admission.next_deadline(self._now),
+            self._forwarder.openings.next_deadline(self._now),
             self._checks.next_deadline(),
-            self._failing.next_deadline(),
+            self._ejection.next_deadline(),
         )
         if self._dissemination.may_read_store:
             reads = [watcher.next_deadline() for watcher in self._watchers.values()]
@@ -370,11 +371,11 @@
         if self._now >= self._stop.next_deadline():
             self._stop.on_time(self.is_configured, self._now)
         self._checks.on_time(self._now)
-        self._failing.on_time(self._now)
+        self._ejection.on_time(self._now)
         self._stall_guard.on_time(self._now)
         self._exchange.on_time(self._now)
         self._dissemination.on_time(self._now)
-        released = self._forwarder.release(self._now)
+        released = self._forwarder.openings.release(self._now)
         if released:
             self._commands.append(ForwardHeld(tuple(released)))
         if self._now >= self._housekeeping_at:
@@ -382,10 +383,10 @@
             self.backends.forget_departed(self._now)
             self._forwarder.observer.forget_resting(self._now)
             self._forwarder.observer.expire_requests(self._now)
-            self._forwarder.admission.forget_admitted(self._now)
+            self._forwarder.openings.forget_released(self._now)
             self._slow_start.forget(self._now)
-            self._failing.forget(self._now)
-            self._forwarder.admission.balancers = self._exchange.balancers
+            self._ejection.forget(self._now)
+            self._forwarder.openings.admission.balancers = self._exchange.balancers
             self._dissemination.forget(self._now)
 
     def _notice_stall(self, now: float) -> None:
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -19,7 +19,7 @@
     Subject,
     UnknownTokenMet,
 )
-from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.outlier_ejection import OutlierEjection
 from sloepond.core.forwarding.health.reachability import Reachability
 from sloepond.core.forwarding.lifecycle.bootstrap import Bootstrap
 from sloepond.core.forwarding.peers.dissemination import Dissemination
@@ -64,7 +64,7 @@
         watchers: dict[Subject, StoreWatcher],
         dissemination: Dissemination,
         reachability: Reachability,
-        failing: FailingBackends,
+        failing: OutlierEjection,
         counters: ForwardingCounters,
         random_source: random.Random,
     ) -> None:
--- a/sloepond/core/forwarding/placement/__init__.py
+++ b/sloepond/core/forwarding/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about packets: where each one goes, and which back end a new flow gets."""
+"""Decisions about packets: where each one is forwarded, and which back end a new flow gets."""
--- a/sloepond/core/forwarding/placement/evacuations.py
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -1,4 +1,8 @@
-"""Evacuations in force: they bind new flows, and a hall that is taken back is spared at first."""
+"""Evacuated halls: they get no new flow, and one that returns begins with slow start.
+
+Owns the newest set of evacuated halls; tells the list of back ends, which leaves out those of an
+evacuated hall.
+"""
 
 from __future__ import annotations
 
@@ -27,13 +31,13 @@
         self.known = newer
         if is_changed:
             self._backends.halls_evacuated(frozenset(newer.halls))
-            self._spare(returned, now)
+            self._start_slowly(returned, now)
         return is_changed
 
-    def _spare(self, halls: frozenset[str], now: float) -> None:
-        """Count the back ends of halls taken back as just started.
+    def _start_slowly(self, halls: frozenset[str], now: float) -> None:
+        """Count the back ends of halls that return as just started.
 
-        They may have been, and what they say of it may come later than the hall's return.
+        They may have been, and their own word of it may come later than the hall's return.
         """
         for backend in self._backends:
             cold_start = self._routes.cold_start(backend.service)
--- /dev/null
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -0,0 +1,170 @@
+"""What becomes of an opening packet: the rules for a new flow, in their order.
+
+`Openings.decide` reads from top to bottom.  Owns the flows that wait for routes or for room;
+relies on `eligibility` (which back ends may be given a flow), `admission` (where there is room)
+and `selection` (the choice among them).
+"""
+
+from __future__ import annotations
+
+from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.lifecycle.stall_guard import StallGuard
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
+from sloepond.core.forwarding.packets import Refusal, Segment
+from sloepond.core.forwarding.placement.admission import Admission
+from sloepond.core.forwarding.placement.eligibility import Eligibility
+from sloepond.core.forwarding.placement.held_openings import HeldOpening, HeldOpenings
+from sloepond.core.forwarding.placement.selection import Selector
+from sloepond.core.forwarding.placement.unrouted import UnroutedOpenings
+from sloepond.core.forwarding.state.backend import Decision, ForwardingBackend
+from sloepond.core.forwarding.state.route_table import RouteTable
+from sloepond.core.forwarding.state.routes import Route
+
+SILENCE_S = 2.0
+"""Seconds for which a back end that left an opening packet unanswered is chosen only where there
+is no other.  The rule as a whole, switched off: worth +0.0001, -0.0011 and +0.0011 (three
+deployments, five days with faults each), within the spread; the length was not measured."""
+
+_NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
+_NOT_CONFIGURED = Decision(refusal=Refusal.NOT_CONFIGURED)
+_NO_BACKEND = Decision(refusal=Refusal.NO_BACKEND, reset=True)
+_WAITS = Decision(hold=True)
+_STALE = Decision(refusal=Refusal.STALE_KNOWLEDGE)
+
+
+class Openings:
+    """Decides on opening packets, and keeps those that wait.
+
+    :param stall_guard: whether what is known is fresh enough to place new flows.
+    :param observer: back ends chosen for earlier copies of an opening packet.
+    """
+
+    def __init__(
+        self,
+        routes: RouteTable,
+        stall_guard: StallGuard,
+        eligibility: Eligibility,
+        selector: Selector,
+        observer: FlowObserver,
+        counters: ForwardingCounters,
+    ) -> None:
+        self._routes = routes
+        self._stall_guard = stall_guard
+        self._eligibility = eligibility
+        self._selector = selector
+        self._observer = observer
+        self._counters = counters
+        self._unrouted = UnroutedOpenings()
+        self._held = HeldOpenings()
+        self.admission = Admission()
+
+    def decide(self, segment: Segment, now: float) -> Decision:
+        """Apply the rules for a new flow in their order.
+
+        1. Before this balancer knows any routes, a flow waits if the back ends are known, so that a
+           fresh process that has read one of the two loses none; else it is refused.
+        2. A process that has slept places nothing until what it knows is confirmed.
+        3. An endpoint without a route: refused at once.
+        4. A copy of an opening packet: the back end chosen for the first one has not answered, so
+           another one of the same service is chosen.
+        5. No service of the route has room for it here: it waits, once.
+        6. Else the services take weighted turns; one without room is skipped for one that has some.
+        7. Of the service's eligible back ends the selector takes the least loaded; with none eligible
+           the flow is refused at once.
+
+        :param now: seconds of the node's clock.
+        """
+        if not self._routes.version:
+            return _WAITS if self._eligibility.are_backends_known else _NOT_CONFIGURED
+        if not self._stall_guard.may_place:
+            return _STALE
+        route = self._routes.find(segment.route_key)
+        if route is None:
+            return _NO_ROUTE
+        unanswered = self._observer.known_backend(segment) if segment.acknowledgement else None
+        if unanswered is not None:
+            backend = self._chosen_instead_of(unanswered, route, now)
+        elif self._must_wait(segment, route, now):
+            return _WAITS
+        else:
+            backend = self._chosen_in_turn(route, now)
+        if backend is None:
+            return _NO_BACKEND
+        self._counters.flows_placed += 1
+        self._eligibility.opened(backend, now)
+        self._observer.opening(segment, backend, now)
+        return backend.decision if unanswered is None else Decision(backend, suspect=unanswered.name)
+
+    def _must_wait(self, segment: Segment, route: Route, now: float) -> bool:
+        """Tell whether no service of the route has room, one has back ends, and the flow may wait."""
+        if any(self._has_room(share.service, route, now) for share in route.shares):
+            return False
+        if not any(self._eligibility.eligible(share.service, route, now) for share in route.shares):
+            return False
+        return self._held.may_hold(segment)
+
+    def _chosen_in_turn(self, route: Route, now: float) -> ForwardingBackend | None:
+        """Return a back end of the service whose turn it is, or of another one that has room."""
+        service = self._routes.turns(route).next()
+        if not self._has_room(service, route, now):
+            service = self._service_with_room(route, now) or service
+        return self._chosen(service, route, now, "")
+
+    def _chosen_instead_of(
+        self, unanswered: ForwardingBackend, route: Route, now: float
+    ) -> ForwardingBackend | None:
+        """Return another back end than the one that left the first opening packet unanswered."""
+        unanswered.silent_until = now + SILENCE_S
+        self._counters.second_choices += 1
+        return self._chosen(unanswered.service, route, now, unanswered.name)
+
+    def _chosen(self, service: str, route: Route, now: float, avoided: str) -> ForwardingBackend | None:
+        eligible = self._eligibility.eligible_or_vanished(service, route, now)
+        return self._selector.choose(eligible, now, avoided)
+
+    def _has_room(self, service: str, route: Route | None, now: float) -> bool:
+        return self._room(service, route, now) > 0
+
+    def _room(self, service: str, route: Route | None, now: float) -> int:
+        """Return for how many more requests there is room at a service."""
+        return self.admission.room(self._eligibility.eligible(service, route, now), now)
+
+    def _service_with_room(self, route: Route, now: float) -> str | None:
+        for share in route.shares:
+            if share.weight > 0 and self._has_room(share.service, route, now):
+                self._counters.flows_diverted += 1
+                return share.service
+        return None
+
+    def hold(self, segment: Segment, datagram: bytes, now: float) -> None:
+        """Let a new flow wait for room, or for routes."""
+        if not self._routes.version:
+            self._unrouted.add(segment.flow_key, datagram, now)
+            return
+        route = self._routes.find(segment.route_key)
+        if route is None:
+            return
+        services = tuple(share.service for share in route.shares if share.weight > 0)
+        self._held.hold(HeldOpening(segment, datagram, route.priority, services, now))
+        self._counters.flows_held += 1
+
+    def next_deadline(self, now: float) -> float:
+        """Return when to look for room next."""
+        return self._held.next_deadline(now)
+
+    def take_routed(self, now: float) -> tuple[bytes, ...]:
+        """Return the opening packets that waited for routes, once there are some."""
+        return self._unrouted.take(now) if self._routes.version else ()
+
+    def release(self, now: float) -> list[bytes]:
+        """Return the opening packets that waited for room and are decided on again."""
+        services = self._held.services()
+        if not services:
+            return []
+        self._observer.expire_requests(now)
+        rooms = {service: self._room(service, None, now) for service in services}
+        return self._held.release(rooms, now)
+
+    def forget_released(self, now: float) -> None:
+        """Forget flows that have waited and were placed some time ago."""
+        self._held.forget_released(now)
--- a/sloepond/core/forwarding/placement/places.py
+++ b/sloepond/core/forwarding/placement/places.py
@@ -1,4 +1,7 @@
-"""Where the flows of a service and of a route may go."""
+"""Places: where the flows of a service and of a route may go.
+
+Owns nothing; the rules come from the settings, `state.backends` and `eligibility` apply them.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/forwarding/placement/rendezvous.py
+++ b/sloepond/core/forwarding/placement/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: which of the balancers that know each other is assigned to a back end."""
+"""Rendezvous hashing: which of the balancers that know each other are assigned to a back end.
+
+Pure; balancers with the same view of the fleet find the same ones without a message.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/forwarding/placement/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -1,4 +1,9 @@
-"""Choice of the back end for a new flow."""
+"""The choice of a back end for a new flow: the least loaded one of a random sample.
+
+Owns no state.  Load is what this balancer has seen itself, for each slot, with a penalty for
+back ends of other halls (locality-weighted choice).  Relies on the counts and latencies that
+`load` keeps at each back end; which back ends may be chosen is `eligibility`'s.
+"""
 
 from __future__ import annotations
 
@@ -8,23 +13,28 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 SAMPLE = 16
-"""Back ends looked at for one choice; of more, a random few are."""
+"""Back ends looked at for one choice; of more, a random few are, which bounds the time of a choice
+in a large fleet."""
 COLD_FACTOR = 0.4
-"""Share of its slots a back end is taken to have while it is slow from its start."""
+"""Share of its slots that counts while a back end is slow from its start.  Without the rule a day
+with faults loses 0.0015 of worth (mean of five)."""
 FLOW_WEIGHT = 0.15
-"""Load that an open flow without a request counts as, in requests."""
-OTHER_ZONE_LOAD = 0.5
-"""Load for each slot added for standing in another hall: bytes between halls are priced,
-but a back end near by is not loaded much more for it."""
+"""Load of an open flow without a request, in requests.  With 0 in its place the worth of a day
+changed by +0.0003, -0.0014 and +0.0058 (three deployments, five days with faults each), which is
+within the spread."""
+OTHER_HALL_LOAD = 0.5
+"""Load for each slot added for standing in another hall: bytes between halls are priced, but a
+back end near by is not loaded much more for it.  With 0.25, 0.5 and 1.0: worth 0.944, 0.944, 0.945
+on a day with faults and 0.973 each on one with a changing number of balancers."""
 SLOW_FACTOR = 2.0
-"""How many times longer than the middle one of a service a back end takes to answer
-before it counts as slow."""
-SILENCE_S = 2.0
-"""How long a back end that left an opening packet unanswered is passed over."""
+"""How many times longer than the middle one of its service a back end takes to answer before it
+counts as slow: times of one kind of request vary by half, and the mean of a few may lie half as
+high again by chance.  With 1.5 and a half-life of 4 s a day of slow back ends had 0.9686 of worth,
+in place of 0.9537 to 0.9704: within the spread."""
 
 
 class Selector:
-    """Chooses the least loaded of a few back ends.
+    """Chooses the least loaded of a random sample of back ends.
 
     :param hall: hall of this balancer.
     """
@@ -34,37 +44,41 @@
         self._random = random_source
 
     def choose(
-        self, candidates: Sequence[ForwardingBackend], now: float, avoided: str = ""
+        self, eligible: Sequence[ForwardingBackend], now: float, avoided: str = ""
     ) -> ForwardingBackend | None:
-        """Return the best candidate, None where there is none.
+        """Return the least loaded back end of a sample, None where there is none; ties are random.
 
         :param avoided: name of a back end taken only where there is no other.
         """
-        sample = candidates
-        if len(candidates) > SAMPLE:
-            sample = self._random.sample(candidates, SAMPLE)
-        usable = [backend for backend in sample if backend.name != avoided] or sample
-        audible = [backend for backend in usable if backend.silent_until <= now] or usable
-        if not audible:
+        sample = eligible
+        if len(eligible) > SAMPLE:
+            sample = self._random.sample(eligible, SAMPLE)
+        others = [backend for backend in sample if backend.name != avoided] or sample
+        answering = [backend for backend in others if backend.silent_until <= now] or others
+        if not answering:
             return None
-        latencies = [backend.latency.mean(now) for backend in audible]
+        loads = self._loads(answering, now)
+        offset = self._random.randrange(len(answering))
+        order = [(offset + step) % len(answering) for step in range(len(answering))]
+        return answering[min(order, key=loads.__getitem__)]
+
+    def _loads(self, backends: Sequence[ForwardingBackend], now: float) -> list[float]:
+        """Return the load of each back end, slow ones compared with the middle one."""
+        latencies = [backend.latency.mean(now) for backend in backends]
         typical_s = _typical_latency(latencies)
-        loads = [
+        return [
             self._load(backend, _slowness(latency_s, typical_s), now)
-            for backend, latency_s in zip(audible, latencies, strict=True)
+            for backend, latency_s in zip(backends, latencies, strict=True)
         ]
-        offset = self._random.randrange(len(audible))
-        order = [(offset + step) % len(audible) for step in range(len(audible))]
-        return audible[min(order, key=loads.__getitem__)]
 
     def _load(self, backend: ForwardingBackend, slowness: float, now: float) -> float:
-        """Return the expected load for each slot.
+        """Return the expected load for each slot, in requests.
 
         :param slowness: how many times longer than usual it takes to answer.
         """
         slots = backend.slots * (COLD_FACTOR if now < backend.warm_at else 1.0) / slowness
         load = (backend.in_flight + FLOW_WEIGHT * backend.flows + 1.0) / slots
-        return load if backend.hall == self._hall else load + OTHER_ZONE_LOAD
+        return load if backend.hall == self._hall else load + OTHER_HALL_LOAD
 
 
 def _typical_latency(latencies: Sequence[float | None]) -> float:
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -1,9 +1,11 @@
-"""New flows of back ends that are slow from their start.
+"""Slow start: a back end that has just started is given few new flows a second.
 
-Such a back end bears few new flows a second, counted over all balancers.  Of those that
-know each other one opens flows there, found by rendezvous hashing; the others pass it
-over.  Views of the fleet differ for a while, so several may take themselves for that one,
-and each keeps to its part of what the back end bears.
+What it bears is counted over all balancers.  Of those that know each other one opens flows
+there, found by rendezvous hashing; the others skip it.  Views of the fleet differ for a while,
+so several may find themselves to be that one, and each keeps to its part of the limit.
+
+Owns the flows this balancer has opened at such back ends within the last second; relies on the
+peers known and on what the routes say a service's back ends bear after a start.
 """
 
 from __future__ import annotations
@@ -18,22 +20,24 @@
 from sloepond.core.forwarding.state.route_table import RouteTable
 
 OPENERS = 5
-"""Balancers that may take themselves for the one that opens flows at a back end: where 15 of
+"""Balancers that may find themselves to be the one that opens flows at a back end: where 15 of
 74 have just started and know a third of the others each, there are 4 at the most in 99.7% of
-the draws (binomial, 15 of 1/25 beside the right one)."""
+the draws (computed: binomial, 15 of 1/25 beside the right one)."""
 WINDOW_S = 1.1
-"""The second for which flows are counted, with what their ways to a back end differ by."""
+"""Seconds for which flows are counted: the second of the limit, and the 0.1 s by which their ways to
+a back end may differ.  Not measured."""
 KNOWS_FLEET_S = 5.0
-"""Age below which a balancer knows too little of its fleet to open flows there: it hears of
-about 15 others a second."""
+"""Age in seconds below which a balancer knows too little of its fleet to open flows there: it learns
+of about 15 others a second."""
 OWNERSHIP_S = 1.0
-"""How long it is remembered who opens flows at a back end."""
+"""Seconds for which the opener of a back end is remembered: finding it goes over all peers.  Not
+measured."""
 
 
 class SlowStartLimit(msgspec.Struct, frozen=True):
-    """What a back end that is slow from its start is given at most, from the settings.
+    """Limit of new flows at a back end that is slow from its start, from the settings.
 
-    :ivar factor: times what it is said to bear.
+    :ivar factor: multiplies what the routes say it bears.
     :ivar slack_per_s: new flows a second added to that.
     """
 
@@ -44,11 +48,12 @@
 class SeenOpener(msgspec.Struct):
     """What is remembered of one back end.
 
-    :ivar is_opener: whether this balancer opens flows there, as found at `judged_at`.
-    :ivar opened_at: when it has opened the last ones.
+    :ivar found_at: when the opener was last looked for.
+    :ivar is_opener: whether this balancer was found to open flows there.
+    :ivar opened_at: times of the last flows it has opened.
     """
 
-    judged_at: float
+    found_at: float
     is_opener: bool
     opened_at: list[float] = msgspec.field(default_factory=list)
 
@@ -84,8 +89,8 @@
             seen.opened_at.append(now)
 
     def forget(self, now: float) -> None:
-        """Forget back ends of which nothing was asked for long."""
-        old = [name for name, seen in self._seen.items() if now - seen.judged_at > 2 * OWNERSHIP_S]
+        """Forget back ends of which were not looked at for long."""
+        old = [name for name, seen in self._seen.items() if now - seen.found_at > 2 * OWNERSHIP_S]
         for name in old:
             del self._seen[name]
 
@@ -96,8 +101,8 @@
         if seen is None:
             seen = SeenOpener(now, self._is_opener(backend))
             self._seen[backend.name] = seen
-        elif now - seen.judged_at > OWNERSHIP_S:
-            seen.judged_at = now
+        elif now - seen.found_at > OWNERSHIP_S:
+            seen.found_at = now
             seen.is_opener = self._is_opener(backend)
         if not seen.is_opener:
             return False
@@ -107,7 +112,7 @@
     def _allowed(self, service: str) -> int:
         """Return how many flows a second this balancer may open at a back end of a service.
 
-        One that is said to bear none is still given what the settings add.
+        One that bears none according to the routes still gets its part of what the settings add.
         """
         assert self._limit is not None
         cold_start = self._routes.cold_start(service)
@@ -115,7 +120,10 @@
         return int((borne_per_s * self._limit.factor + self._limit.slack_per_s) / OPENERS)
 
     def _is_opener(self, backend: ForwardingBackend) -> bool:
-        """Tell whether no other balancer known has a higher weight; those out of reach count too."""
+        """Tell whether no other balancer known has a higher weight; those out of reach count too.
+
+        A view that is full may be partial, so that it shows nobody to be the one.
+        """
         others = self._peers.others_staying()
         if len(others) >= MAXIMUM_PEERS - 1:
             return False
--- a/sloepond/core/forwarding/placement/unrouted.py
+++ b/sloepond/core/forwarding/placement/unrouted.py
@@ -1,12 +1,17 @@
-"""New flows that wait until a fresh balancer knows the routes."""
+"""New flows that wait until a fresh balancer knows the routes.
+
+Owns their opening packets; `opening` adds them and takes them back once there are routes.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 LONGEST_WAIT_S = 1.0
-"""How long an opening packet waits; its sender has given up soon after."""
+"""Seconds an opening packet waits: its caller gives up after 1.4 s.  The rule switched off costs a
+day with faults 0.0008 of worth (mean of five); the length was not measured."""
 MAXIMUM_WAITING = 512
+"""Flows that wait at once.  Bounds memory; not measured."""
 
 
 class WaitingOpening(msgspec.Struct, frozen=True):
