--- a/sloepond/core/forwarding/placement/held_openings.py
+++ b/sloepond/core/forwarding/placement/held_openings.py
@@ -15,8 +15,8 @@
 LONGEST_HOLD_S = 0.6
 """Seconds a new flow waits for room at most; its caller gives up after 1.4 s.  Waits of 0, 0.3 and
 0.6 s: worth 0.944, 0.946, 0.944 on a day with faults and 0.973 each on one with a changing number
-of balancers.  Where retries feed an overload: 0.92 to 0.95 with 0.6 s, 0.86 to 0.95 with 0.25 s,
-0.87 to 0.95 with 0.9 s (six runs each or fewer)."""
+of balancers.  On a day where retries feed an overload: 0.92 to 0.95 with 0.6 s (six runs), 0.86
+to 0.95 with 0.25 s, 0.87 to 0.95 with 0.9 s."""
 MAXIMUM_HELD = 256
 """New flows that wait at once; more are placed anyway.  Bounds memory; not measured."""
 RELEASE_INTERVAL_S = 0.01
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -1,8 +1,18 @@
-"""What becomes of an opening packet: the rules for a new flow, in their order.
-
-`Openings.decide` reads from top to bottom.  Owns the flows that wait for routes or for room;
-relies on `eligibility` (which back ends may be given a flow), `admission` (where there is room)
-and `selection` (the choice among them).
+"""What becomes of an opening packet: the rules for a new flow, as `Openings.decide` applies them.
+
+1. No routes known yet: the flow waits if the back ends are known, so that a fresh process that has
+   read one of the two loses none; else it is refused.
+2. The process has slept: nothing is placed until what it knows is confirmed.
+3. No route for the endpoint: the flow is reset at once.
+4. A copy of an opening packet: the back end chosen for the first one has not answered, so another
+   one of the same service is chosen.
+5. No service of the route has room for it here, and one has back ends: the flow waits, once.
+6. Else the services take weighted turns; one without room is skipped for one that has some.
+7. Of the service's eligible back ends the selector takes the least loaded; with none eligible the
+   flow is reset at once.
+
+Owns the flows that wait for routes or for room; relies on `eligibility` (which back ends may be
+given a flow), `admission` (where there is room) and `selection` (the choice among them).
 """
 
 from __future__ import annotations
@@ -59,18 +69,7 @@
         self.admission = Admission()
 
     def decide(self, segment: Segment, now: float) -> Decision:
-        """Apply the rules for a new flow in their order.
-
-        1. Before this balancer knows any routes, a flow waits if the back ends are known, so that a
-           fresh process that has read one of the two loses none; else it is refused.
-        2. A process that has slept places nothing until what it knows is confirmed.
-        3. An endpoint without a route: refused at once.
-        4. A copy of an opening packet: the back end chosen for the first one has not answered, so
-           another one of the same service is chosen.
-        5. No service of the route has room for it here: it waits, once.
-        6. Else the services take weighted turns; one without room is skipped for one that has some.
-        7. Of the service's eligible back ends the selector takes the least loaded; with none eligible
-           the flow is refused at once.
+        """Apply the rules for a new flow in their order; the module's docstring lists them.
 
         :param now: seconds of the node's clock.
         """
