--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -31,7 +31,8 @@
 """Balancers assigned to each back end: one may be gone, or unknown to some.  Not measured."""
 MAXIMUM_SHARE = 1 / 3
 """Share of the back ends a flow may go to that are ejected at most.  Where more seem to fail it is
-the load, the network or this balancer, and ejecting them would starve the rest."""
+the load, the network or this balancer, and ejecting them would starve the rest.  A balancer to
+which more than this share of the back ends it uses seem to fail suspects its own link."""
 TRIAL_SHARE = 0.1
 """Share of the choices in which a back end may be chosen while it is tried again."""
 REPORTS_PER_S = 20.0
--- a/sloepond/core/forwarding/load/waiting_requests.py
+++ b/sloepond/core/forwarding/load/waiting_requests.py
@@ -36,6 +36,9 @@
 class ServiceRequests:
     """Requests of one service, the oldest first, and how long they usually wait.
 
+    Each is kept with the time at which it was first seen; once its flow has another one, or none, it
+    was answered and is skipped.
+
     :ivar unanswered_after_s: wait after which one of them counts as unanswered.
     """
 
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -89,7 +89,7 @@
             seen.opened_at.append(now)
 
     def forget(self, now: float) -> None:
-        """Forget back ends of which were not looked at for long."""
+        """Forget back ends that were not looked at for long."""
         old = [name for name, seen in self._seen.items() if now - seen.found_at > 2 * OWNERSHIP_S]
         for name in old:
             del self._seen[name]
