--- a/features/forwarding/placement.feature
+++ b/features/forwarding/placement.feature
@@ -49,3 +49,6 @@
     Given a forwarding node with routes and back ends
     Then forwarding resets a flow to no route
     And forwarding resets a flow to a service without back ends
+
+  Scenario: The first rule that applies decides on a packet that opens a flow
+    Then forwarding property: rules for a new flow apply in their order, whatever else is true
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import Counter
+from typing import NamedTuple
 
 from behave import then, when
 from forwarding_model import (
@@ -12,6 +13,7 @@
     MIXED,
     NOWHERE,
     PATIENT,
+    ROUTES,
     STREAM,
     Harness,
     fresh_node,
@@ -29,6 +31,7 @@
     BackendsRead,
     DepartedBackend,
     OpeningHeld,
+    RoutesRead,
     TimerFired,
 )
 from sloepond.core.forwarding.load.flow_observer import FlowObserver
@@ -298,3 +301,65 @@
         assert all(b.in_flight == 0 and b.flows == 0 for b in backends)
 
     check()
+
+
+class NewFlow(NamedTuple):
+    """What is true when a packet opens a flow."""
+
+    are_routes_known: bool
+    are_backends_known: bool
+    has_slept: bool
+    route: int
+    is_copy: bool
+    is_full: bool
+
+
+def decision_on(flow):
+    """Bring a balancer into a situation; return its decision and the back end of an earlier copy."""
+    harness = Harness()
+    if flow.are_routes_known:
+        harness.handle(RoutesRead(10, ROUTES))
+    if flow.are_backends_known:
+        harness.handle(BackendsRead(10, records()))
+    settle(harness)
+    earlier = place(harness, flow.route, 1000).backend if flow.is_copy else None
+    port = 1001
+    while flow.is_full and place(harness, flow.route, port).backend is not None:
+        port += 1
+    if flow.has_slept:
+        harness.now += 3.0
+    return place(harness, flow.route, 1000, copies=int(flow.is_copy)), earlier
+
+
+def expected_refusal(flow):
+    """Return why a flow that was not chosen a back end for before is refused, None where it isn't."""
+    if not flow.are_routes_known:
+        return None if flow.are_backends_known else Refusal.NOT_CONFIGURED
+    if flow.has_slept:
+        return Refusal.STALE_KNOWLEDGE
+    if flow.route == NOWHERE:
+        return Refusal.NO_ROUTE
+    if flow.route == EMPTY or not flow.are_backends_known:
+        return Refusal.NO_BACKEND
+    return None
+
+
+@then("forwarding property: rules for a new flow apply in their order, whatever else is true")
+def rules_in_order(context):
+    flag = st.booleans()
+
+    @settings(PROPERTY, max_examples=128)
+    @for_all(st.builds(NewFlow, flag, flag, flag, st.sampled_from((EXPORT, EMPTY, NOWHERE)), flag, flag))
+    def check(flow):
+        decision, earlier = decision_on(flow)
+        refusal = expected_refusal(flow)
+        assert decision.refusal is refusal
+        assert decision.reset is (refusal in (Refusal.NO_ROUTE, Refusal.NO_BACKEND))
+        waits_for_routes = not flow.are_routes_known and flow.are_backends_known
+        waits_for_room = refusal is None and flow.is_full and earlier is None
+        assert decision.hold is (waits_for_routes or waits_for_room)
+        if refusal is None and not decision.hold:
+            assert decision.backend.service == "roster" and decision.backend is not earlier
+            assert decision.suspect == (earlier.name if earlier is not None else "")
+
+    check()
