--- a/sloepond/core/forwarding/health/outlier_detector.py
+++ b/sloepond/core/forwarding/health/outlier_detector.py
@@ -18,8 +18,8 @@
 FAILURES_OF_ONE = 6
 """The same where a single balancer has reported them all: it may be its own link."""
 LASTS_S = (2.0, 4.0, 8.0)
-"""Seconds the first, the second and each later ejection in a row lasts (exponential backoff): short
-at first, as most failures end within seconds.  Not measured."""
+"""Seconds the first, the second and each later ejection in a row lasts (exponential backoff): a back
+end that has recovered soon loses few flows.  Not measured."""
 RELAPSE_S = 12.0
 """Seconds after an ejection within which the next one lasts longer, and one report is enough for
 it: longer than the longest ejection, so that a failure in the trial that follows is a relapse.
