--- a/features/forwarding/reachability.feature
+++ b/features/forwarding/reachability.feature
@@ -111,3 +111,6 @@
     When forwarding passes on a request and its repetition
     Then forwarding checks it three times, each with another control, while the results are unknown
     And forwarding checks no back end
+
+  Scenario: The first rule that applies decides on a packet of an open flow
+    Then forwarding property: rules for an open flow apply in their order, whatever else is true
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -4,6 +4,7 @@
 
 import itertools
 import socket
+from typing import NamedTuple
 
 from behave import then, when
 from forwarding_model import STREAM, Harness, record, segment
@@ -24,7 +25,12 @@
 from sloepond.core.forwarding.health.flow_resets import RESETS_A_STEP
 from sloepond.core.forwarding.health.reachability import CHECKS_PER_S
 from sloepond.core.forwarding.packets import Refusal, last_segment
-from sloepond.core.forwarding.peers.messages import BackendUnreachable, Heartbeat, KnownBackend
+from sloepond.core.forwarding.peers.messages import (
+    BackendFailing,
+    BackendUnreachable,
+    Heartbeat,
+    KnownBackend,
+)
 from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
 from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.runtime.forwarding.event_loop import EventLoop
@@ -375,3 +381,56 @@
         harness.now += 0.1
         harness.handle(BackendChecked(command.name, CheckResult.UNKNOWN))
     assert len(set(controls)) == 3
+
+
+class OpenFlow(NamedTuple):
+    """What is true of the back end that a packet's token names."""
+
+    token: int
+    is_ejected: bool
+    is_unreachable: bool
+    has_vanished: bool
+    is_suspected: bool
+    is_repeated: bool
+
+
+def events_of(flow, name):
+    """Return what a balancer learns of the back end."""
+    return [
+        event
+        for event, has_happened in (
+            (BackendsChanged(20, (DepartedBackend(name, 20),)), flow.has_vanished),
+            (PeerMessageReceived("10.1.0.2", BackendFailing(name, 2.0)), flow.is_ejected),
+            (PeerMessageReceived("10.1.0.2", BackendUnreachable(name)), flow.is_suspected),
+            (BackendChecked(name, CheckResult.UNREACHABLE), flow.is_unreachable),
+        )
+        if has_happened
+    ]
+
+
+@then("forwarding property: rules for an open flow apply in their order, whatever else is true")
+def open_rules_in_order(context):
+    flag = st.booleans()
+    unknown = 77
+
+    @settings(PROPERTY, max_examples=128)
+    @for_all(st.builds(OpenFlow, st.sampled_from((0, 1, unknown)), flag, flag, flag, flag, flag))
+    def check(flow):
+        harness = Harness().configure()
+        packet = segment(token=flow.token, length=10)
+        if flow.is_repeated:
+            harness.node.decide(packet, harness.now)
+        for event in events_of(flow, record(1).name):
+            harness.handle(event)
+        decision = harness.node.decide(packet, harness.now)
+        if flow.token != 1:
+            assert decision.refusal is (Refusal.UNKNOWN_TOKEN if flow.token else Refusal.NO_TOKEN)
+            assert decision.lookup is (flow.token == unknown) and not decision.reset
+        elif flow.is_unreachable:
+            assert decision.refusal is Refusal.UNREACHABLE and decision.reset
+        else:
+            assert decision.backend.number == 1 and decision.refusal is None
+            is_suspect = flow.has_vanished or flow.is_suspected or flow.is_repeated
+            assert decision.suspect == (record(1).name if is_suspect else "")
+
+    check()
