--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -11,9 +11,9 @@
 from __future__ import annotations
 
 from sloepond.core.configuration.sources import DIGEST_PREFIX
-from sloepond.core.configuration.token_bucket import TokenBucket
 from sloepond.core.context import NEVER, NodeContext
 from sloepond.core.messages import ConfigurationOffered, Member
+from sloepond.core.token_bucket import TokenBucket
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
 
 OFFERS = 3
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -39,7 +39,7 @@
 from sloepond.core.forwarding.lifecycle.planned_stop import HallBalancers
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_S
 from sloepond.core.forwarding.load.latency import LatencyHistogram
-from sloepond.core.forwarding.load.waiting_requests import PATIENCE_S
+from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S
 from sloepond.core.forwarding.packets import Segment
 from sloepond.core.forwarding.peers.messages import Snapshot
 from sloepond.core.forwarding.peers.reader_election import Role
@@ -69,8 +69,9 @@
         self._watchers = parts.local.watchers
         self._stall_guard = parts.stall_guard
         self._slow_start = parts.slow_start
-        self._failing = parts.failing
+        self._ejection = parts.ejection
         self._forwarder = parts.forwarder
+        self._openings = parts.forwarder.openings
         self._dissemination = parts.dissemination
         self._answers = parts.answers
         self._exchange = parts.exchange
@@ -131,7 +132,7 @@
     @property
     def backends_passed_over(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
-        return self._failing.passed_over(self._now)
+        return self._ejection.ejected(self._now)
 
     def routes_age(self, now: float) -> float:
         """Return seconds since the store or a reader of it confirmed the routes."""
@@ -161,7 +162,7 @@
         """Start; `now` in seconds of a monotonic clock."""
         self._now = now
         self._housekeeping.start(now)
-        self._forwarder.admission.start(now)
+        self._openings.admission.start(now)
         self._slow_start.start(now)
         self._exchange.bootstrap.begin(now)
         return self._finish()
@@ -177,7 +178,7 @@
             if decision.backend is not None and self._dissemination.staleness.is_stale:
                 self.counters.flows_placed_unconfirmed += 1
         elif segment.length:
-            self._deadline = min(self._deadline, now + PATIENCE_S)
+            self._deadline = min(self._deadline, now + UNANSWERED_AFTER_S)
         return decision
 
     def next_deadline(self) -> float:
@@ -205,7 +206,7 @@
         """Take a message, or what was requested by stream."""
         if isinstance(event, PeerMessageReceived):
             self._exchange.message_received(event, self._now)
-            self._checks.told_by_peers(self._now)
+            self._checks.check_suspected_by_peers(self._now)
         elif isinstance(event, SnapshotReceived):
             self._exchange.snapshot_received(event, self._now)
         elif isinstance(event, RoutesReceived):
@@ -216,7 +217,7 @@
     def _take_from_data_path(self, event: PacketEvent) -> None:
         """Take what `decide` has asked the runtime to report, and what a check has shown."""
         if isinstance(event, OpeningHeld):
-            self._forwarder.hold(event.segment, event.datagram, self._now)
+            self._openings.hold(event.segment, event.datagram, self._now)
         elif isinstance(event, UnknownTokenMet):
             self._exchange.unknown_token(event, self._now)
         elif isinstance(event, BackendSuspected):
@@ -252,11 +253,11 @@
         if now >= self._stop.next_deadline():
             self._stop.on_time(self.is_configured, now)
         self._checks.on_time(now)
-        self._failing.on_time(now)
+        self._ejection.on_time(now)
         self._stall_guard.on_time(now)
         self._exchange.on_time(now)
         self._dissemination.on_time(now)
-        released = self._forwarder.release(now)
+        released = self._openings.release(now)
         if released:
             self._commands.append(ForwardHeld(tuple(released)))
         self._housekeeping.on_time(now)
@@ -274,12 +275,12 @@
     def _collect(self) -> None:
         """Append the parts' commands in a fixed order."""
         self._commands.extend(self._dissemination.intake.take_change_logs())
-        routed = self._forwarder.routed(self._now)
+        routed = self._openings.take_routed(self._now)
         if routed:
             self._commands.append(ForwardHeld(routed))
         self._commands.extend(self._checks.take_commands(self._now))
         self._commands.extend(self._stop.take_commands())
-        self._commands.extend(self._failing.take_commands())
+        self._commands.extend(self._ejection.take_commands())
         self._commands.extend(self._answers.take_commands())
         self._commands.extend(self._exchange.take_commands())
         self._commands.extend(self._dissemination.take_commands())
@@ -291,9 +292,9 @@
             self._stall_guard.next_deadline(),
             self._exchange.next_deadline(),
             self._dissemination.next_deadline(),
-            self._forwarder.admission.next_deadline(self._now),
+            self._openings.next_deadline(self._now),
             self._checks.next_deadline(),
-            self._failing.next_deadline(),
+            self._ejection.next_deadline(),
         )
         if not self._dissemination.may_read_store:
             return deadline
