--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -34,7 +34,10 @@
 ROUTE_KEY = 0xC6120001 << 16 | 443
 PROGRAMS = (
     ("interpreter alone", "pass"),
-    ("sockets bound", "import _signal, _socket, sloepond.platform.settings, sloepond.platform.binding"),
+    (
+        "sockets bound",
+        "import _signal, _socket, sloepond.platform.settings, sloepond.runtime.forwarding.binding",
+    ),
     ("import msgspec", "import msgspec"),
     ("whole service", "import sloepond.platform.balancer"),
     ("import trio", "import trio"),
--- a/features/steps/forwarding_loop_steps.py
+++ b/features/steps/forwarding_loop_steps.py
@@ -247,7 +247,7 @@
 
 @then("the balancer on the platform loads next to nothing before it binds its sockets")
 def binds_first(context):
-    loaded = modules_after("sloepond.platform.settings, sloepond.platform.binding")
+    loaded = modules_after("sloepond.platform.settings, sloepond.runtime.forwarding.binding")
     heavy = (*HEAVY_MODULES, "msgspec", "typing", "re", "random", "json", "enum", "socket")
     assert "_socket" in loaded
     assert not loaded.intersection(heavy), loaded.intersection(heavy)
--- a/sloepond/platform/__main__.py
+++ b/sloepond/platform/__main__.py
@@ -16,8 +16,8 @@
 def main() -> None:
     """Run a balancer until SIGTERM has stopped it."""
     signals = _receive_signals()
-    from sloepond.platform.binding import bind_sockets
     from sloepond.platform.settings import read_settings
+    from sloepond.runtime.forwarding.binding import bind_sockets
 
     settings = read_settings()
     descriptors = bind_sockets(settings)
--- a/sloepond/platform/binding.py
+++ b/sloepond/runtime/forwarding/binding.py
@@ -1,8 +1,11 @@
-"""Sockets of a balancer on the platform, bound before anything else is loaded.
+"""Binds a balancer's sockets before anything else is loaded.
 
 What callers send to a port that is not bound is lost.  `socket` loads enumerations and
 selectors, which doubles the time to here, so this module uses the C module under it and
 hands on descriptors; `sloepond.runtime.forwarding.process` makes sockets of them.
+
+Owns nothing after it returns.  Relies on addresses of the form `ip:port` and, for the
+short time to here, on importing nothing but `_socket` and `process`.
 """
 
 from __future__ import annotations
