--- a/features/forwarding/process.feature
+++ b/features/forwarding/process.feature
@@ -9,6 +9,13 @@
     When the platform balancer is told to stop
     Then the platform balancer is not ready, forwards the flow on and ends with code 0
 
+  Scenario: A metrics address that is in use is logged with the reason
+    Given platform stand-ins of a store and of two targets
+    And a platform listener at the metrics address of the next balancer
+    When a platform balancer is started
+    Then the platform balancer becomes ready and forwards a flow to one target
+    And the platform balancer logs that it serves no metrics, and why
+
   Scenario: What is sent while the process starts is not lost
     Given platform stand-ins of a store and of two targets
     When a platform balancer is started and a flow is opened before it is ready
--- a/features/steps/forwarding_process_steps.py
+++ b/features/steps/forwarding_process_steps.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+import json
 import signal
+import socket
 import struct
 
 from behave import given, then, when
-from forwarding_standins import ACK, HEAD, ROUTE, SYN, Stage, packet, wait_for
+from forwarding_standins import ACK, HEAD, METRICS_PORT, ROUTE, SYN, Stage, packet, wait_for
 
 NO_ROUTE = ("198.18.0.9", 80)
 RST = 128
@@ -76,6 +78,21 @@
     assert "sloepond_route_version 4" in text
 
 
+@given("a platform listener at the metrics address of the next balancer")
+def metrics_address_taken(context):
+    address = (context.stage.hosts[len(context.stage.balancers)], METRICS_PORT)
+    context.add_cleanup(socket.create_server(address).close)
+
+
+@then("the platform balancer logs that it serves no metrics, and why")
+def logs_metrics_not_served(context):
+    balancer = context.balancer
+    lines = [json.loads(line) for line in balancer.log.read_text().splitlines()]
+    [line] = [line for line in lines if line["kind"] == "metrics_not_served"]
+    assert line["subject"] == f"{balancer.host}:{METRICS_PORT}"
+    assert "Address already in use" in line["detail"], line
+
+
 @given("a platform store that sends the routes in parts, with pauses")
 def store_pauses(context):
     context.stage.store.pause_s = 0.3
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -118,6 +118,7 @@
     FETCH_FAILED = "fetch_failed"
     ROLE_CHANGED = "role_changed"
     SETTINGS_CHANGED = "settings_changed"
+    METRICS_NOT_SERVED = "metrics_not_served"
 
 
 class WriteLog(msgspec.Struct, frozen=True):
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -14,7 +14,12 @@
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.log_writer import LogWriter
-from sloepond.runtime.forwarding.process import BoundDescriptors, BoundSockets, ForwardingSettings
+from sloepond.runtime.forwarding.process import (
+    BoundDescriptors,
+    BoundSockets,
+    ForwardingSettings,
+    NotBound,
+)
 from sloepond.runtime.forwarding.reloading import SettingsReloader
 from sloepond.runtime.forwarding.service import ForwardingService
 from sloepond.runtime.forwarding.store_client import StoreClient
@@ -41,6 +46,9 @@
     )
     logs = LogWriter(node.counters)
     logs.write(WriteLog(LogKind.STARTED, settings.name, f"zone={settings.hall} store={settings.store}"))
+    if isinstance(descriptors.metrics, NotBound):
+        reason = f"reason={descriptors.metrics.reason}"
+        logs.write(WriteLog(LogKind.METRICS_NOT_SERVED, settings.metrics, reason))
     loop = EventLoop()
     data_path = DataPath(sockets.edge, EchoPacketCodec(int(settings.edge.rpartition(":")[2])), node, logs)
     store = StoreClient(loop, settings.store, PlatformStoreCodec())
--- a/sloepond/runtime/forwarding/binding.py
+++ b/sloepond/runtime/forwarding/binding.py
@@ -12,7 +12,12 @@
 
 import _socket
 
-from sloepond.runtime.forwarding.process import BoundDescriptors, ForwardingSettings, split_address
+from sloepond.runtime.forwarding.process import (
+    BoundDescriptors,
+    ForwardingSettings,
+    NotBound,
+    split_address,
+)
 
 RECEIVE_BUFFER_BYTES = 1024 * 1024
 """Room for what comes while the rest is loaded, some hundreds of packets."""
@@ -43,12 +48,14 @@
     return bound.detach()
 
 
-def _listen_if_possible(address: str) -> int | None:
-    """Listen where nothing else does: a balancer without metrics still forwards."""
+def _listen_if_possible(address: str) -> int | NotBound:
+    """Return a listening descriptor, or why there is none: a balancer without metrics still forwards."""
+    if not address:
+        return NotBound("the settings name no address")
     try:
-        return _listen(address) if address else None
-    except OSError:
-        return None
+        return _listen(address)
+    except OSError as error:
+        return NotBound(f"{type(error).__name__}: {error}")
 
 
 def _listen(address: str) -> int:
--- a/sloepond/runtime/forwarding/process.py
+++ b/sloepond/runtime/forwarding/process.py
@@ -84,6 +84,18 @@
         return tuple(name for name in self.__slots__ if getattr(self, name) != getattr(other, name))
 
 
+class NotBound:
+    """Stands for a socket that could not be bound.
+
+    :ivar reason: the error, for a log line.
+    """
+
+    __slots__ = ("reason",)
+
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+
+
 class BoundDescriptors:
     """Descriptors of non-blocking sockets, bound so that nothing sent to them is lost.
 
@@ -91,13 +103,13 @@
     :ivar readiness: TCP, listening.
     :ivar peer: UDP, what other balancers say.
     :ivar snapshot: TCP, listening for balancers that have just started.
-    :ivar metrics: TCP, listening; None where the address is taken.
+    :ivar metrics: TCP, listening, or why metrics are not served.
     """
 
     __slots__ = ("edge", "readiness", "peer", "snapshot", "metrics")
 
     def __init__(
-        self, *, edge: int, readiness: int, peer: int, snapshot: int, metrics: int | None = None
+        self, *, edge: int, readiness: int, peer: int, snapshot: int, metrics: int | NotBound
     ) -> None:
         self.edge = edge
         self.readiness = readiness
@@ -127,6 +139,6 @@
         self.readiness = adopt(descriptors.readiness, socket.SOCK_STREAM)
         self.snapshot = adopt(descriptors.snapshot, socket.SOCK_STREAM)
         self.metrics: socket.socket | None = None
-        if descriptors.metrics is not None:
+        if not isinstance(descriptors.metrics, NotBound):
             self.metrics = adopt(descriptors.metrics, socket.SOCK_STREAM)
         self.signals = adopt(signals, socket.SOCK_STREAM, socket.AF_UNIX)
