--- /dev/null
+++ b/features/steps/forwarding_errors_steps.py
@@ -0,0 +1,118 @@
+"""Steps on errors that are counted and logged."""
+
+from __future__ import annotations
+
+import errno
+import json
+import os
+from unittest import mock
+
+from behave import given, then, when
+from forwarding_model import STREAM, Harness, segment
+
+from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.runtime.forwarding.data_path import DataPath
+from sloepond.runtime.forwarding.log_writer import LogWriter
+
+CLOCK = "sloepond.runtime.forwarding.log_writer.monotonic_seconds"
+ERRORS = {"No buffer space available": errno.ENOBUFS, "Network is unreachable": errno.ENETUNREACH}
+
+
+class FailingSocket:
+    """A socket whose calls fail with an error."""
+
+    def __init__(self, error):
+        self.error = error
+
+    def recv(self, size):
+        """Fail."""
+        raise self.error
+
+    def sendto(self, datagram, address):
+        """Fail."""
+        raise self.error
+
+
+class LogPipe:
+    """A log whose lines can be read, with a clock that is set by hand."""
+
+    def __init__(self, context, counters):
+        self.now = 100.0
+        self._reading, writing = os.pipe()
+        os.set_blocking(self._reading, False)
+        patched = mock.patch(CLOCK, lambda: self.now)
+        patched.start()
+        context.add_cleanup(patched.stop)
+        for descriptor in (self._reading, writing):
+            context.add_cleanup(os.close, descriptor)
+        self.writer = LogWriter(counters, writing)
+        self._text = b""
+
+    def lines(self, kind):
+        """Return all lines of a kind that were written."""
+        try:
+            while part := os.read(self._reading, 65_536):
+                self._text += part
+        except BlockingIOError:
+            pass
+        lines = [json.loads(line) for line in self._text.splitlines()]
+        return [line for line in lines if line["kind"] == kind]
+
+
+def forward_on(context, error):
+    """Make a data path on a socket that fails."""
+    context.harness = Harness().configure()
+    node = context.harness.node
+    context.counters = node.counters
+    context.logs = LogPipe(context, node.counters)
+    context.data_path = DataPath(FailingSocket(error), EchoPacketCodec(1), node, context.logs.writer)
+
+
+@given('forwarding on a callers\' socket whose receives fail with "{reason}"')
+@given('forwarding on a callers\' socket whose sends fail with "{reason}"')
+def socket_fails(context, reason):
+    context.reason = reason
+    forward_on(context, OSError(ERRORS[reason], reason))
+
+
+@given("forwarding on a callers' socket on which nothing waits")
+def socket_empty(context):
+    forward_on(context, BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable"))
+
+
+@when("forwarding reads that socket 500 times within a second")
+def reads_often(context):
+    for _ in range(500):
+        assert context.data_path.drain(context.logs.now) == 0
+        context.logs.now += 0.001
+
+
+@when("forwarding reads that socket once a second for 25 seconds")
+def reads_long(context):
+    for _ in range(25):
+        context.data_path.drain(context.logs.now)
+        context.logs.now += 1.0
+
+
+@when("forwarding sends 500 resets through that socket within a second")
+def sends_often(context):
+    for _ in range(500):
+        context.data_path.reset((segment(STREAM),))
+        context.logs.now += 0.001
+
+
+@then("forwarding has counted {count:d} failed receives")
+def counted(context, count):
+    assert context.counters.receives_failed == count, context.counters.receives_failed
+
+
+@then('forwarding has logged one line "{kind}" about "{subject}" with that reason')
+def logged_once(context, kind, subject):
+    lines = context.logs.lines(kind)
+    assert [line["subject"] for line in lines] == [subject], lines
+    assert context.reason in lines[0]["detail"], lines
+
+
+@then('forwarding has logged {count:d} lines "{kind}"')
+def logged_often(context, count, kind):
+    assert len(context.logs.lines(kind)) == count, context.logs.lines(kind)
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -119,6 +119,8 @@
     ROLE_CHANGED = "role_changed"
     SETTINGS_CHANGED = "settings_changed"
     METRICS_NOT_SERVED = "metrics_not_served"
+    RECEIVE_FAILED = "receive_failed"
+    SEND_FAILED = "send_failed"
 
 
 class WriteLog(msgspec.Struct, frozen=True):
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -5,6 +5,7 @@
 import socket
 from collections.abc import Callable, Iterable
 
+from sloepond.core.forwarding.commands import LogKind
 from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningHeld, UnknownTokenMet
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Refusal, Segment
@@ -15,6 +16,8 @@
 BATCH_DATAGRAMS = 64
 """Datagrams read after one wait, so that no other task starves."""
 MAXIMUM_DATAGRAM_BYTES = 2_048
+CALLERS = "callers"
+"""Subject of log lines about the callers' socket."""
 
 
 class DataPath:
@@ -41,7 +44,10 @@
         for taken in range(BATCH_DATAGRAMS):
             try:
                 datagram = receive(MAXIMUM_DATAGRAM_BYTES)
-            except OSError:
+            except BlockingIOError:
+                return taken
+            except OSError as error:
+                self._receive_failed(error)
                 return taken
             self.packet(datagram, now)
         return BATCH_DATAGRAMS
@@ -51,7 +57,10 @@
         while True:
             try:
                 self._edge.recv(MAXIMUM_DATAGRAM_BYTES)
-            except OSError:
+            except BlockingIOError:
+                return
+            except OSError as error:
+                self._receive_failed(error)
                 return
             self._counters.packets_waited_too_long += 1
 
@@ -101,8 +110,13 @@
     def _send(self, datagram: bytes, endpoint: tuple[str, int]) -> None:
         try:
             self._edge.sendto(datagram, endpoint)
-        except OSError:
+        except OSError as error:
             self._counters.sends_failed += 1
+            self._logs.failure(LogKind.SEND_FAILED, CALLERS, error)
+
+    def _receive_failed(self, error: OSError) -> None:
+        self._counters.receives_failed += 1
+        self._logs.failure(LogKind.RECEIVE_FAILED, CALLERS, error)
 
 
 def _ignore(event: Event) -> None:
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -19,6 +19,12 @@
 LINES_PER_S = 200.0
 """Lines written a second over a longer time."""
 BURST_LINES = 400
+FAILURE_INTERVAL_S = 10.0
+"""Time between two lines about the same lasting failure, in seconds.
+
+Not measured: short enough to show whoever follows the log that the failure goes on, and few
+beside `LINES_PER_S`.  A counter gives the rate.
+"""
 STANDARD_OUTPUT = 1
 PORT_MASK = (1 << PORT_BITS) - 1
 
@@ -55,12 +61,26 @@
         self._allowed = float(BURST_LINES)
         self._refilled_at = self._started
         self._encoder = msgspec.json.Encoder()
+        self._failures: dict[tuple[LogKind, str], float] = {}
         os.set_blocking(descriptor, False)
 
     def write(self, command: WriteLog) -> None:
         """Write a line about the node."""
         self._write(command.kind, command.subject, command.detail)
 
+    def failure(self, kind: LogKind, subject: str, reason: Exception | str) -> None:
+        """Write a line about a failure that may repeat, at most one in `FAILURE_INTERVAL_S`.
+
+        :param subject: one of a fixed few, such as the name of a socket: each is remembered.
+        """
+        now = monotonic_seconds()
+        written_at = self._failures.get((kind, subject))
+        if written_at is not None and now - written_at < FAILURE_INTERVAL_S:
+            return
+        self._failures[kind, subject] = now
+        text = f"{type(reason).__name__}: {reason}" if isinstance(reason, Exception) else reason
+        self._write(kind, subject, f"reason={text}")
+
     def flow_placed(self, segment: Segment, backend: ForwardingBackend, node: KnowledgeVersions) -> None:
         """Write a line about a new flow and its back end."""
         if self._may_write():
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -46,6 +46,8 @@
 """How long one exchange on a stream may take."""
 MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024
 MAXIMUM_QUESTION_BYTES = 256
+PEERS = "peers"
+"""Subject of log lines about the socket for other balancers."""
 MAXIMUM_STREAMS = 8
 """Streams of peers served at once; who is turned away asks another peer."""
 _BYTE_COUNTERS: dict[type[PeerMessage], str] = {
@@ -99,8 +101,9 @@
         datagram = self._encoder.encode(command.message)
         try:
             self._datagrams.sendto(datagram, (command.ip, self._port))
-        except OSError:
+        except OSError as error:
             self._node.counters.sends_failed += 1
+            self._logs.failure(LogKind.SEND_FAILED, PEERS, error)
             return
         counter = _BYTE_COUNTERS[type(command.message)]
         counters = self._node.counters
@@ -131,9 +134,10 @@
                 datagram, source = self._datagrams.recvfrom(MAXIMUM_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:
-                # A peer's port was closed: it will be found silent.
+            except OSError as error:
+                # The port of a peer may be closed; its missing heartbeats tell.
                 self._node.counters.receives_failed += 1
+                self._logs.failure(LogKind.RECEIVE_FAILED, PEERS, error)
                 return
             try:
                 message = self._messages.decode(datagram)
