--- a/features/forwarding/errors.feature
+++ b/features/forwarding/errors.feature
@@ -21,3 +21,19 @@
     Given forwarding on a callers' socket whose sends fail with "Network is unreachable"
     When forwarding sends 500 resets through that socket within a second
     Then forwarding has logged one line "send_failed" about "callers" with that reason
+
+  Scenario Outline: A call to the store that brings nothing is logged with the reason
+    When forwarding <calls> a store that <does>
+    Then forwarding has logged one line "store_call_failed" about "<failure>" with the reason "<reason>"
+
+    Examples:
+      | calls   | does                                | failure     | reason                   |
+      | reads   | answers with status 503             | refused     | status 503               |
+      | watches | answers with status 410             | history_lost | status 410              |
+      | reads   | answers with JSON that breaks off   | malformed   | Input data was truncated |
+      | watches | answers with JSON that breaks off   | malformed   | Input data was truncated |
+      | probes  | answers with JSON that breaks off   | malformed   | Input data was truncated |
+      | reads   | answers with an entry that is none  | malformed   | invalid literal for int  |
+      | reads   | does not speak HTTP                 | malformed   | first line               |
+      | probes  | refuses connections                 | unreachable | Connection refused       |
+      | watches | says nothing                        | timed_out   | TimeoutError             |
--- a/features/steps/forwarding_client_steps.py
+++ b/features/steps/forwarding_client_steps.py
@@ -4,6 +4,7 @@
 
 import base64
 import json
+import os
 import socket
 
 import h11
@@ -14,6 +15,7 @@
 from hypothesis import strategies as st
 
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
+from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import RoutesRead, StoreCallFailed, StoreFailure, Subject
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.platform.store import PlatformStoreCodec, quote
@@ -21,6 +23,7 @@
 from sloepond.runtime.forwarding.http_client import LONGEST_CALL_S, HttpClient, HttpConnection
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
 from sloepond.runtime.forwarding.http_message import BodyReader, HttpSyntaxError, take_head
+from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.store_client import StoreClient
 
 PART = b"0123456789"
@@ -29,6 +32,13 @@
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 
 
+def silent_log(context):
+    """Return a log that nobody reads."""
+    descriptor = os.open(os.devnull, os.O_WRONLY)
+    context.add_cleanup(os.close, descriptor)
+    return LogWriter(ForwardingCounters(), descriptor)
+
+
 class SlowClient(HttpClient):
     """A client whose connections are simulated."""
 
@@ -98,7 +108,7 @@
     data = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
     half = len(data) // 2
     stream = answer_in_parts(loop, [data[:half], data[half:]][:halves])
-    store = StoreClient(loop, "10.0.0.1:80", PlatformStoreCodec())
+    store = StoreClient(loop, "10.0.0.1:80", PlatformStoreCodec(), silent_log(context))
     store._client = SlowClient(loop, stream)
     context.stream = stream
     context.event = loop.run_to_end(store.read(ReadSubject(Subject.ROUTES), lambda: None))
@@ -278,7 +288,7 @@
 def watches_silent(context):
     loop = EventLoop()
     client = RecordingClient(loop, Endpoint(*context.listener.getsockname()))
-    store = StoreClient(loop, "127.0.30.8:1", PlatformStoreCodec())
+    store = StoreClient(loop, "127.0.30.8:1", PlatformStoreCodec(), silent_log(context))
     store._client = client
 
     async def watch():
--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -2,17 +2,26 @@
 
 from __future__ import annotations
 
+import base64
 import errno
 import json
 import os
 from unittest import mock
 
 from behave import given, then, when
+from forwarding_loop_model import SimulatedLoop, SimulatedStream
 from forwarding_model import STREAM, Harness, segment
 
+from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
+from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.events import Subject
 from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.data_path import DataPath
+from sloepond.runtime.forwarding.http_client import HttpClient, HttpConnection
+from sloepond.runtime.forwarding.http_exchange import HttpExchange
 from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.store_client import StoreClient
 
 CLOCK = "sloepond.runtime.forwarding.log_writer.monotonic_seconds"
 ERRORS = {"No buffer space available": errno.ENOBUFS, "Network is unreachable": errno.ENETUNREACH}
@@ -116,3 +125,61 @@
 @then('forwarding has logged {count:d} lines "{kind}"')
 def logged_often(context, count, kind):
     assert len(context.logs.lines(kind)) == count, context.logs.lines(kind)
+
+
+class StandinClient(HttpClient):
+    """A client whose connections bring given bytes, or are refused."""
+
+    def bring(self, data):
+        """Have each connection bring these bytes; None where connections are refused."""
+        self.data = data
+
+    async def _connect(self, deadline):
+        if self.data is None:
+            raise ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused")
+        parts = [(self._loop.clock(), self.data)] if self.data else []
+        return HttpConnection(SimulatedStream(parts), HttpExchange("10.0.0.1:80"))
+
+
+def response(status, body):
+    """Return the bytes of a response."""
+    return f"HTTP/1.1 {status} Words\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
+
+
+def entry_without_port():
+    """Return a list with a back end whose address has no port."""
+    value = base64.b64encode(b'{"service":"a","addr":"10.0.0.1"}').decode()
+    return json.dumps({"items": [{"key": "servers/i-1", "rev": 1, "value": value}], "more": False, "at": 1})
+
+
+STORES = {
+    "answers with status 503": response(503, b""),
+    "answers with status 410": response(410, b""),
+    "answers with JSON that breaks off": response(200, b'{"items": ['),
+    "answers with an entry that is none": response(200, entry_without_port().encode()),
+    "does not speak HTTP": b"220\r\n\r\n",
+    "refuses connections": None,
+    "says nothing": b"",
+}
+
+
+@when("forwarding {calls} a store that {does}")
+def calls_store(context, calls, does):
+    context.counters = ForwardingCounters()
+    context.logs = LogPipe(context, context.counters)
+    loop = SimulatedLoop()
+    store = StoreClient(loop, "10.0.0.1:80", PlatformStoreCodec(), context.logs.writer)
+    store._client.__class__ = StandinClient
+    store._client.bring(STORES[does])
+    call = {
+        "reads": lambda: store.read(ReadSubject(Subject.BACKENDS), lambda: None),
+        "watches": lambda: store.watch(WatchSubject(Subject.BACKENDS, 1, 1.0)),
+        "probes": store.probe,
+    }[calls]
+    loop.run_to_end(call())
+
+
+@then('forwarding has logged one line "{kind}" about "{subject}" with the reason "{reason}"')
+def logged_reason(context, kind, subject, reason):
+    context.reason = reason
+    logged_once(context, kind, subject)
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -98,6 +98,7 @@
     STOPPED = "stopped"
     STALLED = "stalled"
     STORE_LOST = "store_lost"
+    STORE_CALL_FAILED = "store_call_failed"
     STORE_REGAINED = "store_regained"
     ROUTES_IN_FORCE = "routes_in_force"
     HALLS_EVACUATED = "zones_evacuated"
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -78,11 +78,13 @@
     """A call to the store brought nothing.
 
     :ivar was_watch: whether it was a watch, not a read.
+    :ivar detail: what is wrong with an answer that cannot be decoded, for a log line; else empty.
     """
 
     subject: Subject
     reason: StoreFailure
     was_watch: bool
+    detail: str = ""
 
 
 class StoreHeard(msgspec.Struct, frozen=True):
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -51,7 +51,7 @@
         logs.write(WriteLog(LogKind.METRICS_NOT_SERVED, settings.metrics, reason))
     loop = EventLoop()
     data_path = DataPath(sockets.edge, EchoPacketCodec(int(settings.edge.rpartition(":")[2])), node, logs)
-    store = StoreClient(loop, settings.store, PlatformStoreCodec())
+    store = StoreClient(loop, settings.store, PlatformStoreCodec(), logs)
     reloader = SettingsReloader(read_settings, settings, logs, FILE_NAMES)
     service = ForwardingService(loop, sockets, data_path, store, node, logs, reloader)
     resume_garbage_collection()
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -36,7 +36,8 @@
 _PREFIXES = {Subject.ROUTES: OPERATOR_PREFIX, Subject.BACKENDS: SERVERS_PREFIX}
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~/")
 """Bytes that stand for themselves in a query: those of RFC 3986, and the slash."""
-_UNDECODABLE = (msgspec.MsgspecError, ValueError, OSError)
+_DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OSError)
+"""What decoding raises: JSON of another form, base64 or a number that is none, an address that is none."""
 _RANGE = msgspec.json.Decoder(RangeAnswer)
 _WATCH = msgspec.json.Decoder(WatchAnswer)
 
@@ -64,8 +65,8 @@
         """Return what a read has brought."""
         try:
             return _read_routes(body) if subject is Subject.ROUTES else _read_servers(body)
-        except _UNDECODABLE:
-            return ReadPage(StoreCallFailed(subject, StoreFailure.MALFORMED, False))
+        except _DECODE_ERRORS as error:
+            return ReadPage(StoreCallFailed(subject, StoreFailure.MALFORMED, False, _reason(error)))
 
     def decode_watch(self, command: WatchSubject, body: bytes) -> StoreEvent:
         """Return what a watch has brought."""
@@ -74,8 +75,8 @@
             if command.subject is Subject.ROUTES:
                 return _changed_routes(answer)
             return BackendsChanged(answer.at, tuple(_change(item) for item in answer.events))
-        except _UNDECODABLE:
-            return StoreCallFailed(command.subject, StoreFailure.MALFORMED, True)
+        except _DECODE_ERRORS as error:
+            return StoreCallFailed(command.subject, StoreFailure.MALFORMED, True, _reason(error))
 
 
 def quote(text: str) -> str:
@@ -83,6 +84,10 @@
     return "".join(chr(byte) if byte in UNRESERVED else f"%{byte:02X}" for byte in text.encode())
 
 
+def _reason(error: Exception) -> str:
+    return f"{type(error).__name__}: {error}"
+
+
 def _read_routes(body: bytes) -> ReadPage:
     answer = _RANGE.decode(body)
     written = [item for item in answer.items if item.key == CONFIGURATION_KEY]
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
@@ -15,15 +16,23 @@
 """How long an answer may take after its first bytes, however steadily they come."""
 
 
+def _ignore(failure: HttpFailure, error: Exception) -> None:
+    """Do nothing: no one wants to know the errors."""
+
+
 class HttpClient:
     """Calls one server, one call at a time on each kept connection.
 
     :param server: IP address and port.
+    :param report: told the error behind each `HttpFailure`, for a log line.
     """
 
-    def __init__(self, loop: EventLoop, server: Endpoint) -> None:
+    def __init__(
+        self, loop: EventLoop, server: Endpoint, report: Callable[[HttpFailure, Exception], None] = _ignore
+    ) -> None:
         self._loop = loop
         self._server = server
+        self._report = report
         self._idle: list[HttpConnection] = []
 
     async def get(
@@ -41,19 +50,12 @@
         try:
             connection = self._idle.pop() if self._idle else await self._connect(deadline)
             response = await connection.get(target, deadline)
-        except TimeoutError:
-            failure = HttpFailure.TIMED_OUT
-            self.close()
-        except OSError:
-            failure = HttpFailure.UNREACHABLE
-        except HttpSyntaxError:
-            failure = HttpFailure.MALFORMED
-        else:
-            self._keep(connection)
-            return response
-        if connection is not None:
-            connection.close()
-        return failure
+        except (OSError, HttpSyntaxError) as error:
+            if connection is not None:
+                connection.close()
+            return self._failed(error)
+        self._keep(connection)
+        return response
 
     def close(self) -> None:
         """Close the kept connections."""
@@ -61,6 +63,16 @@
             connection.close()
         self._idle.clear()
 
+    def _failed(self, error: Exception) -> HttpFailure:
+        """Return what an error of a call means."""
+        if isinstance(error, TimeoutError):
+            failure = HttpFailure.TIMED_OUT
+            self.close()
+        else:
+            failure = HttpFailure.UNREACHABLE if isinstance(error, OSError) else HttpFailure.MALFORMED
+        self._report(failure, error)
+        return failure
+
     def _keep(self, connection: HttpConnection) -> None:
         if connection.exchange.is_reusable:
             self._idle.append(connection)
--- a/sloepond/runtime/forwarding/store_pages.py
+++ b/sloepond/runtime/forwarding/store_pages.py
@@ -16,7 +16,7 @@
 from sloepond.runtime.forwarding.drivers import StoreCodec
 from sloepond.runtime.forwarding.http_exchange import HttpFailure, HttpResponse
 
-_FAILURES = {
+STORE_FAILURES = {
     HttpFailure.UNREACHABLE: StoreFailure.UNREACHABLE,
     HttpFailure.TIMED_OUT: StoreFailure.TIMED_OUT,
     HttpFailure.MALFORMED: StoreFailure.MALFORMED,
@@ -33,7 +33,7 @@
 def store_failure(answer: HttpResponse | HttpFailure) -> StoreFailure | None:
     """Return why an answer brings nothing, None where it brings something."""
     if isinstance(answer, HttpFailure):
-        return _FAILURES[answer]
+        return STORE_FAILURES[answer]
     if answer.status == OK:
         return None
     return _STATUSES.get(answer.status, StoreFailure.REFUSED)
