--- a/features/forwarding/errors.feature
+++ b/features/forwarding/errors.feature
@@ -37,3 +37,12 @@
       | reads   | does not speak HTTP                 | malformed   | first line               |
       | probes  | refuses connections                 | unreachable | Connection refused       |
       | watches | says nothing                        | timed_out   | TimeoutError             |
+
+  Scenario: A setting whose value cannot be used is logged
+    Given platform stand-ins of a store and of two targets
+    And the settings file of the next platform balancer says "limits.cpu_share=half"
+    When a platform balancer is started
+    Then the platform balancer becomes ready and forwards a flow to one target
+    And the platform balancer logs that it ignores "limits.cpu_share"
+    When the settings file of the platform balancer says "bounds.cold_over=much" too, and it is signalled
+    Then the platform balancer logs that it ignores "bounds.cold_over"
--- a/features/steps/forwarding_process_steps.py
+++ b/features/steps/forwarding_process_steps.py
@@ -140,3 +140,27 @@
     wait_for(context.other.is_ready, "readiness of a fresh process")
     assert "knowledge_taken" in context.other.log.read_text()
     assert ROUTE[1] == 443
+
+
+@given('the settings file of the next platform balancer says "{line}"')
+def settings_line(context, line):
+    context.stage.settings_lines = f"{line}\n"
+
+
+@when('the settings file of the platform balancer says "{line}" too, and it is signalled')
+def settings_line_later(context, line):
+    balancer = context.balancer
+    balancer.settings.write_text(f"{balancer.text}{line}\n")
+    balancer.signal(signal.SIGHUP)
+
+
+@then('the platform balancer logs that it ignores "{name}"')
+def logs_ignored(context, name):
+    wait_for(lambda: ignored_fields(context.balancer).count(name) == 1, f"a line about {name}")
+    assert ignored_fields(context.balancer).count("zone") == 0
+
+
+def ignored_fields(balancer):
+    """Return the names of fields that a balancer says it ignores."""
+    lines = [json.loads(line) for line in balancer.log.read_text().splitlines()]
+    return [line["subject"] for line in lines if line["kind"] == "setting_ignored"]
--- a/features/steps/forwarding_standins.py
+++ b/features/steps/forwarding_standins.py
@@ -146,7 +146,7 @@
 class BalancerProcess:
     """`python -m sloepond.platform` with a settings file of its own."""
 
-    def __init__(self, folder, host, ports, store, seeds):
+    def __init__(self, folder, host, ports, store, seeds, settings_lines=""):
         edge, readiness, peer = ports
         self.host = host
         self.edge = (host, edge)
@@ -158,6 +158,7 @@
             f"node=front-{host}\nzone=north\nip={host}\nlisten.datagram_addr={host}:{edge}\n"
             f"listen.readiness={host}:{readiness}\nport_range={peer},{peer + 15}\n"
             f"seeds={','.join(f'{seed}:1' for seed in seeds)}\nplatform.addr={store}\n"
+            f"{settings_lines}"
         )
         path.write_text(self.text)
         environment = {**os.environ, "SLOEPOND_NODE_FILE": str(path)}
@@ -224,6 +225,7 @@
         self.hosts = ("127.0.30.4", "127.0.30.5")
         self.ports = (free_port(self.hosts[0]),) + tuple(free_port(self.hosts[1]) for _ in range(2))
         self.balancers = []
+        self.settings_lines = ""
         self.client = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.client.bind(("127.0.30.9", self.ports[0]))
         self.client.settimeout(PATIENCE_S)
@@ -232,7 +234,9 @@
         """Start one more balancer."""
         host = self.hosts[len(self.balancers)]
         seeds = [other for other in self.hosts if other != host]
-        balancer = BalancerProcess(self.folder.name, host, self.ports, self.store.address, seeds)
+        balancer = BalancerProcess(
+            self.folder.name, host, self.ports, self.store.address, seeds, self.settings_lines
+        )
         self.balancers.append(balancer)
         return balancer
 
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -53,6 +53,7 @@
     data_path = DataPath(sockets.edge, EchoPacketCodec(int(settings.edge.rpartition(":")[2])), node, logs)
     store = StoreClient(loop, settings.store, PlatformStoreCodec(), logs)
     reloader = SettingsReloader(read_settings, settings, logs, FILE_NAMES)
+    reloader.log_ignored(settings)
     service = ForwardingService(loop, sockets, data_path, store, node, logs, reloader)
     resume_garbage_collection()
     service.run()
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -9,6 +9,8 @@
 FILE_VARIABLE = "SLOEPOND_NODE_FILE"
 DEFAULT_FILE = "/etc/sloepond/node.conf"
 ZONES = "zones."
+"""What the names of fields begin with that tell a hall's region: `zones.HALL=REGION`."""
+MS_PER_S = 1000.0
 FILE_NAMES = {"hall": "zone"}
 """Name in the settings file of each field that sloepond names otherwise: a zone of the platform is a hall."""
 METRICS_PORT = 9464
@@ -27,12 +29,12 @@
 
 
 def parse_settings(text: str) -> ForwardingSettings:
-    """Return the settings in the text of a settings file; unknown fields are ignored."""
-    fields: dict[str, str] = {}
-    for line in text.splitlines():
-        name, separator, value = line.partition("=")
-        if separator:
-            fields[name.strip()] = value.strip()
+    """Return the settings in the text of a settings file; unknown fields are skipped.
+
+    :raises KeyError: where a field that is needed is missing.
+    """
+    file = SettingsText(text)
+    fields = file.fields
     return ForwardingSettings(
         name=fields["node"],
         hall=fields["zone"],
@@ -41,42 +43,71 @@
         readiness=fields["listen.readiness"],
         store=fields["platform.addr"],
         metrics=f"{fields['ip']}:{METRICS_PORT}",
-        peer_port=_first_port(fields.get("port_range", "")),
-        seeds=_seeds(fields),
-        capacity=_capacity(fields),
+        peer_port=file.first_port("port_range"),
+        seeds=tuple(host for host in file.hosts("seeds") if host != fields["ip"]),
+        capacity=_capacity(file),
         regions=_regions(fields),
-        cold_factor=_number(fields, "bounds.cold_over", 1.0) or 1.0,
-        cold_slack_per_s=_number(fields, "bounds.cold_slack", None),
-        kill_after_s=_number(fields, "bounds.grace_s", 0.0) or 0.0,
-        change_limit_s=(_number(fields, "bounds.drain_ms", None) or 0.0) / 1000.0,
+        cold_factor=file.number("bounds.cold_over") or 1.0,
+        cold_slack_per_s=file.number("bounds.cold_slack"),
+        kill_after_s=file.number("bounds.grace_s") or 0.0,
+        change_limit_s=(file.number("bounds.drain_ms") or 0.0) / MS_PER_S,
+        ignored=file.ignored,
     )
 
 
-def _regions(fields: dict[str, str]) -> dict[str, str]:
-    """Return the region of each zone."""
-    return {name.removeprefix(ZONES): fields[name] for name in fields if name.startswith(ZONES)}
-
-
-def _number(fields: dict[str, str], name: str, default: float | None) -> float | None:
-    """Return a number, a default where it is not told."""
-    try:
-        return float(fields[name])
-    except (KeyError, ValueError):
-        return default
+class SettingsText:
+    """The lines of a settings file.
 
+    :ivar fields: values by name.
+    :ivar ignored: why the value of a field cannot be used, by name.
+    """
 
-def _capacity(fields: dict[str, str]) -> float:
-    """Return the share of a core, 1.0 where it is not told."""
-    share = _number(fields, "limits.cpu_share", None)
-    cores = _number(fields, "limits.cores", 1.0)
-    return share * cores if share and cores else 1.0
+    def __init__(self, text: str) -> None:
+        self.fields: dict[str, str] = {}
+        self.ignored: dict[str, str] = {}
+        for line in text.splitlines():
+            name, separator, value = line.partition("=")
+            if separator:
+                self.fields[name.strip()] = value.strip()
+
+    def number(self, name: str, default: float | None = None) -> float | None:
+        """Return a number, the default if the field is missing or holds none."""
+        value = self.fields.get(name)
+        if value is None:
+            return default
+        try:
+            return float(value)
+        except ValueError:
+            self.ignored[name] = f"no number: {value!r}"
+            return default
+
+    def first_port(self, name: str) -> int:
+        """Return the first port of `first,last`, 0 if the field is missing or holds none."""
+        value = self.fields.get(name, "")
+        first = value.partition(",")[0]
+        if first.isdigit():
+            return int(first)
+        if value:
+            self.ignored[name] = f"no port: {value!r}"
+        return 0
+
+    def hosts(self, name: str) -> list[str]:
+        """Return the hosts of a list of `host:port`, empty if the field is missing."""
+        value = self.fields.get(name, "")
+        addresses = value.split(",") if value else []
+        hosts = [address.rpartition(":")[0] for address in addresses]
+        if "" in hosts:
+            self.ignored[name] = f"not all are host:port: {value!r}"
+        return [host for host in hosts if host]
 
 
-def _first_port(text: str) -> int:
-    first = text.partition(",")[0]
-    return int(first) if first.isdigit() else 0
+def _regions(fields: dict[str, str]) -> dict[str, str]:
+    """Return the region of each hall."""
+    return {name.removeprefix(ZONES): fields[name] for name in fields if name.startswith(ZONES)}
 
 
-def _seeds(fields: dict[str, str]) -> tuple[str, ...]:
-    hosts = (seed.rpartition(":")[0] for seed in fields.get("seeds", "").split(","))
-    return tuple(host for host in hosts if host and host != fields["ip"])
+def _capacity(file: SettingsText) -> float:
+    """Return the share of a core that this process may use, 1.0 if the file doesn't say."""
+    share = file.number("limits.cpu_share")
+    cores = file.number("limits.cores", 1.0)
+    return share * cores if share and cores else 1.0
--- a/sloepond/runtime/forwarding/process.py
+++ b/sloepond/runtime/forwarding/process.py
@@ -37,11 +37,13 @@
     :ivar cold_slack_per_s: new flows a second added to that, None where nothing limits them.
     :ivar kill_after_s: time from the request to stop after which the process is killed, 0 where not told.
     :ivar change_limit_s: time within which a change must be in force, 0 where not told.
+    :ivar ignored: fields of the settings file whose values cannot be used, each with the reason;
+        their defaults apply.
     """
 
     __slots__ = (
         "name", "hall", "ip", "edge", "readiness", "store", "metrics", "peer_port", "seeds", "capacity",
-        "regions", "cold_factor", "cold_slack_per_s", "kill_after_s", "change_limit_s",
+        "regions", "cold_factor", "cold_slack_per_s", "kill_after_s", "change_limit_s", "ignored",
     )  # fmt: skip
 
     def __init__(
@@ -62,6 +64,7 @@
         cold_slack_per_s: float | None = None,
         kill_after_s: float = 0.0,
         change_limit_s: float = 0.0,
+        ignored: dict[str, str] | None = None,
     ) -> None:
         self.name = name
         self.hall = hall
@@ -78,10 +81,12 @@
         self.cold_slack_per_s = cold_slack_per_s
         self.kill_after_s = kill_after_s
         self.change_limit_s = change_limit_s
+        self.ignored = ignored or {}
 
     def differences(self, other: ForwardingSettings) -> tuple[str, ...]:
-        """Return the names of the fields that are not alike."""
-        return tuple(name for name in self.__slots__ if getattr(self, name) != getattr(other, name))
+        """Return the names of the settings that are not alike."""
+        names = (name for name in self.__slots__ if name != "ignored")
+        return tuple(name for name in names if getattr(self, name) != getattr(other, name))
 
 
 class NotBound:
--- a/sloepond/runtime/forwarding/reloading.py
+++ b/sloepond/runtime/forwarding/reloading.py
@@ -32,6 +32,7 @@
         self._read = read
         self._logs = logs
         self._file_names = file_names
+        self._ignored: Mapping[str, str] = {}
         self.current = current
 
     def reload(self) -> SettingsChanged | None:
@@ -39,14 +40,22 @@
         try:
             changed = self._read()
         except (OSError, KeyError, ValueError) as error:
-            self._log("unreadable", f"kept=yes error={type(error).__name__}")
+            self._log("unreadable", f"kept=yes error={type(error).__name__}: {error}")
             return None
+        self.log_ignored(changed)
         if not changed.differences(self.current):
             return None
         self._log("taken", f"after_restart={self._needs_restart(changed)}")
         self.current = changed
         return SettingsChanged(changed.seeds, changed.store)
 
+    def log_ignored(self, settings: ForwardingSettings) -> None:
+        """Write a line for each field that is ignored, unless the last call has written the same."""
+        for name, reason in settings.ignored.items():
+            if self._ignored.get(name) != reason:
+                self._logs.write(WriteLog(LogKind.SETTING_IGNORED, name, f"reason={reason}"))
+        self._ignored = settings.ignored
+
     def _log(self, subject: str, detail: str) -> None:
         self._logs.write(WriteLog(LogKind.SETTINGS_CHANGED, subject, detail))
 
