--- a/features/forwarding/errors.feature
+++ b/features/forwarding/errors.feature
@@ -46,3 +46,19 @@
     And the platform balancer logs that it ignores "limits.cpu_share"
     When the settings file of the platform balancer says "bounds.cold_over=much" too, and it is signalled
     Then the platform balancer logs that it ignores "bounds.cold_over"
+
+  Scenario Outline: A check that fails for want of resources here says nothing about the back end
+    When forwarding checks a back end while connections fail with "<error>"
+    Then the check has ended as "<result>"
+    And the check has reported <count> failures of its own
+
+    Examples:
+      | error                  | result      | count |
+      | Too many open files    | unknown     | 5     |
+      | Cannot assign address  | unknown     | 5     |
+      | Connection refused     | unreachable | 0     |
+      | No route to host       | unreachable | 0     |
+
+  Scenario: A shortage here is not outweighed by another back end that is reached
+    When forwarding checks a back end without descriptors while another one is reached
+    Then the check has ended as "unknown"
--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -6,6 +6,7 @@
 import errno
 import json
 import os
+import socket
 from unittest import mock
 
 from behave import given, then, when
@@ -15,12 +16,14 @@
 from sloepond.core.forwarding.commands import ReadSubject, WatchSubject
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import Subject
+from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.platform.packet_codec import EchoPacketCodec
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.http_client import HttpClient, HttpConnection
 from sloepond.runtime.forwarding.http_exchange import HttpExchange
 from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.reachability_check import CHECK_S, ReachabilityCheck
 from sloepond.runtime.forwarding.store_client import StoreClient
 
 CLOCK = "sloepond.runtime.forwarding.log_writer.monotonic_seconds"
@@ -183,3 +186,51 @@
 def logged_reason(context, kind, subject, reason):
     context.reason = reason
     logged_once(context, kind, subject)
+
+
+CONNECT = "sloepond.runtime.forwarding.reachability_check.connect"
+CHECKED, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
+CONNECT_ERRORS = {
+    "Too many open files": errno.EMFILE,
+    "Cannot assign address": errno.EADDRNOTAVAIL,
+    "Connection refused": errno.ECONNREFUSED,
+    "No route to host": errno.EHOSTUNREACH,
+}
+
+
+def check_backend(context, connect):
+    """Check a back end by a connect of the test."""
+    loop, context.results, context.failures = SimulatedLoop(), [], []
+    with mock.patch(CONNECT, connect):
+        ReachabilityCheck(loop, CHECKED, OTHER, context.results.append, context.failures.append)
+        ends_at = loop.clock() + 2 * CHECK_S
+        loop.follow_deadline(lambda: ends_at, loop.stop)
+        loop.run()
+
+
+@when('forwarding checks a back end while connections fail with "{error}"')
+def connections_fail(context, error):
+    async def connect(server, deadline):
+        raise OSError(CONNECT_ERRORS[error], error)
+
+    check_backend(context, connect)
+
+
+@when("forwarding checks a back end without descriptors while another one is reached")
+def descriptors_short(context):
+    async def connect(server, deadline):
+        if server == CHECKED:
+            raise OSError(errno.EMFILE, "Too many open files")
+        return socket.socketpair()[0]
+
+    check_backend(context, connect)
+
+
+@then('the check has ended as "{result}"')
+def check_ended(context, result):
+    assert [each.value for each in context.results] == [result], context.results
+
+
+@then("the check has reported {count:d} failures of its own")
+def check_failures(context, count):
+    assert len(context.failures) == count, context.failures
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -237,12 +237,12 @@
 
 def check_result(endpoint, control):
     """Return what one check finds, and make sure that it tells so once."""
-    loop, results = EventLoop(), []
-    ReachabilityCheck(loop, endpoint, control, results.append)
+    loop, results, failures = EventLoop(), [], []
+    ReachabilityCheck(loop, endpoint, control, results.append, failures.append)
     ends_at = loop.clock() + 2 * CHECK_S
     loop.follow_deadline(lambda: ends_at, loop.stop)
     loop.run()
-    assert len(results) == 1, results
+    assert len(results) == 1 and failures == [], (results, failures)
     return results[0]
 
 
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -119,6 +119,7 @@
     FETCH_FAILED = "fetch_failed"
     ROLE_CHANGED = "role_changed"
     SETTINGS_CHANGED = "settings_changed"
+    CHECK_FAILED = "check_failed"
     SETTING_IGNORED = "setting_ignored"
     METRICS_NOT_SERVED = "metrics_not_served"
     RECEIVE_FAILED = "receive_failed"
--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -67,6 +67,7 @@
     fetches_failed: int = 0
     receives_failed: int = 0
     accepts_failed: int = 0
+    check_connections_failed: int = 0
     connections_turned_away: int = 0
     connections_broken: int = 0
     requests_malformed: int = 0
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -134,7 +134,11 @@
         def report(result: CheckResult) -> None:
             self.dispatch(BackendChecked(command.name, result))
 
-        ReachabilityCheck(self._loop, command.endpoint, command.control, report)
+        ReachabilityCheck(self._loop, command.endpoint, command.control, report, self._check_failed)
+
+    def _check_failed(self, error: OSError) -> None:
+        self._node.counters.check_connections_failed += 1
+        self._logs.failure(LogKind.CHECK_FAILED, "process", error)
 
     async def _call_store(self, command: ReadSubject | WatchSubject | ProbeStore) -> None:
         counters = self._node.counters
