--- a/sloepond/platform/packet_codec.py
+++ b/sloepond/platform/packet_codec.py
@@ -1,4 +1,8 @@
-"""The platform's packets: a head of 32 bytes, before it the identity of the target."""
+"""Decodes and encodes the platform's packets: a head of 32 bytes, then data.
+
+Owns no state.  Relies on the order and widths of the platform's page of packets.  The sum in the
+head is keyed, and the key is not known: whatever it covers is sent on as it came.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +14,20 @@
 from sloepond.runtime.forwarding.drivers import PacketCodec
 
 HEAD = struct.Struct(">IIIHHIIHBBI")
-"""seq, ack, src, sport, dport, dst, sum, len, flags, pad, echo."""
-ECHO_OFFSET = 28
+"""seq, ack, src, sport, dport, dst, sum, len, flags, pad, echo; big-endian.
+
+`src` and `sport` are the caller's, `dst` and `dport` the route's.  `ack` of an opening packet
+counts its copies, `len` is that of the data alone, and `echo` holds the routing token: callers
+and targets repeat the last one they received.
+"""
+TOKEN_OFFSET = 28
+"""Where `echo` begins, in bytes; the sum doesn't cover it."""
 REQUEST_ID_HEADER = b"Request-Id: "
 LONGEST_REQUEST_ID = 128
-"""Bytes."""
+"""Longest id of a request that is logged, in bytes.
+
+Not measured: ids seen have 16 characters; the limit bounds the search for the end of the line.
+"""
 FLAG_SYN = 16
 FLAG_ACK = 8
 FLAG_FIN = 2
@@ -22,49 +35,40 @@
 
 
 class PlatformPacketCodec(PacketCodec):
-    """Packets whose routing token stands in the field `echo`.
+    """Packets whose routing token is in the field `echo`.
 
-    :param reply_port: port callers take packets at.
+    :param reply_port: port that all callers receive packets at.
     """
 
     def __init__(self, reply_port: int) -> None:
         self._reply_port = reply_port
 
     def decode(self, datagram: bytes) -> Segment | None:
-        """Return the head of a caller's packet, None where it is none."""
+        """Return the head of a caller's packet, None if it is too short or `len` doesn't fit."""
         if len(datagram) < HEAD.size:
             return None
-        seq, ack, src, sport, dport, dst, _, length, flags, _, echo = HEAD.unpack_from(datagram)
+        seq, ack, src, sport, dport, dst, _, length, flags, _, token = HEAD.unpack_from(datagram)
         if length != len(datagram) - HEAD.size:
             return None
         is_opening = flags & (FLAG_SYN | FLAG_ACK) == FLAG_SYN
         is_closing = flags & FLAG_FIN != 0
         is_reset = flags & FLAG_RST != 0
-        return Segment(src, sport, dst, dport, seq, ack, length, is_opening, is_closing, is_reset, echo)
+        return Segment(src, sport, dst, dport, seq, ack, length, is_opening, is_closing, is_reset, token)
 
     def encode(self, datagram: bytes, backend: ForwardingBackend) -> bytes:
-        """Return the packet with the target's identity before it and the token in it."""
-        head = datagram[:ECHO_OFFSET]
+        """Return the packet with the identity of the back end before it and the routing token in it."""
+        head = datagram[:TOKEN_OFFSET]
         return b"".join((backend.prefix, head, backend.token_bytes, datagram[HEAD.size :]))
 
     def encode_reset(self, segment: Segment) -> bytes:
-        """Return a reset from the route's endpoint to the client."""
-        return HEAD.pack(
-            segment.acknowledgement,
-            0,
-            segment.destination,
-            segment.destination_port,
-            segment.source_port,
-            segment.source,
-            0,
-            0,
-            FLAG_RST,
-            0,
-            0,
-        )
+        """Return a reset from the route's endpoint to the caller; its sum is 0, as the platform allows."""
+        route, route_port = segment.destination, segment.destination_port
+        caller, caller_port = segment.source, segment.source_port
+        sequence = segment.acknowledgement
+        return HEAD.pack(sequence, 0, route, route_port, caller_port, caller, 0, 0, FLAG_RST, 0, 0)
 
     def request_id(self, datagram: bytes) -> str:
-        """Return the value of the request's id header, empty where there is none."""
+        """Return the value of the request's id header, empty if there is none in this packet."""
         start = datagram.find(REQUEST_ID_HEADER, HEAD.size)
         if start < 0:
             return ""
@@ -73,5 +77,5 @@
         return datagram[start:end].decode("ascii", "replace") if end >= 0 else ""
 
     def caller_endpoint(self, segment: Segment) -> tuple[str, int]:
-        """Return where packets for the client are sent."""
+        """Return the caller's address, with the port that all callers receive packets at."""
         return socket.inet_ntoa(segment.source.to_bytes(4, "big")), self._reply_port
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file: lines of `a.b=value`, lists joined by commas."""
+"""Reads the platform's settings file: lines of `a.b=value`, lists joined by commas.
+
+Owns the names of the fields; elsewhere settings have names of our own.  Relies on nothing but
+`process`, as it is loaded before the sockets are bound.
+"""
 
 from __future__ import annotations
 
@@ -39,17 +43,25 @@
         name=fields["node"],
         hall=fields["zone"],
         ip=fields["ip"],
+        # The callers' packets come here; `addr` names ip:port in all fields.
         edge=fields["listen.datagram_addr"],
         readiness=fields["listen.readiness"],
+        # The address of the store, the only part of the platform that is called.
         store=fields["platform.addr"],
         metrics=f"{fields['ip']}:{METRICS_PORT}",
+        # First and last port of those that balancers may use among each other; one is enough.
         peer_port=file.first_port("port_range"),
+        # `ip:port` of a few machines; balancers use their own port, so only the addresses count.
         seeds=tuple(host for host in file.hosts("seeds") if host != fields["ip"]),
         capacity=_capacity(file),
         regions=_regions(fields),
+        # A back end that is slow after its start may be given its flows a second times `cold_over`,
+        # and `cold_slack` flows a second more.
         cold_factor=file.number("bounds.cold_over") or 1.0,
         cold_slack_per_s=file.number("bounds.cold_slack"),
+        # From SIGTERM to SIGKILL.
         kill_after_s=file.number("bounds.grace_s") or 0.0,
+        # From a drain that the store has taken until no new flow may reach the back end.
         change_limit_s=(file.number("bounds.drain_ms") or 0.0) / MS_PER_S,
         ignored=file.ignored,
     )
@@ -107,7 +119,10 @@
 
 
 def _capacity(file: SettingsText) -> float:
-    """Return the share of a core that this process may use, 1.0 if the file doesn't say."""
+    """Return the processor of this machine in usual cores, 1.0 if the file doesn't say.
+
+    `limits.cores` is no count: it tells how many times as fast as usual the machine's core is.
+    """
     share = file.number("limits.cpu_share")
     cores = file.number("limits.cores", 1.0)
     return share * cores if share and cores else 1.0
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -23,6 +23,7 @@
 from sloepond.core.forwarding.state.backend_records import BackendRecord
 from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
 from sloepond.platform.documents import (
+    MS_PER_S,
     PageAnswer,
     StoreItem,
     WatchAnswer,
@@ -44,7 +45,6 @@
 EMPTY_PREFIX = "op/config/"
 """Nothing stands below it: a read is as cheap as an answer can be."""
 _PREFIXES = {Subject.ROUTES: OPERATOR_PREFIX, Subject.BACKENDS: TARGETS_PREFIX}
-MS_PER_S = 1000
 _DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OSError)
 """What decoding raises: JSON of another form, base64 or a number that is none, an address that is none."""
 _PAGE = msgspec.json.Decoder(PageAnswer)
