--- a/sloepond/runtime/forwarding/assembly.py
+++ b/sloepond/runtime/forwarding/assembly.py
@@ -8,6 +8,7 @@
 
 import random
 
+from sloepond.core.forwarding.assembly import NodeOptions
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.placement.places import PlaceRules
@@ -47,17 +48,16 @@
 
 
 def _node(settings: ForwardingSettings) -> ForwardingNode:
-    return ForwardingNode(
-        settings.hall,
-        random.Random(),
-        settings.ip,
-        settings.seeds,
-        PlaceRules(regions=settings.regions),
-        settings.capacity,
-        _slow_start_limit(settings),
-        settings.kill_after_s,
-        settings.change_limit_s,
+    options = NodeOptions(
+        ip=settings.ip,
+        seeds=settings.seeds,
+        places=PlaceRules(regions=settings.regions),
+        capacity=settings.capacity,
+        slow_start_limit=_slow_start_limit(settings),
+        kill_after_s=settings.kill_after_s,
+        change_limit_s=settings.change_limit_s,
     )
+    return ForwardingNode(settings.hall, random.Random(), options)
 
 
 def _slow_start_limit(settings: ForwardingSettings) -> SlowStartLimit | None:
