--- a/features/steps/forwarding_process_steps.py
+++ b/features/steps/forwarding_process_steps.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+import json
 import signal
+import socket
 import struct
 
 from behave import given, then, when
-from forwarding_standins import ACK, HEAD, ROUTE, SYN, Stage, packet, wait_for
+from forwarding_standins import ACK, HEAD, METRICS_PORT, ROUTE, SYN, Stage, packet, wait_for
 
 NO_ROUTE = ("198.18.0.9", 80)
 RST = 128
@@ -76,6 +78,21 @@
     assert "sloepond_route_version 4" in text
 
 
+@given("a platform listener at the metrics address of the next balancer")
+def metrics_address_taken(context):
+    address = (context.stage.hosts[len(context.stage.balancers)], METRICS_PORT)
+    context.add_cleanup(socket.create_server(address).close)
+
+
+@then("the platform balancer logs that it serves no metrics, and why")
+def logs_metrics_not_served(context):
+    balancer = context.balancer
+    lines = [json.loads(line) for line in balancer.log.read_text().splitlines()]
+    [line] = [line for line in lines if line["kind"] == "metrics_not_served"]
+    assert line["subject"] == f"{balancer.host}:{METRICS_PORT}"
+    assert "Address already in use" in line["detail"], line
+
+
 @given("a platform store that sends the routes in parts, with pauses")
 def store_pauses(context):
     context.stage.store.pause_s = 0.3
@@ -123,3 +140,27 @@
     wait_for(context.other.is_ready, "readiness of a fresh process")
     assert "knowledge_taken" in context.other.log.read_text()
     assert ROUTE[1] == 443
+
+
+@given('the settings file of the next platform balancer says "{line}"')
+def settings_line(context, line):
+    context.stage.settings_lines = f"{line}\n"
+
+
+@when('the settings file of the platform balancer says "{line}" too, and it is signalled')
+def settings_line_later(context, line):
+    balancer = context.balancer
+    balancer.settings.write_text(f"{balancer.text}{line}\n")
+    balancer.signal(signal.SIGHUP)
+
+
+@then('the platform balancer logs that it ignores "{name}"')
+def logs_ignored(context, name):
+    wait_for(lambda: ignored_fields(context.balancer).count(name) == 1, f"a line about {name}")
+    assert ignored_fields(context.balancer).count("zone") == 0
+
+
+def ignored_fields(balancer):
+    """Return the names of fields that a balancer says it ignores."""
+    lines = [json.loads(line) for line in balancer.log.read_text().splitlines()]
+    return [line["subject"] for line in lines if line["kind"] == "setting_ignored"]
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -82,11 +82,13 @@
     """A read or a watch failed.
 
     :ivar was_watch: whether it was a watch, not a read.
+    :ivar detail: what is wrong with an answer that cannot be decoded, for a log line; else empty.
     """
 
     subject: Subject
     reason: StoreFailure
     was_watch: bool
+    detail: str = ""
 
 
 class StoreHeard(msgspec.Struct, frozen=True):
