--- a/features/steps/project_document_steps.py
+++ b/features/steps/project_document_steps.py
@@ -22,6 +22,7 @@
 from sloepond.cli import exit_codes
 from sloepond.cli.main import INTERRUPTED, command_tree
 from sloepond.core.commands import TransitionKind
+from sloepond.core.forwarding.commands import LogKind
 from sloepond.core.packets import Reason
 from sloepond.resources.documents import parse_text
 from sloepond.resources.validation import validate_documents
@@ -33,8 +34,11 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DOCUMENTS = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
-FORWARDING_PAGE = "OPERATIONS.md"
-OPERATING = ROOT / "docs" / "OPERATING.md"
+OPERATING = ROOT / "docs" / "OPERATIONS.md"
+ARCHITECTURE = ROOT / "docs" / "ARCHITECTURE.md"
+"""A page whose metrics are those of the platform's process."""
+BALANCER_HEADING = "\n## See what is going on\n"
+"""Where the operators' page goes on from the platform's process to `sloepond balancer`."""
 
 FENCE = re.compile(r"^```(\w*)\n(.*?)^```", re.MULTILINE | re.DOTALL)
 INLINE = re.compile(r"`([^`\n]+)`")
@@ -47,7 +51,11 @@
 
 def code_lines(document: Path) -> Iterator[str]:
     """Yield every line of code in a document, in blocks and in running text."""
-    text = document.read_text()
+    yield from code_lines_of(document.read_text())
+
+
+def code_lines_of(text: str) -> Iterator[str]:
+    """Yield every line of code in a text, in blocks and in running text."""
     for _, block in FENCE.findall(text):
         yield from re.sub(r"\\\n", " ", block).splitlines()
     yield from INLINE.findall(FENCE.sub("", text))
@@ -191,7 +199,8 @@
 @then("the project's operating page explains every kind of log line")
 def log_lines_are_explained(context):
     explained = {kind for cell in table_cells(OPERATING) for kind in INLINE.findall(cell)}
-    missing = [kind for kind in TransitionKind if kind not in explained]
+    kinds = [*TransitionKind, *(kind.value for kind in LogKind)]
+    missing = [kind for kind in kinds if kind not in explained]
     assert not missing, missing
 
 
@@ -211,8 +220,11 @@
     state = FakeState(FakeNode(configuration(1, default_resources())))
     exported = sample_names(Metrics(state).render().decode())
     forwarding = sample_names(metrics_page(configured_node(), 100.0).body.decode())
-    of_other_pages = metrics_named(page for page in DOCUMENTS if page.name != FORWARDING_PAGE)
-    of_forwarding = metrics_named(page for page in DOCUMENTS if page.name == FORWARDING_PAGE)
+    on_platform, heading, on_balancer = OPERATING.read_text().partition(BALANCER_HEADING)
+    assert heading, BALANCER_HEADING
+    other_pages = [page.read_text() for page in DOCUMENTS if page not in (OPERATING, ARCHITECTURE)]
+    of_other_pages = metrics_named([on_balancer, *other_pages])
+    of_forwarding = metrics_named([on_platform, ARCHITECTURE.read_text()])
     assert len(of_other_pages) > 20, of_other_pages
     assert of_other_pages <= exported, of_other_pages - exported
     assert of_forwarding and of_forwarding <= forwarding, of_forwarding - forwarding
@@ -228,12 +240,12 @@
     return Harness().configure().node
 
 
-def metrics_named(pages):
-    """Return the metrics that pages name in code."""
+def metrics_named(texts):
+    """Return the metrics that texts name in code."""
     return {
         metric
-        for page in pages
-        for line in code_lines(page)
+        for text in texts
+        for line in code_lines_of(text)
         if not line.startswith("sloepond ")
         for metric in METRIC.findall(line)
     }
