--- a/sloepond/lab/checks.py
+++ b/sloepond/lab/checks.py
@@ -1,12 +1,15 @@
-"""Checks a scenario beyond its types: every name must be one of the scenario."""
+"""Checks a scenario beyond its types: every name must be one of the scenario.
+
+Owns nothing; gives all findings with their place.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from sloepond.lab import faults
-from sloepond.lab.declaration import hall_places
-from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding
+from sloepond.lab.declaration import hall_locations
+from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding, balancer_name
 
 _KINDS = ("session", "feed", "download")
 
@@ -57,17 +60,15 @@
 
 
 def _hall_names(scenario: Scenario) -> set[str]:
-    return {place.location.hall for place in hall_places(scenario.topology)}
+    return {location.hall for location in hall_locations(scenario.topology)}
 
 
 def _machine_names(scenario: Scenario) -> set[str]:
     """Return the names of all machines there may be, those that join later included."""
-    first = len(_hall_names(scenario)) * scenario.topology.balancers_per_hall
-    later = sum(_machines_added(fault, first) for fault in scenario.faults)
-    names = {f"balancer-{number + 1}" for number in range(first + later)}
-    for service in scenario.services:
-        names |= {f"{service.name}-{number + 1}" for number in range(service.backends)}
-    return names
+    first = scenario.topology.balancer_names()
+    later = sum(_machines_added(fault, len(first)) for fault in scenario.faults)
+    names = {*first, *(balancer_name(len(first) + number + 1) for number in range(later))}
+    return names.union(*(service.backend_names() for service in scenario.services))
 
 
 def _machines_added(fault: faults.Fault, first: int) -> int:
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -1,6 +1,6 @@
 """Faults and operator actions of a scenario's timeline, as typed records.
 
-Times are seconds after the cells have formed.  Balancers are named
+Times are seconds after the balancers have started.  Balancers are named
 `balancer-1`, ..., halls `hall-1`, ..., back ends `<service>-1`, ...; a hall in
 place of a balancer means all balancers of that hall.
 """
@@ -13,7 +13,7 @@
 class FaultBase(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
     """What all entries of a timeline have.
 
-    :ivar at: seconds after the cells have formed.
+    :ivar at: seconds after the balancers have started.
     """
 
     at: float
@@ -70,12 +70,11 @@
 class Partition(FaultBase, frozen=True, tag="partition"):
     """Machines of one side cannot reach those of the other.
 
-    Callers and the platform still reach both, unless `platform` is set.
+    Callers and the platform still reach both.
 
     :ivar side: halls, balancers or back ends of the one side.
     :ivar other: those of the other side; empty for all the rest.
     :ivar one_way: whether only packets from `side` to `other` are lost.
-    :ivar platform: whether `side` cannot reach the platform either.
     :ivar backends: whether back ends of the halls are part of the sides.
     """
 
@@ -83,7 +82,6 @@
     duration_s: float
     other: tuple[str, ...] = ()
     one_way: bool = False
-    platform: bool = False
     backends: bool = True
 
 
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -1,4 +1,7 @@
-"""What the lab needs of a node, so that the real one and broken ones run alike."""
+"""What the lab needs of a node, so that the real one and the broken ones of tests run alike.
+
+The one place in which the lab names the node that balancers run.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class LabNode(Protocol):
-    """A sans-I/O balancer."""
+    """A balancer's node: events in, commands out; the lab also sees what configuration is in force."""
 
     @property
     def identity(self) -> Member:
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -1,4 +1,7 @@
-"""The outcome of one run."""
+"""The outcome of one run: measures, broken promises, timeline and series for plots.
+
+Owns the form of `--json` and of result files.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +54,7 @@
 
 
 class TimelineEntry(msgspec.Struct, frozen=True):
-    """Something the scenario did; seconds after the cells have formed."""
+    """Something the scenario did; seconds after the balancers have started."""
 
     at: float
     text: str
@@ -80,8 +83,6 @@
     timeline: tuple[TimelineEntry, ...]
     flows_cut: int
     """Flows that faults left no way to their back end; they do not count as broken."""
-    counters: dict[str, int]
-    """Sum of the counters of all balancer processes that ended or ran at the end."""
     series: Series
 
     @property
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -1,4 +1,8 @@
-"""The simulated world: builds machines from a scenario and carries datagrams between them."""
+"""The simulated world: builds machines from a scenario and carries datagrams between them.
+
+Owns all machines, the network, the platform and the checkers of one run.  Relies on nothing outside
+the run: the same scenario and seed give the same course.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 from sloepond.standins.content import BackendIdentity
 
 READ_TIMEOUT_S = 1.0
-"""Time after which a read of a configuration service that is down fails."""
+"""Time after which a read of a configuration service that is down fails, seconds; not measured."""
 
 
 class World:
@@ -54,7 +58,7 @@
         self.backends: dict[str, BackendHost] = {}
         self._backends_by_address: dict[str, BackendHost] = {}
         self._build_backends(ordered_flows)
-        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.places, self)
+        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.halls, self)
         self.reach = Reach(self.queue, self.network, self.fleet.balancers, self.backends)
         self.flow_checker = FlowChecker(self.log, self.reach, scenario.callers.patience_s)
         self.callers = CallerPopulation(
@@ -70,8 +74,8 @@
     def _build_backends(self, ordered_flows: bool) -> None:
         for model in self.scenario.services:
             settings = backend_settings(model, self.scenario, ordered_flows)
-            for index in range(model.backends):
-                self._add_backend(model, f"{model.name}-{index + 1}", settings)
+            for name in model.backend_names():
+                self._add_backend(model, name, settings)
 
     def _add_backend(self, model: ServiceModel, name: str, settings: BackendSettings) -> None:
         resource = self.declaration.backends[name]
@@ -83,11 +87,8 @@
             settings=settings,
             queue=self.queue,
             random_source=self.streams.stream(f"backend/{name}"),
+            observer=self,
         )
-        host.on_output = self._backend_output
-        host.on_execution = self._backend_execution
-        host.on_packet = self._backend_packet
-        host.on_accepted = self._flow_accepted
         self.backends[name] = host
         self._backends_by_address[host.address] = host
 
@@ -106,15 +107,9 @@
             )
 
     def _entrance(self, service: str) -> ServiceEntrance:
-        names = [model.name for model in self.scenario.services]
-        topology = self.scenario.topology
-        region = names.index(service) % topology.regions
-        fabrics = [
-            self.fleet.fabrics[cell]
-            for cell, zone in self.fleet.cell_zones.items()
-            if zone // topology.zones_per_region == region
-        ]
-        return ServiceEntrance(service, self.declaration.services[service].spec.address, list(fabrics))
+        compiled = self.compiled.services_by_name[service]
+        region = compiled.backends[0].location.region
+        return ServiceEntrance(service, compiled.address, self.fleet.fabrics_in(region))
 
     # Datagrams of balancers
 
@@ -135,31 +130,37 @@
         if target is not None:
             self.network.transmit(host.endpoint, target.endpoint, target.receive_from_peer, datagram)
 
-    def _backend_output(self, backend: BackendHost, outputs: list[BackendOutput]) -> None:
+    # Back ends
+
+    def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
+        """Send the replies of a back end to the balancers they answer."""
         for output in outputs:
             target = self.fleet.by_address.get(output.destination)
             if target is not None:
-                argument = (backend.address, output.reply)
+                argument = (host.address, output.reply)
                 self.network.transmit(
-                    backend.endpoint, target.endpoint, target.receive_from_backend, argument, False
+                    host.endpoint, target.endpoint, target.receive_from_backend, argument, False
                 )
 
-    def _backend_packet(self, backend: BackendHost, packet: BackendPacket, opens: bool) -> None:
-        self.place_checker.packet_arrived(backend.name, packet, opens, self.queue.now)
+    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
+        """Have the place of a back end that got a packet checked."""
+        self.place_checker.packet_arrived(host.name, packet, opens, self.queue.now)
 
-    def _flow_accepted(self, backend: BackendHost, packet: BackendPacket) -> None:
-        self.flow_checker.flow_accepted(packet.flow, backend.name, self.queue.now)
+    def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
+        """Note which back end holds a flow."""
+        self.flow_checker.flow_accepted(packet.flow, host.name, self.queue.now)
 
-    def _backend_execution(self, execution: Execution) -> None:
+    def backend_executed(self, execution: Execution) -> None:
+        """Have a request that was started checked."""
         now = self.queue.now
         self.request_checker.executed(execution, now)
         self.flow_checker.executed(execution, now)
 
     # Reads and ends of balancers
 
-    def read_configuration(self, host: BalancerHost, known_generation: int) -> None:
+    def read_configuration(self, host: BalancerHost) -> None:
         """Answer a read of the configuration after its latency."""
-        snapshot = self.platform.read(host.name)
+        snapshot = None if host.configuration_blocks else self.platform.read()
         delay = self.scenario.platform.read_latency_ms / 1000
         if snapshot is None:
             event = ConfigurationReadFailed("configuration service does not answer")
@@ -178,7 +179,7 @@
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
         self.note(f"{host.name} has stopped")
-        self.fleet.stopped(host)
+        self.fleet.ended(host)
 
     # The operator
 
