--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -30,6 +30,8 @@
 )
 from sloepond.resources.validation import validate_snapshot
 
+REGION = "region-1"
+ZONE = "zone-1"
 SERVICE_NETWORK = "10.90"
 """First half of service addresses."""
 BACKEND_NETWORK = "10.91"
@@ -41,18 +43,8 @@
 
 
 def hall_locations(topology: Topology) -> list[Location]:
-    """Return all halls, numbered through all zones and regions."""
-    zones = range(topology.regions * topology.zones_per_region)
-    halls = range(topology.halls_per_zone)
-    return [
-        Location(
-            f"region-{zone // topology.zones_per_region + 1}",
-            f"zone-{zone + 1}",
-            f"hall-{zone * topology.halls_per_zone + hall + 1}",
-        )
-        for zone in zones
-        for hall in halls
-    ]
+    """Return all halls; they stand in one zone."""
+    return [Location(REGION, ZONE, f"hall-{number + 1}") for number in range(topology.halls)]
 
 
 class Declaration:
@@ -73,7 +65,7 @@
         self._generation = 0
         self._changes = 0
         for number, service in enumerate(scenario.services):
-            self._add_service(number, service, scenario.topology)
+            self._add_service(number, service)
 
     def next_snapshot(self) -> ConfigurationSnapshot | None:
         """Return the present resources as a new generation, None where they are not valid.
@@ -103,20 +95,18 @@
         metadata = Metadata(name=name, labels={"change": str(self._changes)})
         self.services[name] = msgspec.structs.replace(service, metadata=metadata)
 
-    def _add_service(self, number: int, model: ServiceModel, topology: Topology) -> None:
-        region = f"region-{number % topology.regions + 1}"
+    def _add_service(self, number: int, model: ServiceModel) -> None:
         denied: tuple[PlaceSelector, ...] = ()
         if model.denied_hall:
             denied = (PlaceSelector(hall=f"hall-{model.denied_hall}"),)
         spec = ServiceSpec(
             address=address(SERVICE_NETWORK, number, SERVICE_PORT),
-            permitted=(PlaceSelector(region=region),),
+            permitted=(PlaceSelector(region=REGION),),
             denied=denied,
         )
         self.services[model.name] = Service(API_VERSION, Metadata(name=model.name), spec)
-        halls = [location.hall for location in self.halls if location.region == region]
         for index, name in enumerate(model.backend_names()):
-            self._add_backend(model, name, halls[index % len(halls)])
+            self._add_backend(model, name, self.halls[index % len(self.halls)].hall)
 
     def _add_backend(self, model: ServiceModel, name: str, hall: str) -> None:
         number = len(self.backends)
@@ -131,9 +121,6 @@
 
 
 def _place_resources(halls: list[Location]) -> list[Resource]:
-    resources: dict[str, Resource] = {}
-    for location in halls:
-        resources[location.region] = Region(API_VERSION, Metadata(name=location.region))
-        resources[location.zone] = Zone(API_VERSION, Metadata(name=location.zone), ZoneSpec(location.region))
-        resources[location.hall] = Hall(API_VERSION, Metadata(name=location.hall), HallSpec(location.zone))
-    return list(resources.values())
+    region = Region(API_VERSION, Metadata(name=REGION))
+    zone = Zone(API_VERSION, Metadata(name=ZONE), ZoneSpec(REGION))
+    return [region, zone, *(Hall(API_VERSION, Metadata(name=item.hall), HallSpec(ZONE)) for item in halls)]
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -96,7 +96,7 @@
             return False
         self._world.note(f"{host.name} is asked to stop")
         host.leaving = True
-        self._world.fleet.fabric_of(host).changed(host, present=False)
+        self._world.fleet.fabric.changed(host, present=False)
         host.receive_result((host.process, StopRequested()))
         return True
 
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -14,7 +14,7 @@
 
 
 class Fabric:
-    """The balancers of one zone as the fabric knows them."""
+    """The balancers as the fabric knows them."""
 
     def __init__(
         self,
--- a/sloepond/lab/fleet.py
+++ b/sloepond/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The balancers: their machines, settings and the fabrics before them.
+"""The balancers: their machines, settings and the fabric before them.
 
 Owns which balancers there are.  Relies on the network, the event queue and the platform's list of
 machines, which it keeps up to date.
@@ -26,6 +26,8 @@
 """First half of the addresses of balancers."""
 INCARNATION_BASE = 1_760_000_000_000
 """Milliseconds of wall time at simulated time 0."""
+FABRIC_STREAM = "fabric/cell-1"
+"""Random stream of the fabric; its name is part of what a seed stands for."""
 SEEDS = 6
 """Peer addresses given to a balancer that starts; not measured."""
 
@@ -45,7 +47,7 @@
 
     :ivar balancers: machine name -> machine, those that have ended included.
     :ivar by_address: peer address -> machine.
-    :ivar fabrics: zone -> the fabric before its balancers.
+    :ivar fabric: sends callers' packets to them.
     """
 
     def __init__(
@@ -65,8 +67,13 @@
         self._locations = {location.hall: location for location in halls}
         self.balancers: dict[str, BalancerHost] = {}
         self.by_address: dict[str, BalancerHost] = {}
-        zones = dict.fromkeys(location.zone for location in halls)
-        self.fabrics = {zone: self._make_fabric(number + 1) for number, zone in enumerate(zones)}
+        self.fabric = Fabric(
+            medium.queue,
+            medium.network,
+            medium.callers,
+            scenario.platform.fabric_lag_s,
+            medium.streams.stream(FABRIC_STREAM),
+        )
         for location in halls:
             for _ in range(scenario.topology.balancers_per_hall):
                 self._add_machine(location)
@@ -76,25 +83,6 @@
         """Yield the machines whose process runs or is paused."""
         return (host for host in self.balancers.values() if host.node is not None)
 
-    def fabric_of(self, host: BalancerHost) -> Fabric:
-        """Return the fabric that sends packets to `host`."""
-        return self.fabrics[self._locations[host.endpoint.hall].zone]
-
-    def fabrics_in(self, region: str) -> list[Fabric]:
-        """Return the fabrics of a region's zones."""
-        zones = {location.zone for location in self._locations.values() if location.region == region}
-        return [fabric for zone, fabric in self.fabrics.items() if zone in zones]
-
-    def _make_fabric(self, number: int) -> Fabric:
-        """Return a fabric; the name of its random stream is part of what a seed stands for."""
-        return Fabric(
-            self._medium.queue,
-            self._medium.network,
-            self._medium.callers,
-            self._scenario.platform.fabric_lag_s,
-            self._medium.streams.stream(f"fabric/cell-{number}"),
-        )
-
     def _add_machine(self, location: Location) -> BalancerHost:
         number = len(self.balancers) + 1
         name = balancer_name(number)
@@ -117,7 +105,7 @@
         incarnation = INCARNATION_BASE + int(now * 1000)
         member = host.start(self._factory, self._settings_of(host), incarnation)
         self._medium.platform.machine_changed(now, host.name, member)
-        self.fabric_of(host).changed(host, present=True)
+        self.fabric.changed(host, present=True)
 
     def add(self, hall: str) -> BalancerHost:
         """Start a balancer on a new machine in `hall`."""
@@ -135,7 +123,7 @@
     def ended(self, host: BalancerHost) -> None:
         """Let the platform and the fabric learn in time that a process has ended."""
         self._medium.platform.machine_changed(self._medium.queue.now, host.name, None)
-        self.fabric_of(host).changed(host, present=False)
+        self.fabric.changed(host, present=False)
 
     def _settings_of(self, host: BalancerHost) -> NodeSettings:
         base = self._base_settings
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -130,8 +130,4 @@
             return model.caller_latency_ms
         if first == second:
             return model.local_latency_ms
-        if first.region != second.region:
-            return model.region_latency_ms
-        if first.zone != second.zone:
-            return model.zone_latency_ms
         return model.hall_latency_ms
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -27,21 +27,16 @@
 class Topology(Strict, frozen=True):
     """Balancers and the places they stand in.
 
-    :ivar regions: number of regions.
-    :ivar zones_per_region: number of zones of each region.
-    :ivar halls_per_zone: number of halls of each zone.
+    :ivar halls: number of halls, all in one zone.
     :ivar balancers_per_hall: balancers started in each hall.
     """
 
-    regions: int = 1
-    zones_per_region: int = 1
-    halls_per_zone: int = 3
+    halls: int = 3
     balancers_per_hall: int = 3
 
     def balancer_names(self) -> list[str]:
         """Return the names of the balancers started at the beginning."""
-        halls = self.regions * self.zones_per_region * self.halls_per_zone
-        return [balancer_name(number + 1) for number in range(halls * self.balancers_per_hall)]
+        return [balancer_name(number + 1) for number in range(self.halls * self.balancers_per_hall)]
 
 
 class NetworkModel(Strict, frozen=True):
@@ -56,8 +51,6 @@
 
     local_latency_ms: float = 0.1
     hall_latency_ms: float = 1.5
-    zone_latency_ms: float = 2.0
-    region_latency_ms: float = 30.0
     caller_latency_ms: float = 1.0
     jitter: float = 0.2
     loss: float = 0.0
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -107,9 +107,8 @@
             )
 
     def _entrance(self, service: str) -> ServiceEntrance:
-        compiled = self.compiled.services_by_name[service]
-        region = compiled.backends[0].location.region
-        return ServiceEntrance(service, compiled.address, self.fleet.fabrics_in(region))
+        address = self.declaration.services[service].spec.address
+        return ServiceEntrance(service, address, (self.fleet.fabric,))
 
     # Datagrams of balancers
 
