--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -98,6 +98,7 @@
     STOPPED = "stopped"
     STALLED = "stalled"
     STORE_LOST = "store_lost"
+    STORE_CALL_FAILED = "store_call_failed"
     STORE_REGAINED = "store_regained"
     ROUTES_IN_FORCE = "routes_in_force"
     HALLS_EVACUATED = "zones_evacuated"
@@ -118,6 +119,11 @@
     FETCH_FAILED = "fetch_failed"
     ROLE_CHANGED = "role_changed"
     SETTINGS_CHANGED = "settings_changed"
+    CHECK_FAILED = "check_failed"
+    SETTING_IGNORED = "setting_ignored"
+    METRICS_NOT_SERVED = "metrics_not_served"
+    RECEIVE_FAILED = "receive_failed"
+    SEND_FAILED = "send_failed"
 
 
 class WriteLog(msgspec.Struct, frozen=True):
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from sloepond.core.messages import Member
+from sloepond.core.node import Node
 from sloepond.core.settings import NodeSettings
-from sloepond.core.token_node import TokenNode
 from sloepond.resources.compiled import CompiledConfiguration
 from sloepond.runtime.balancer_node import BalancerNode
 
@@ -35,5 +35,5 @@
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
 
-BALANCER_NODE: NodeFactory = TokenNode
+BALANCER_NODE: NodeFactory = Node
 """The node that balancers run."""
--- a/sloepond/runtime/activity.py
+++ b/sloepond/runtime/activity.py
@@ -1,6 +1,6 @@
 """Whether a balancer is busy with more than its routine.
 
-An idle balancer wakes for heartbeats, probes and polls only.  These need no
+An idle balancer wakes for polls of the platform only.  These need no
 precise timers, so the daemon then lets timers coalesce; each wake of an idle
 process costs more than the work it does.
 """
@@ -8,14 +8,11 @@
 from __future__ import annotations
 
 from sloepond.core.events import (
-    BackendProbed,
     ConfigurationReadUnchanged,
     Event,
     MachineListRead,
-    PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.messages import Heartbeat
 
 ACTIVE_S = 2.0
 """Time after an event that is no routine during which timers are precise, in seconds."""
@@ -23,11 +20,9 @@
 RENEWAL_S = 0.5
 """Time after such an event in which further ones are not looked at, in seconds."""
 
-_ROUTINE_EVENTS = frozenset({BackendProbed, ConfigurationReadUnchanged, MachineListRead, TimerFired})
+_ROUTINE_EVENTS = frozenset({ConfigurationReadUnchanged, MachineListRead, TimerFired})
 
 
 def is_routine(event: Event) -> bool:
     """Return whether an idle balancer gets this event too."""
-    if isinstance(event, PeerMessageReceived):
-        return isinstance(event.message, Heartbeat)
     return type(event) in _ROUTINE_EVENTS
