--- a/sloepond/lab/__init__.py
+++ b/sloepond/lab/__init__.py
@@ -2,5 +2,5 @@
 
 A scenario (`lab/scenarios/*.toml`) and a seed give one run, always the same.  `runner` is the entry,
 `world` the simulation, `director` the faults, `checkers` the judges.  Everything between the callers
-and the back ends is the code that the daemon runs, from `core.token_node` down.
+and the back ends is the code that the daemon runs, from `core.node` down.
 """
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -9,11 +9,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from sloepond.core.commands import Command
+from sloepond.core.events import Event
 from sloepond.core.messages import Member
 from sloepond.core.node import Node
 from sloepond.core.settings import NodeSettings
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.runtime.balancer_node import BalancerNode
 
 
 class InForce(Protocol):
@@ -24,13 +25,26 @@
         """The configuration in force; generation 0 for none."""
 
 
-class LabNode(BalancerNode, Protocol):
-    """A balancer's node of which the lab can see what configuration is in force."""
+class LabNode(Protocol):
+    """A balancer's node without I/O."""
+
+    @property
+    def identity(self) -> Member:
+        """Name, incarnation and address of its process."""
 
     @property
     def configuration(self) -> InForce:
         """What configuration it uses."""
 
+    def start(self, now: float) -> list[Command]:
+        """Return the first commands."""
+
+    def handle(self, event: Event, now: float) -> list[Command]:
+        """Take an event and return the commands that follow from it."""
+
+    def next_deadline(self) -> float:
+        """Return when a `TimerFired` is needed next, `NEVER` if not."""
+
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
