--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -26,24 +26,24 @@
 
 
 class LabNode(Protocol):
-    """A balancer's node: events in, commands out; the lab also sees what configuration is in force."""
+    """A balancer's node without I/O."""
 
     @property
     def identity(self) -> Member:
-        """Name, incarnation and address it has now."""
+        """Name, incarnation and address of its process."""
 
     @property
     def configuration(self) -> InForce:
         """What configuration it uses."""
 
     def start(self, now: float) -> list[Command]:
-        """Begin; called once."""
+        """Return the first commands."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event."""
+        """Take an event and return the commands that follow from it."""
 
     def next_deadline(self) -> float:
-        """Return when a TimerFired event is needed, infinity if never."""
+        """Return when a `TimerFired` is needed next, `NEVER` if not."""
 
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
