--- a/features/steps/runtime_steps.py
+++ b/features/steps/runtime_steps.py
@@ -12,23 +12,23 @@
     FAIL,
     PROPERTY,
     SECRET,
-    EchoNode,
     RunningDaemon,
     free_addresses,
 )
-from runtime_peer import HEARTBEAT, RECORDED, Peer
+from runtime_peer import OFFER, REQUEST, Peer
 
-from sloepond.core import commands, events, messages, packets
-from sloepond.core.deadlines import NEVER
+from sloepond.core import commands, events, messages
 from sloepond.resources.compiled import make_snapshot
 from sloepond.resources.model import API_VERSION, ConfigurationSnapshot, Location, Metadata, Region
 from sloepond.runtime.peer_outbox import PeerOutbox
 from sloepond.runtime.platform_client import ReadFailure, decode_configuration
-from sloepond.runtime.probing import KeepaliveProbeDriver
 from sloepond.runtime.traffic import TrafficClass, TrafficMeter
 from sloepond.standins.platform import ModeRequest, PlatformMode, PlatformState, run_platform
 from sloepond.wire.authentication import Authenticator, Key, KeyRing
-from sloepond.wire.codec import decode_bundle
+from sloepond.wire.codec import decode_bundle, encode_message
+
+EARLIER_HEARTBEAT = msgspec.msgpack.encode([1, 1, -1, 0, 1, 0, "", 0, []])
+"""A heartbeat (tag 1) as balancers that agreed on views sent it."""
 
 
 @given("a runtime daemon with an echo node")
@@ -94,11 +94,11 @@
     assert len(logged) == 1 and "made to fail" in logged[0].formatted_exception
 
 
-@when("a runtime peer sends a heartbeat, a recorded flow and a replay")
+@when("a runtime peer sends an offer, a request and a replay")
 def step_peer_messages(context):
     async def action(running):
         with Peer(running) as peer:
-            context.sizes = [peer.send(HEARTBEAT, copies=2), peer.send(RECORDED)]
+            context.sizes = [peer.send(OFFER, copies=2), peer.send(REQUEST)]
             await running.until(lambda: len(running.node.events) == 2)
 
     context.running.run(action)
@@ -107,16 +107,38 @@
 @then("the runtime node got both messages once")
 def step_peer_messages_taken(context):
     received = context.running.node.noted(events.PeerMessageReceived)
-    assert [event.message for event in received] == [HEARTBEAT, RECORDED], received
+    assert [event.message for event in received] == [OFFER, REQUEST], received
     assert {event.sender for event in received} == {"b2"}
     assert context.running.node.counters.input_replayed == 1
 
 
-@then("the runtime traffic counted control and data apart")
+@then("the runtime traffic counted both as control")
 def step_traffic(context):
     totals = context.running.daemon.traffic.totals
-    found = [totals[item].received_bytes for item in (TrafficClass.CONTROL, TrafficClass.DATA)]
-    assert found == context.sizes, found
+    found = [totals[item].received_bytes for item in TrafficClass]
+    assert found == [sum(context.sizes), 0, 0], found
+    assert totals[TrafficClass.CONTROL].datagrams == 2
+
+
+@when("a runtime peer of an earlier version sends a heartbeat, alone and beside an offer")
+def step_earlier_version(context):
+    async def action(running):
+        with Peer(running) as peer:
+            peer.send_encoded([EARLIER_HEARTBEAT])
+            peer.send_encoded([encode_message(OFFER), EARLIER_HEARTBEAT])
+            await running.until(lambda: running.node.counters.input_malformed == 2)
+            peer.send(OFFER)
+            await running.until(lambda: running.node.events)
+        context.echoed = await running.echo(b"after")
+
+    context.running.run(action)
+
+
+@then("the runtime node got the one message that is of this version")
+def step_one_message(context):
+    received = context.running.node.noted(events.PeerMessageReceived)
+    assert [event.message for event in received] == [OFFER], received
+    assert context.running.node.counters.input_malformed == 2
 
 
 class Sink:
@@ -134,7 +156,7 @@
     context.sink = Sink()
     identity = messages.Member("b1", 1, "10.0.0.1:7000", Location("r", "z", "h"))
     sealing = Authenticator(KeyRing((Key(1, bytes.fromhex(SECRET)),)), "b1", 1, identity.address)
-    outbox = PeerOutbox(EchoNode(identity), context.sink, sealing, TrafficMeter())
+    outbox = PeerOutbox(context.sink, sealing, TrafficMeter())
     for number in range(40):
         for address in ("10.0.0.2:7000", "10.0.0.3:7000"):
             outbox.add(address, messages.ConfigurationPart(number, "d" * 8, 0, 0, 1, bytes(86)))
@@ -152,42 +174,6 @@
         assert len(datagrams) == 4 and max(map(len, datagrams)) <= 1_400, list(map(len, datagrams))
 
 
-@given("a runtime probe driver")
-def step_probe_driver(context):
-    context.sent = []
-    context.driver = KeepaliveProbeDriver("10.0.0.1:1", 0.5, context.sent.append)
-
-
-def start_probe(context, now):
-    context.driver.start(commands.ProbeBackend("archive-1", "10.0.0.7:9"), now)
-    packet = context.sent[-1].packet
-    assert context.sent[-1].address == "10.0.0.7:9" and packet.kind is packets.CallerPacketKind.KEEPALIVE
-    load = packets.LoadReport(3, 4)
-    return packets.BackendReply(packets.BackendReplyKind.ALIVE, packet.flow, packet.request_id, load=load)
-
-
-@then("an answer of the probed runtime back end ends its probe")
-def step_probe_answered(context):
-    for payload, healthy in ((b"", True), (b"draining", False)):
-        reply = msgspec.structs.replace(start_probe(context, 1.0), payload=payload)
-        probed = context.driver.take_reply("10.0.0.7:9", reply)
-        assert probed == events.BackendProbed("archive-1", reply.load, healthy)
-        assert context.driver.take_reply("10.0.0.7:9", reply) is None
-
-
-@then("an answer of another runtime back end does not")
-def step_probe_other(context):
-    reply = start_probe(context, 2.0)
-    assert context.driver.take_reply("10.0.0.8:9", reply) is None
-
-
-@then("a runtime probe without an answer ends at its deadline")
-def step_probe_deadline(context):
-    assert context.driver.next_deadline() == 2.5 and context.driver.on_time(2.4) == []
-    assert context.driver.on_time(2.5) == [events.BackendProbed("archive-1", None, False)]
-    assert context.driver.next_deadline() == NEVER
-
-
 @given("a runtime daemon beside a stand-in platform")
 def step_platform(context):
     context.platform = PlatformState()
--- a/sloepond/core/commands.py
+++ b/sloepond/core/commands.py
@@ -40,30 +40,14 @@
     """Read the platform's list of machines."""
 
 
-class ProbeBackend(msgspec.Struct, frozen=True):
-    """Ask a back end for its health and load; answer with `BackendProbed`."""
-
-    backend: str
-    address: str
-
-
 class TransitionKind(enum.StrEnum):
     """Changes of state worth a log line."""
 
-    STATE_CHANGED = "state-changed"
-    VIEW_CHANGED = "view-changed"
-    LEASE_GAINED = "lease-gained"
-    LEASE_LOST = "lease-lost"
-    MEMBER_SUSPECTED = "member-suspected"
-    MEMBER_RECOVERED = "member-recovered"
     CONFIGURATION_IN_FORCE = "configuration-in-force"
     CONFIGURATION_REJECTED = "configuration-rejected"
     CONFIGURATION_SERVICE_DOWN = "configuration-service-down"
     CONFIGURATION_SERVICE_UP = "configuration-service-up"
-    BACKEND_EJECTED = "backend-ejected"
-    BACKEND_RESTORED = "backend-restored"
     STALL_DETECTED = "stall-detected"
-    TRANSFER_COMPLETED = "transfer-completed"
 
 
 class RecordTransition(msgspec.Struct, frozen=True):
@@ -88,7 +72,6 @@
     | SendToPeer
     | ReadConfiguration
     | ReadMachineList
-    | ProbeBackend
     | RecordTransition
     | CompleteStop
 )
--- a/sloepond/core/token_node.py
+++ b/sloepond/core/node.py
@@ -8,8 +8,6 @@
 
 from __future__ import annotations
 
-import hashlib
-import ipaddress
 import random
 
 import msgspec
@@ -44,39 +42,21 @@
 from sloepond.core.forwarding.events import BackendsRead, OpeningHeld, RoutesRead
 from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
 from sloepond.core.forwarding.node import ForwardingNode
-from sloepond.core.forwarding.packets import PORT_BITS, Segment
-from sloepond.core.forwarding.placement.places import PlaceRules
-from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
-from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
-from sloepond.core.messages import ConfigurationOffered, Member, MemberState, View
-from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind
+from sloepond.core.forwarding.state.routes import RouteConfiguration
+from sloepond.core.forwarding_input import place_rules_of, record_of, route_of, segment_of
+from sloepond.core.messages import ConfigurationOffered, Member
+from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
-from sloepond.core.status import NO_EPOCH, NodeStatus
-from sloepond.resources.compiled import CompiledBackend, CompiledConfiguration, CompiledService
-from sloepond.resources.model import BackendState as DeclaredState
+from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
+from sloepond.resources.compiled import CompiledConfiguration
 
-IDENTITY_BYTES = 8
 STOP_AFTER_S = 3.0
 """How long a planned stop goes on, so that the fabric learns of it."""
 LIST_AGAIN_S = 1.0
 """Time between reads of the machine list until a configuration is in force."""
 
 
-class NoView:
-    """What the configuration asks of membership: there is no cell that a balancer is alone in."""
-
-    view = View(NO_EPOCH, ())
-
-    def is_reachable(self, name: str) -> bool:
-        """Return whether a member is not suspected; there are none."""
-        return False
-
-    def member(self, name: str) -> Member | None:
-        """Return a member of the view; there are none."""
-        return None
-
-
-class TokenNode:
+class Node:
     """Runs a forwarding node on sloepond's own packets and configuration.
 
     :ivar configuration: generation in force, and how it spreads.
@@ -86,7 +66,7 @@
         self._context = NodeContext(identity, random_source)
         self._seeds = tuple(seed for seed in settings.membership.seeds if seed != identity.address)
         self._list_interval_s = settings.membership.machine_list_interval_s
-        self.configuration = ConfigurationStore(self._context, settings.configuration, NoView())
+        self.configuration = ConfigurationStore(self._context, settings.configuration)
         self._node = ForwardingNode(identity.location.hall, random_source)
         self._generation = 0
         self._listed: tuple[Member, ...] = ()
@@ -104,7 +84,7 @@
         return self._context.counters
 
     def status(self) -> NodeStatus:
-        """Return what operators are told of this balancer: it is in no view, and needs no lease."""
+        """Return what operators are told of this balancer."""
         identity = self._context.identity
         in_force = self.configuration.in_force
         names = {member.name for member in self._listed} | {identity.name}
@@ -123,11 +103,10 @@
             peers=(),
         )
 
-    def _state(self) -> str:
+    def _state(self) -> BalancerState:
         if self._stop_at < NEVER:
-            return MemberState.LEAVING.name.lower()
-        state = MemberState.ACTIVE if self.configuration.is_ready else MemberState.JOINING
-        return state.name.lower()
+            return BalancerState.LEAVING
+        return BalancerState.ACTIVE if self.configuration.is_ready else BalancerState.JOINING
 
     def start(self, now: float) -> list[Command]:
         """Begin to read the configuration and the list of machines."""
@@ -180,7 +159,7 @@
             self.configuration.read_failed(event.reason)
         elif isinstance(event, MachineListRead):
             self._listed = event.members
-            self.configuration.foreign_members_known(event.members)
+            self.configuration.machines_known(event.members)
         elif isinstance(event, PeerMessageReceived):
             self.counters.peer_messages += 1
             self.configuration.handle(event.sender_address, event.message)
@@ -215,10 +194,10 @@
 
     def _forward_by(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
         services = tuple(compiled.services_by_address.values())
-        self._node.backends.places_changed(_place_rules(services))
+        self._node.backends.places_changed(place_rules_of(services))
         revision = compiled.generation
-        routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(_route, services))))
-        records = tuple(_record(backend, revision) for service in services for backend in service.backends)
+        routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(route_of, services))))
+        records = tuple(record_of(backend, revision) for service in services for backend in service.backends)
         commands = self._node.handle(routes, now) + self._node.handle(BackendsRead(revision, records), now)
         return self._carry_out(commands, now)
 
@@ -232,7 +211,7 @@
         return results
 
     def _caller_packet(self, packet: CallerPacket, now: float) -> list[Command]:
-        segment = _segment(packet)
+        segment = segment_of(packet)
         decision = self._node.decide(segment, now)
         if decision.hold:
             held = OpeningHeld(segment, msgspec.msgpack.encode(packet))
@@ -249,64 +228,3 @@
     if reply.kind is BackendReplyKind.REFUSED and reply.request_id == 0:
         return []
     return [SendToCaller(caller_reply(reply))]
-
-
-def _segment(packet: CallerPacket) -> Segment:
-    destination = _endpoint_key(packet.flow.service_address)
-    source = _endpoint_key(packet.flow.caller_address)
-    is_opening = packet.kind is CallerPacketKind.OPEN
-    return Segment(
-        source=source >> PORT_BITS,
-        source_port=source & (1 << PORT_BITS) - 1,
-        destination=destination >> PORT_BITS,
-        destination_port=destination & (1 << PORT_BITS) - 1,
-        sequence=0,
-        acknowledgement=packet.attempt if is_opening else packet.request_id + 1,
-        length=int(packet.kind is CallerPacketKind.REQUEST),
-        is_opening=is_opening,
-        is_closing=packet.kind is CallerPacketKind.CLOSE,
-        is_reset=False,
-        token=packet.token,
-    )
-
-
-def _endpoint_key(address: str) -> int:
-    host, _, port = address.rpartition(":")
-    return int(ipaddress.IPv4Address(host)) << PORT_BITS | int(port)
-
-
-def _route(service: CompiledService) -> Route:
-    return Route(service.name, _endpoint_key(service.address), (Share(service.name, 1.0),))
-
-
-def _place_rules(services: tuple[CompiledService, ...]) -> PlaceRules:
-    """Return the halls each service's back ends may be used in, by the one place filter."""
-    return PlaceRules(
-        {
-            service.name: frozenset(
-                backend.location.hall for backend in service.backends if backend.permitted
-            )
-            for service in services
-        }
-    )
-
-
-def _record(backend: CompiledBackend, revision: int) -> BackendRecord:
-    host, _, port = backend.address.rpartition(":")
-    takes_flows = backend.state is DeclaredState.ACTIVE and backend.weight > 0
-    return BackendRecord(
-        name=backend.name,
-        number=_identity(backend),
-        service=backend.service,
-        host=host,
-        port=int(port),
-        hall=backend.location.hall,
-        slots=backend.slots,
-        state=BackendState.READY if takes_flows else BackendState.LEAVING,
-        revision=revision,
-    )
-
-
-def _identity(backend: CompiledBackend) -> int:
-    text = f"{backend.name} {backend.address}".encode()
-    return int.from_bytes(hashlib.blake2b(text, digest_size=IDENTITY_BYTES).digest(), "big")
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -1,11 +1,15 @@
-"""Runs one scenario with one seed, and judges it."""
+"""Runs one scenario with one seed, and judges it.
+
+Owns one run from its start to its result.  Relies on the world to simulate, and on the scenario's
+expectations for what is broken.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-from sloepond.lab.checkers.violations import Promise, Violation
+from sloepond.lab.checkers.violations import COUNTED, Promise, Violation
 from sloepond.lab.director import Director
 from sloepond.lab.hosting import BALANCER_NODE, NodeFactory
 from sloepond.lab.random_faults import draw_faults
@@ -15,7 +19,9 @@
 from sloepond.lab.world import World
 
 PROGRESS_STEP_S = 0.5
+"""Simulated time between reports of progress, seconds."""
 _DECIMALS = 4
+"""Decimals of the measures."""
 
 Progress = Callable[[float, float], None]
 """Called with the simulated seconds done and those in all."""
@@ -34,10 +40,7 @@
     :param ordered_flows: whether flows are streams, in which a back end knows a copy of a request as one.
     :raises ValueError: where the scenario's resources or settings are not valid.
     """
-    started = time.perf_counter()
-    run = LabRun(scenario, seed, factory, ordered_flows)
-    run.run(progress)
-    return run.result(time.perf_counter() - started)
+    return LabRun(scenario, seed, factory, ordered_flows).run(progress)
 
 
 class LabRun:
@@ -61,8 +64,9 @@
         Director(self.world).schedule(timeline)
         self._end = load_end(scenario) + scenario.timing.settle_s
 
-    def run(self, progress: Progress | None = None) -> None:
-        """Simulate until the end."""
+    def run(self, progress: Progress | None = None) -> LabResult:
+        """Simulate until the end; return what was measured and which promises broke."""
+        started = time.perf_counter()
         self.world.start()
         self._sampler.start()
         queue = self.world.queue
@@ -70,10 +74,9 @@
             queue.run_until(min(self._end, queue.now + PROGRESS_STEP_S))
             if progress is not None:
                 progress(queue.now, self._end)
-        self.world.fleet.collect_all_counters()
+        return self._result(time.perf_counter() - started)
 
-    def result(self, wall_seconds: float) -> LabResult:
-        """Return what was measured and which promises broke."""
+    def _result(self, wall_seconds: float) -> LabResult:
         measures = self._measures(wall_seconds)
         return LabResult(
             scenario=self.scenario.name,
@@ -82,7 +85,6 @@
             broken_promises=tuple(self._broken_promises(measures)),
             timeline=tuple(self.world.timeline),
             flows_cut=self.world.flow_checker.cut,
-            counters=self.world.fleet.counters,
             series=Series(
                 in_flight=self._sampler.in_flight,
                 control_bytes=self._sampler.traffic.control_by_second,
@@ -92,26 +94,17 @@
 
     def _measures(self, wall_seconds: float) -> Measures:
         world = self.world
-        counts = {promise.value: count for promise, count in world.log.counts.items()}
+        counts = {promise.value: world.log.counts[promise] for promise in COUNTED}
         traffic = self._sampler.traffic
         balance = self._sampler.balance
         return Measures(
+            **counts,
             flows=world.callers.started,
             flows_open_peak=world.flow_checker.open_peak,
-            broken_flows=counts[Promise.BROKEN_FLOWS],
-            misrouted_packets=counts[Promise.MISROUTED_PACKETS],
-            place_violations=counts[Promise.PLACE_VIOLATIONS],
-            answers_crossed=counts[Promise.ANSWERS_CROSSED],
-            answers_incomplete=counts[Promise.ANSWERS_INCOMPLETE],
-            duplicate_executions=counts[Promise.DUPLICATE_EXECUTIONS],
-            false_not_run=counts[Promise.FALSE_NOT_RUN],
-            outcome_unknown=counts[Promise.OUTCOME_UNKNOWN],
-            refused=counts[Promise.REFUSED],
             imbalance_p50=_rounded(balance.percentile(0.5)),
             imbalance_p99=_rounded(balance.percentile(0.99)),
             new_work_after_drain_seconds=_rounded(world.place_checker.last_new_work_s),
             configuration_in_force_seconds_max=_rounded(world.configuration_checker.in_force_seconds),
-            configuration_reverts=counts[Promise.CONFIGURATION_REVERTS],
             control_bytes_per_second_max=traffic.control_maximum,
             control_bytes_per_second_mean=_rounded(traffic.control_mean),
             simulated_seconds=self._end,
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -1,12 +1,13 @@
 """Scenarios: what world is simulated, what happens in it, what must hold.
 
-A scenario is one TOML document.  Unknown keys are refused; all findings are
+A scenario is one TOML document.  Owns its form; unknown keys are refused, and all findings are
 collected with their place and reported together.
 """
 
 from __future__ import annotations
 
 import tomllib
+from collections.abc import Iterator
 from typing import Any
 
 import msgspec
@@ -18,6 +19,11 @@
     """Base of all parts of a scenario: immutable, unknown keys refused."""
 
 
+def balancer_name(number: int) -> str:
+    """Return the name of the balancer with a number, from 1 in the order of their starts."""
+    return f"balancer-{number}"
+
+
 class Topology(Strict, frozen=True):
     """Balancers and the places they stand in.
 
@@ -25,14 +31,17 @@
     :ivar zones_per_region: number of zones of each region.
     :ivar halls_per_zone: number of halls of each zone.
     :ivar balancers_per_hall: balancers started in each hall.
-    :ivar cells: number of cells; each gets an equal share of the balancers.
     """
 
     regions: int = 1
     zones_per_region: int = 1
     halls_per_zone: int = 3
     balancers_per_hall: int = 3
-    cells: int = 1
+
+    def balancer_names(self) -> list[str]:
+        """Return the names of the balancers started at the beginning."""
+        halls = self.regions * self.zones_per_region * self.halls_per_zone
+        return [balancer_name(number + 1) for number in range(halls * self.balancers_per_hall)]
 
 
 class NetworkModel(Strict, frozen=True):
@@ -81,6 +90,10 @@
     cold_factor: float = 4.0
     denied_hall: int = 0
 
+    def backend_names(self) -> list[str]:
+        """Return the names of the service's back ends."""
+        return [f"{self.name}-{number + 1}" for number in range(self.backends)]
+
 
 class LoadModel(Strict, frozen=True):
     """Flows of one kind to one service.
@@ -88,7 +101,7 @@
     :ivar kind: `session` (requests over a while), `feed` (pushed data) or
         `download` (one repeatable request with an answer of many parts).
     :ivar flows: number of flows.
-    :ivar start_s: when the first may arrive, after the cells have formed.
+    :ivar start_s: when the first may arrive, after the balancers have started.
     :ivar over_s: they arrive at random times over this many seconds.
     :ivar duration_s: mean time a session or feed stays open.
     :ivar requests: mean number of requests of a session.
@@ -144,7 +157,7 @@
 class Timing(Strict, frozen=True):
     """Parts of the run in simulated seconds.
 
-    :ivar form_s: time given to the cells to form before callers arrive.
+    :ivar form_s: time given to the balancers to start before callers arrive.
     :ivar settle_s: time after the last arrival until the run ends.
     """
 
@@ -156,7 +169,7 @@
     """Faults drawn from the seed.
 
     :ivar count: number of faults; 0 for none.
-    :ivar start_s: earliest time, seconds after the cells have formed.
+    :ivar start_s: earliest time, seconds after the balancers have started.
     :ivar over_s: they are spread over this many seconds.
     """
 
@@ -228,17 +241,8 @@
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError([ScenarioFinding(place, str(error))]) from error
-    return _convert(document, place)
-
-
-def _convert(document: dict[str, Any], place: str) -> Scenario:
-    findings: list[ScenarioFinding] = []
-    for key, value in document.items():
-        field_type = Scenario.__annotations__.get(key)
-        if field_type is None:
-            findings.append(ScenarioFinding(f"{place}: {key}", "unknown key"))
-            continue
-        findings.extend(_convert_field(key, value, place))
+    types = {field.name: field.type for field in msgspec.structs.fields(Scenario)}
+    findings = [finding for item in document.items() for finding in _key_findings(*item, types, place)]
     if findings:
         raise ScenarioError(findings)
     try:
@@ -247,18 +251,18 @@
         raise ScenarioError([ScenarioFinding(place, str(error))]) from error
 
 
-def _convert_field(key: str, value: Any, place: str) -> list[ScenarioFinding]:
-    """Return the findings of one top-level key; items of a list are checked one by one."""
-    field_types = {field.name: field.type for field in msgspec.structs.fields(Scenario)}
-    items = value if isinstance(value, list) else [value]
-    findings = []
-    for number, item in enumerate(items, start=1):
+def _key_findings(key: str, value: Any, types: dict[str, Any], place: str) -> Iterator[ScenarioFinding]:
+    """Yield the findings of one top-level key; items of a list are checked one by one."""
+    if key not in types:
+        yield ScenarioFinding(f"{place}: {key}", "unknown key")
+        return
+    is_list = isinstance(value, list)
+    for number, item in enumerate(value if is_list else [value], start=1):
         try:
-            msgspec.convert([item] if isinstance(value, list) else item, field_types[key])
+            msgspec.convert([item] if is_list else item, types[key])
         except msgspec.ValidationError as error:
-            suffix = f"[{number}]" if isinstance(value, list) else ""
-            findings.append(ScenarioFinding(f"{place}: {key}{suffix}", str(error)))
-    return findings
+            suffix = f"[{number}]" if is_list else ""
+            yield ScenarioFinding(f"{place}: {key}{suffix}", str(error))
 
 
 def scaled(scenario: Scenario, share: float) -> Scenario:
