--- a/sloepond/runtime/forwarding/binding.py
+++ b/sloepond/runtime/forwarding/binding.py
@@ -22,8 +22,8 @@
 RECEIVE_BUFFER_BYTES = 1024 * 1024
 """Room for what arrives while the rest is loaded, in bytes.
 
-Not measured: the system counts some 2 kB for a packet, so this holds some hundreds; a balancer gets
-fewer in the 0.1 s that loading takes on a whole core.
+Not measured: the system counts some 2 kB for a packet, so this holds some hundreds, which is more
+than a balancer gets in the 0.1 s that loading takes on a whole core.
 """
 BACKLOG = 64
 """Connections that may wait to be accepted.
--- a/sloepond/runtime/forwarding/drivers.py
+++ b/sloepond/runtime/forwarding/drivers.py
@@ -80,14 +80,21 @@
         """Return the changes in a watch's answer."""
 
 
-class PlatformDrivers(msgspec.Struct, frozen=True):
+class PlatformDrivers:
     """All that a balancer needs of a platform.
 
     :ivar read_settings: reads the settings file; raises OSError, KeyError or ValueError.
     :ivar file_names: name in the settings file of each setting that has another name in there.
     """
 
-    packets: PacketCodec
-    store: StoreCodec
-    read_settings: Callable[[], ForwardingSettings]
-    file_names: Mapping[str, str]
+    def __init__(
+        self,
+        packets: PacketCodec,
+        store: StoreCodec,
+        read_settings: Callable[[], ForwardingSettings],
+        file_names: Mapping[str, str],
+    ) -> None:
+        self.packets = packets
+        self.store = store
+        self.read_settings = read_settings
+        self.file_names = file_names
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -8,12 +8,12 @@
 from __future__ import annotations
 
 import os
-from typing import Protocol
 
 import msgspec
 
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import PORT_BITS, Refusal, Segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.runtime.clock import monotonic_seconds
@@ -51,19 +51,11 @@
     detail: str = ""
 
 
-class StateVersions(Protocol):
-    """Tells the versions and ages of the routes and back ends that a decision was based on."""
-
-    def snapshot(self, now: float) -> str:
-        """Return versions and ages as text.
-
-        :param now: seconds of the loop's clock.
-        """
-
-
 class LogWriter:
     """Writes lines of the data path and of the node.
 
+    Lines about decisions end with the versions and ages of the routes and back ends behind them.
+
     :param counters: counts lines that were dropped.
     :param descriptor: file descriptor to write to; made non-blocking.
     """
@@ -95,7 +87,7 @@
         text = f"{type(reason).__name__}: {reason}" if isinstance(reason, Exception) else reason
         self._write(kind, subject, f"reason={text}")
 
-    def flow_placed(self, segment: Segment, backend: ForwardingBackend, node: StateVersions) -> None:
+    def flow_placed(self, segment: Segment, backend: ForwardingBackend, node: ForwardingNode) -> None:
         """Write a line about a new flow and its back end."""
         if self._may_write():
             now = monotonic_seconds()
@@ -117,13 +109,13 @@
             )
             self._put(LogKind.REQUEST_SEEN, request_id, detail)
 
-    def packet_waits(self, segment: Segment, node: StateVersions) -> None:
+    def packet_waits(self, segment: Segment, node: ForwardingNode) -> None:
         """Write a line about a new flow that waits for room at the back ends."""
         if self._may_write():
             detail = f"copy={segment.acknowledgement} {node.snapshot(monotonic_seconds())}"
             self._put(LogKind.FLOW_WAITS, flow_name(segment), detail)
 
-    def packet_refused(self, segment: Segment, refusal: Refusal, node: StateVersions) -> None:
+    def packet_refused(self, segment: Segment, refusal: Refusal, node: ForwardingNode) -> None:
         """Write a line about a packet that is not forwarded, and why."""
         if self._may_write():
             detail = f"reason={refusal.value} token={segment.token:08x} {node.snapshot(monotonic_seconds())}"
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-import signal
+from _signal import SIGHUP  # `signal` turns its constants into enumerations, 1% of a start.
 
 from sloepond.core.forwarding.commands import (
     CheckBackend,
@@ -187,7 +187,7 @@
 
     def _receive_signals(self) -> None:
         for number in self._sockets.signals.recv(SIGNAL_BYTES):
-            if number == signal.SIGHUP:
+            if number == SIGHUP:
                 self._reload()
             else:
                 self.dispatch(StopRequested())
