--- a/features/steps/runtime_settings_steps.py
+++ b/features/steps/runtime_settings_steps.py
@@ -14,9 +14,9 @@
     settings_text,
 )
 
-from sloepond.core.settings import NodeSettings
 from sloepond.runtime.settings import BalancerSettings
 from sloepond.runtime.settings_file import SettingsOverride, check_settings
+from sloepond.runtime.unread_settings import FileNodeSettings
 
 
 def check(context):
@@ -81,7 +81,7 @@
 def step_arbitrary_settings(context):
     context.checks, text = [], settings_text()
     top = tuple(field.name for field in msgspec.structs.fields(BalancerSettings))
-    sections = [("node", field.name) for field in msgspec.structs.fields(NodeSettings)]
+    sections = [("node", field.name) for field in msgspec.structs.fields(FileNodeSettings)]
     paths = st.sampled_from([(name,) for name in top] + sections + [("node", "membership", "seeds")])
     scalars = st.integers() | st.floats() | st.text(max_size=5) | st.booleans()
     values = st.recursive(scalars, lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner))
--- a/sloepond/runtime/settings_file.py
+++ b/sloepond/runtime/settings_file.py
@@ -13,7 +13,7 @@
 from sloepond.runtime.settings import BalancerSettings
 from sloepond.runtime.settings_rules import check_rules
 from sloepond.runtime.structure import FieldFinding, StructureReader
-from sloepond.runtime.unread_settings import find_unread
+from sloepond.runtime.unread_settings import FileSettings, find_unread
 
 FLAGS = "flags"
 """Source named in findings about a value that a flag gave."""
@@ -62,7 +62,7 @@
     for override in overrides:
         _override(document, override)
     reader = StructureReader()
-    settings = reader.read_struct(document, BalancerSettings, ())
+    settings = reader.read_struct(document, FileSettings, ())
     findings = reader.findings + _new_findings(reader.findings, settings)
     if findings:
         overridden = {override.path for override in overrides}
@@ -70,7 +70,7 @@
     return CheckedSettings(settings, (), find_unread(document))
 
 
-def _new_findings(known: list[FieldFinding], settings: BalancerSettings) -> list[FieldFinding]:
+def _new_findings(known: list[FieldFinding], settings: FileSettings) -> list[FieldFinding]:
     """Return what breaks a rule, except in fields that are known to be wrong."""
     wrong = {finding.path for finding in known}
     broken = check_rules(settings) + _check_files(settings)
@@ -96,7 +96,7 @@
     return Finding(file, 0, 0, format_path(finding.path), finding.reason)
 
 
-def _check_files(settings: BalancerSettings) -> list[FieldFinding]:
+def _check_files(settings: FileSettings) -> list[FieldFinding]:
     """Return a finding for each named file that cannot be opened."""
     paths: Mapping[FieldPath, str] = {
         ("api", "tls_certificate"): settings.api.tls_certificate,
--- a/sloepond/runtime/settings_rules.py
+++ b/sloepond/runtime/settings_rules.py
@@ -7,12 +7,11 @@
 
 import msgspec
 
-from sloepond.core.settings import TOKEN_POLICY, MembershipSettings, NodeSettings
 from sloepond.resources.addresses import AddressFailure, canonical_address
 from sloepond.resources.findings import FieldPath
-from sloepond.runtime.settings import ApiSettings, BalancerSettings, KeySettings, PlatformSettings
+from sloepond.runtime.settings import ApiSettings, KeySettings, PlatformSettings
 from sloepond.runtime.structure import FieldFinding
-from sloepond.runtime.unread_settings import UNREAD_POLICIES
+from sloepond.runtime.unread_settings import POLICIES, FileMembershipSettings, FileNodeSettings, FileSettings
 from sloepond.wire.authentication import (
     MAXIMUM_KEY_ID,
     MAXIMUM_KEYS,
@@ -23,7 +22,6 @@
     KeyRing,
 )
 
-POLICIES = (*UNREAD_POLICIES, TOKEN_POLICY)
 MINIMUM_TOKEN_CHARACTERS = 16
 MAXIMUM_REPLICAS = 7
 MAXIMUM_PARTITIONS = 65_536
@@ -49,9 +47,9 @@
 Findings = Iterator[FieldFinding]
 
 
-def check_rules(settings: BalancerSettings) -> list[FieldFinding]:
+def check_rules(settings: FileSettings) -> list[FieldFinding]:
     """Return every rule that `settings` break, in the order of the fields."""
-    checks: tuple[Callable[[BalancerSettings], Findings], ...] = (
+    checks: tuple[Callable[[FileSettings], Findings], ...] = (
         _check_name,
         _check_location,
         _check_addresses,
@@ -71,20 +69,20 @@
     return KeyRing(tuple(Key(key.id, bytes.fromhex(key.secret)) for key in keys))
 
 
-def _check_name(settings: BalancerSettings) -> Findings:
+def _check_name(settings: FileSettings) -> Findings:
     if not 1 <= len(settings.name.encode()) <= MAXIMUM_NAME_BYTES:
         yield FieldFinding(("name",), f"must have 1 to {MAXIMUM_NAME_BYTES} bytes")
     elif not settings.name.isprintable() or " " in settings.name:
         yield FieldFinding(("name",), "must be printable, without spaces")
 
 
-def _check_location(settings: BalancerSettings) -> Findings:
+def _check_location(settings: FileSettings) -> Findings:
     for field in ("region", "zone", "hall"):
         if not getattr(settings.location, field):
             yield FieldFinding(("location", field), "must not be empty")
 
 
-def _check_addresses(settings: BalancerSettings) -> Findings:
+def _check_addresses(settings: FileSettings) -> Findings:
     required = ("edge_address", "backend_address", "peer_address")
     optional = ("api_address", "fabric_address")
     used: dict[str, str] = {}
@@ -108,7 +106,7 @@
         yield FieldFinding(path, f"write it as {canonical}")
 
 
-def _check_keys(settings: BalancerSettings) -> Findings:
+def _check_keys(settings: FileSettings) -> Findings:
     if not 1 <= len(settings.keys) <= MAXIMUM_KEYS:
         yield FieldFinding(("keys",), f"must be 1 to {MAXIMUM_KEYS} keys")
     seen: set[int] = set()
@@ -132,14 +130,14 @@
         yield FieldFinding((*path, "secret"), reason)
 
 
-def _check_platform(settings: BalancerSettings) -> Findings:
+def _check_platform(settings: FileSettings) -> Findings:
     platform = settings.platform
     if platform.url and not platform.url.startswith(("http://", "https://")):
         yield FieldFinding(("platform", "url"), "must begin with http:// or https://")
     yield from _check_positive(platform, ("platform",))
 
 
-def _check_api(settings: BalancerSettings) -> Findings:
+def _check_api(settings: FileSettings) -> Findings:
     api = settings.api
     if bool(api.tls_certificate) != bool(api.tls_key):
         missing = "tls_key" if api.tls_certificate else "tls_certificate"
@@ -152,9 +150,9 @@
     yield from _check_positive(api, ("api",))
 
 
-def _check_node(settings: BalancerSettings) -> Findings:
+def _check_node(settings: FileSettings) -> Findings:
     node = settings.node
-    for field in msgspec.structs.fields(NodeSettings):
+    for field in msgspec.structs.fields(FileNodeSettings):
         section = getattr(node, field.name)
         if isinstance(section, msgspec.Struct):
             yield from _check_positive(section, ("node", field.name))
@@ -179,7 +177,7 @@
     return math.isfinite(value) and value > 0
 
 
-def _check_membership(membership: MembershipSettings) -> Findings:
+def _check_membership(membership: FileMembershipSettings) -> Findings:
     path = ("node", "membership")
     interval = membership.heartbeat_interval_s
     if not interval < membership.suspect_after_s:
@@ -193,7 +191,7 @@
         yield FieldFinding((*path, "bootstrap"), "names a member twice")
 
 
-def _check_ranges(node: NodeSettings) -> Findings:
+def _check_ranges(node: FileNodeSettings) -> Findings:
     if node.health.minimum_available > 1:
         yield FieldFinding(("node", "health", "minimum_available"), "must be 0 to 1")
     if node.requests.retry_ratio > 1:
--- a/sloepond/runtime/unread_settings.py
+++ b/sloepond/runtime/unread_settings.py
@@ -1,10 +1,11 @@
-"""Settings that are accepted and checked, but that no part of a balancer reads.
+"""The settings file with what is accepted and checked, but read by no part of a balancer.
 
-Earlier versions replicated flows on several balancers and agreed on who they are.  Files
-written for them stay valid, and their values are checked as before, so that an upgrade needs
-no change of files; the balancer says once which lines of its file have no effect.
+Earlier versions replicated flows on several balancers, which agreed on who they are.  Files
+written for them stay valid and their values are checked as before, so that an upgrade needs no
+change of files; a balancer says once which settings of its file have no effect.
 
-Owns the table of these settings.  Relies on nothing but the parsed file.
+Owns the names, defaults and limits of these settings.  Relies on `runtime.settings` for those
+that are read.
 """
 
 from __future__ import annotations
@@ -12,99 +13,130 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from sloepond.core.settings import TOKEN_POLICY
+import msgspec
+
+from sloepond.core.settings import MembershipSettings, NodeSettings, StopSettings
 from sloepond.resources.findings import FieldPath, format_path
+from sloepond.runtime.settings import BalancerSettings
+
+TOKEN_POLICY = "token"
+"""The placement policy that every balancer has."""
+
+POLICIES = ("hash", "bounded-load", "two-choices", "hot-cold", "least-loaded", TOKEN_POLICY)
+"""Names of placement policies that are accepted."""
+
+
+class FileMembershipSettings(MembershipSettings, frozen=True, forbid_unknown_fields=True):
+    """Membership as a file may have it."""
+
+    cell: str = "default"
+    bootstrap: tuple[str, ...] = ()
+    heartbeat_interval_s: float = 0.5
+    suspect_after_s: float = 1.2
+    evict_after_s: float = 3.0
+    lease_s: float = 2.0
+    clock_margin_s: float = 0.2
+    proposal_timeout_s: float = 0.5
+
+
+class FileStopSettings(StopSettings, frozen=True, forbid_unknown_fields=True):
+    """A planned stop as a file may have it."""
+
+    idle_s: float = 3.0
+
+
+class RoutingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Replicas of flows, and the placement policy."""
+
+    partitions: int = 512
+    replicas: int = 3
+    policy: str = "bounded-load"
+    record_retry_s: float = 0.05
+    record_attempts: int = 6
+    lookup_timeout_s: float = 0.08
+    transfer_bytes_per_second: int = 64_000
+    maximum_flows: int = 400_000
+    maximum_hops: int = 4
+    search_timeout_s: float = 0.1
+
+
+class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Retries and kept answers."""
+
+    retry_ratio: float = 0.1
+    retry_burst: float = 50.0
+    answer_cache_bytes: int = 4_000_000
+    answer_cache_s: float = 10.0
+    datagram_lifetime_s: float = 2.0
+    retry_after_ms: int = 500
+
 
-UNREAD_SETTINGS: Mapping[FieldPath, frozenset[str]] = {
-    ("node",): frozenset({"stall_s"}),
-    ("node", "membership"): frozenset(
-        {
-            "cell",
-            "bootstrap",
-            "heartbeat_interval_s",
-            "suspect_after_s",
-            "evict_after_s",
-            "lease_s",
-            "clock_margin_s",
-            "proposal_timeout_s",
-        }
-    ),
-    ("node", "routing"): frozenset(
-        {
-            "partitions",
-            "replicas",
-            "policy",
-            "record_retry_s",
-            "record_attempts",
-            "lookup_timeout_s",
-            "transfer_bytes_per_second",
-            "maximum_flows",
-            "maximum_hops",
-            "search_timeout_s",
-        }
-    ),
-    ("node", "requests"): frozenset(
-        {
-            "retry_ratio",
-            "retry_burst",
-            "answer_cache_bytes",
-            "answer_cache_s",
-            "datagram_lifetime_s",
-            "retry_after_ms",
-        }
-    ),
-    ("node", "health"): frozenset(
-        {
-            "probe_interval_s",
-            "probe_timeout_s",
-            "probers_per_backend",
-            "estimate_half_life_s",
-            "eject_after_failures",
-            "eject_s",
-            "eject_maximum_s",
-            "minimum_available",
-            "slow_start_s",
-            "samples_per_heartbeat",
-        }
-    ),
-    ("node", "stop"): frozenset({"idle_s"}),
-}
-"""Names of the fields that nothing reads, by the path of their table in the settings file."""
-
-UNREAD_POLICIES = ("hash", "bounded-load", "two-choices", "hot-cold", "least-loaded")
-"""Names of placement policies that are accepted; whichever is given, `token` is what runs."""
-
-_POLICY_PATH: FieldPath = ("node", "routing", "policy")
+class HealthSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Probes of back ends and their ejection."""
+
+    probe_interval_s: float = 1.0
+    probe_timeout_s: float = 0.5
+    probers_per_backend: int = 2
+    estimate_half_life_s: float = 1.0
+    eject_after_failures: int = 5
+    eject_s: float = 5.0
+    eject_maximum_s: float = 60.0
+    minimum_available: float = 0.5
+    slow_start_s: float = 5.0
+    samples_per_heartbeat: int = 4
+
+
+class FileNodeSettings(NodeSettings, frozen=True, forbid_unknown_fields=True):
+    """The table `node` as a file may have it."""
+
+    membership: FileMembershipSettings = FileMembershipSettings()
+    stop: FileStopSettings = FileStopSettings()
+    routing: RoutingSettings = RoutingSettings()
+    requests: RequestSettings = RequestSettings()
+    health: HealthSettings = HealthSettings()
+    stall_s: float = 1.0
+
+
+class FileSettings(BalancerSettings, frozen=True, forbid_unknown_fields=True):
+    """All that a settings file may hold."""
+
+    node: FileNodeSettings = FileNodeSettings()
 
 
 def find_unread(document: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return the settings in a parsed file that have no effect, as `node.table.field`.
+    """Return the settings in a valid file that have no effect, as `node.table.field`.
 
     A placement policy is named with its value: `token` is what every balancer does and is not
     reported, the other names are.
 
-    :param document: the TOML document, which may be invalid.
+    :param document: the TOML document.
     """
-    return tuple(_find_unread(document))
-
-
-def _find_unread(document: Mapping[str, Any]) -> Iterator[str]:
-    for table_path, names in UNREAD_SETTINGS.items():
-        for name, value in _table_at(document, table_path).items():
-            path = (*table_path, name)
-            if path == _POLICY_PATH:
-                if value != TOKEN_POLICY:
-                    yield f'{format_path(path)} = "{value}"'
-            elif name in names:
-                yield format_path(path)
-
-
-def _table_at(document: Mapping[str, Any], path: FieldPath) -> Mapping[str, Any]:
-    """Return the table at a path; an empty one where the file has none."""
-    table: Any = document
-    for step in path:
-        table = table.get(step, {}) if isinstance(table, Mapping) else {}
-    return table if isinstance(table, Mapping) else {}
+    return tuple(_unread_below(document, FileSettings, BalancerSettings, ()))
+
+
+def _unread_below(table: Mapping[str, Any], accepted: Any, read: Any, path: FieldPath) -> Iterator[str]:
+    """Yield what a table gives of the fields of `accepted` that are none of `read`.
+
+    :param read: the struct of what is read of the table, None where nothing is.
+    """
+    read_types = _field_types(read) if read is not None else {}
+    for name, field_type in _field_types(accepted).items():
+        value = table.get(name)
+        if isinstance(value, Mapping):
+            yield from _unread_below(value, field_type, read_types.get(name), (*path, name))
+        elif name in table and name not in read_types:
+            yield from _named(value, (*path, name))
+
+
+def _field_types(struct: Any) -> dict[str, Any]:
+    return {field.name: field.type for field in msgspec.structs.fields(struct)}
+
+
+def _named(value: object, path: FieldPath) -> Iterator[str]:
+    if path != ("node", "routing", "policy"):
+        yield format_path(path)
+    elif value != TOKEN_POLICY:
+        yield f'{format_path(path)} = "{value}"'
 
 
 def unread_warning(names: tuple[str, ...]) -> str:
