--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -28,13 +28,8 @@
 from sloepond.core.configuration.sliced_work import SLICE_UNITS
 from sloepond.core.configuration.validation import findings_after
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
-from sloepond.resources.compiled import (
-    EMPTY_CONFIGURATION,
-    CompiledConfiguration,
-    make_snapshot,
-    resolve_locations,
-    resource_key,
-)
+from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
+from sloepond.resources.generations import make_snapshot, only_backends, resource_key, updated_content_slices
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
@@ -46,6 +41,7 @@
     Zone,
     ZoneSpec,
 )
+from sloepond.resources.places import resolve_locations
 from sloepond.resources.slices import BLOCK_ITEMS, finished
 from sloepond.resources.validation import validate_snapshot
 
@@ -123,6 +119,23 @@
         assert getattr(configuration, index) == getattr(other, index), index
 
 
+def after_change(base, generation, delta):
+    content = finished(updated_content_slices(base.content, generation, delta.changed, delta.removed))
+    return finished(base.updated_to_slices(content, delta.changed, delta.removed))
+
+
+def assert_shared(base, updated, delta):
+    """Back ends that a change leaves equal stay the same objects, unless all is compiled anew."""
+    declared = sum(isinstance(item, Backend) for item in base.content.resources)
+    is_indexed = declared == len(base.backends_by_name)
+    if not is_indexed and not only_backends(delta.changed, delta.removed):
+        return
+    changed = {item.metadata.name for item in delta.changed} | {key.name for key in delta.removed}
+    before, after = base.backends_by_name, updated.backends_by_name
+    for name in (before.keys() & after.keys()) - changed:
+        assert (before[name] is after[name]) == (before[name] == after[name]), name
+
+
 @then("for any two sets of resources the updated configuration equals the compiled one")
 def step_updated(context):
     @PROPERTY
@@ -131,17 +144,10 @@
         base = CompiledConfiguration(make_snapshot(1, before))
         expected = CompiledConfiguration(make_snapshot(2, after))
         delta = difference(base.snapshot.resources, expected.snapshot.resources)
-        updated = base.updated(2, delta.changed, delta.removed)
+        updated = after_change(base, 2, delta)
         assert_equal(updated, expected)
         assert_equal(base, CompiledConfiguration(make_snapshot(1, before)))
-        if updated.change is not None:
-            assert updated.change.base_generation == 1
-            before_names, after_names = base.backends_by_name, updated.backends_by_name
-            names = {*before_names, *after_names}
-            differ = {name for name in names if before_names.get(name) != after_names.get(name)}
-            assert differ <= set(updated.change.backends)
-            same = names - set(updated.change.backends)
-            assert all(before_names[name] is after_names[name] for name in same)
+        assert_shared(base, updated, delta)
 
     check()
 
@@ -157,7 +163,7 @@
         assert not {resource_key(item) for item in sent.changed} & set(sent.removed)
         base = CompiledConfiguration(make_snapshot(1, sets[0]))
         last = CompiledConfiguration(make_snapshot(len(sets), sets[-1]))
-        assert_equal(base.updated(len(sets), sent.changed, sent.removed), last)
+        assert_equal(after_change(base, len(sets), sent), last)
 
     check()
 
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -17,11 +17,13 @@
 from hypothesis import strategies as st
 
 from sloepond.resources.addresses import canonical_address
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
 from sloepond.resources.documents import parse_text
+from sloepond.resources.generations import make_snapshot
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import API_VERSION, Backend, BackendSpec, Hall, Metadata, Status
+from sloepond.resources.slices import finished
 from sloepond.resources.sorted_items import SortedItems
 from sloepond.resources.typed_rules import is_canonical_address, is_right_by_itself
 from sloepond.resources.validation import validate_snapshot, validate_values
@@ -373,7 +375,8 @@
             expected = {key: expected[key] for key in expected if key not in removed}
             expected |= dict.fromkeys(added, version)
             mapping = mapping.edited(removed, dict.fromkeys(added, version))
-            sequence = sequence.edited(removed, [(key, version) for key in reversed(added)])
+            items = [(key, version) for key in reversed(added)]
+            sequence = finished(sequence.edited_slices(removed, items))
             assert_same(*former)
             assert_same(expected, mapping, sequence)
 
--- a/features/steps/standins_checking_steps.py
+++ b/features/steps/standins_checking_steps.py
@@ -2,7 +2,8 @@
 from behave import given, then, when
 
 from sloepond.core.packets import FlowKey
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.generations import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
@@ -17,7 +18,7 @@
     Zone,
     ZoneSpec,
 )
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.balance import measure_balance
 from sloepond.standins.caller_plan import RequestPlan
 from sloepond.standins.caller_record import BreakReason, FlowRecord, FlowState, RequestOutcome, RequestRecord
--- a/sloepond/core/configuration/encoding.py
+++ b/sloepond/core/configuration/encoding.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sloepond.core.configuration.delta import ConfigurationDelta
-from sloepond.resources.compiled import ResourceKey
+from sloepond.resources.generations import ResourceKey
 from sloepond.resources.model import Resource
 from sloepond.resources.slices import Slices, blocks, finished
 
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -13,17 +13,10 @@
 import msgspec
 
 from sloepond.core.configuration.delta import ConfigurationDelta
-from sloepond.resources.compiled import (
-    CompiledBackend,
-    CompiledConfiguration,
-    ResourceKey,
-    find_resource,
-    is_place_permitted,
-    only_backends,
-    resolve_locations,
-    without_backends,
-)
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledBackend
 from sloepond.resources.findings import Finding
+from sloepond.resources.generations import ResourceKey, find_resource, only_backends, without_backends
 from sloepond.resources.model import (
     Backend,
     BackendSpec,
@@ -34,6 +27,7 @@
     Service,
     ServiceSpec,
 )
+from sloepond.resources.places import is_place_permitted, resolve_locations
 from sloepond.resources.slices import Slices, blocks, finished
 from sloepond.resources.typed_rules import is_right_by_itself
 from sloepond.resources.validation import validate_snapshot
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -14,7 +14,7 @@
 from sloepond.core.packets import FlowKey
 from sloepond.lab.checkers.violations import Promise, ViolationLog
 from sloepond.lab.reach import Reach
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.caller_record import BreakReason, FlowRecord
 
 REPLY_MARGIN_S = 3.0
--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -9,7 +9,7 @@
 
 from sloepond.core.packets import CallerReply, FlowKey
 from sloepond.lab.checkers.violations import Promise, ViolationLog
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.caller_record import FlowRecord, RequestOutcome, RequestRecord
 from sloepond.standins.content import decode_answer
 
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -1,26 +1,31 @@
-"""A configuration snapshot, indexed for the data path.
+"""The configuration of one generation, compiled into indexes.
 
-`CompiledConfiguration` answers, without any parsing, which back ends a service
-has, and which of them its place rules permit.  `is_place_permitted` is the one
-place filter of the system; every path that picks a back end goes through it.
+`CompiledConfiguration` answers, without any parsing, which back ends a service has and which
+of them may be given new flows.  It owns the indexes of one generation and is never changed:
+an update gives another one that shares what stays.  Relies on `resources.generations` for the
+resources and on `resources.index_update` for a change that concerns few of them.
 """
 
 from __future__ import annotations
 
-import bisect
 from collections.abc import Mapping, Sequence
 
-import msgspec
-
 from sloepond.resources.compiled_items import (
     CompiledBackend,
     CompiledService,
     compile_backend,
     compile_service,
-    is_place_permitted,
 )
-from sloepond.resources.digest import digest_of, updated_digest_slices
-from sloepond.resources.index_update import IndexUpdate, RemovedNames
+from sloepond.resources.generations import (
+    GenerationContent,
+    ResourceKey,
+    backend_count,
+    content_of,
+    make_snapshot,
+    only_backends,
+    without_backends,
+)
+from sloepond.resources.index_update import IndexUpdate, removed_names
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.model import (
     Backend,
@@ -32,47 +37,15 @@
     Resource,
     Service,
     Zone,
-    ZoneState,
 )
+from sloepond.resources.places import resolve_locations
 from sloepond.resources.slices import Slices, blocks, finished
-from sloepond.resources.sorted_items import SortedItems
 
 INCREMENTAL_LIMIT = 1_000
 """Changed resources above which a configuration is compiled from the start."""
 INDEXED_PER_UNIT = 2
 """Back ends put into the indexes for about the cost of compiling one."""
 _PLACE_KINDS = frozenset((Kind.REGION.value, Kind.ZONE.value, Kind.HALL.value))
-_BACKEND_KIND = Kind.BACKEND.value
-
-
-class ResourceKey(msgspec.Struct, frozen=True, array_like=True, order=True, gc=False):
-    """Identity of a resource; keys sort by kind, then name."""
-
-    kind: str
-    name: str
-
-
-_AFTER_BACKENDS = ResourceKey(_BACKEND_KIND + "\0", "")
-"""Sorts after every back end and before all other kinds."""
-
-
-class GenerationContent(msgspec.Struct, frozen=True):
-    """All resources of one generation, in a form that is cheap to change."""
-
-    generation: int
-    digest: str
-    resources: SortedItems[Resource]
-
-
-class ConfigurationChange(msgspec.Struct, frozen=True):
-    """Which back ends differ from an earlier generation.
-
-    :ivar base_generation: the earlier generation.
-    :ivar backends: names of back ends added, changed or removed.
-    """
-
-    base_generation: int
-    backends: tuple[str, ...]
 
 
 class CompiledConfiguration:
@@ -80,8 +53,6 @@
 
     :ivar content: all resources.
     :ivar generation: 0 where nothing is in force yet.
-    :ivar change: what differs from the generation it was updated from; None
-        where it was compiled from the start.
     :ivar services_by_address: virtual address `ip:port` -> service.
     :ivar backends_by_name: name -> back end, of all services.
     :ivar backends_by_address: data address `ip:port` -> back end.
@@ -91,7 +62,6 @@
         "_locations",
         "backends_by_address",
         "backends_by_name",
-        "change",
         "content",
         "digest",
         "generation",
@@ -115,7 +85,6 @@
         self.content = content
         self.generation = content.generation
         self.digest = content.digest
-        self.change: ConfigurationChange | None = None
 
     @property
     def snapshot(self) -> ConfigurationSnapshot:
@@ -154,30 +123,14 @@
                 by_name.update((backend.name, backend) for backend in block)
                 by_address.update((backend.address, backend) for backend in block)
                 yield len(block) // INDEXED_PER_UNIT
-        self.backends_by_name: Mapping[str, CompiledBackend] = LayeredMapping(by_name)
-        self.backends_by_address: Mapping[str, CompiledBackend] = LayeredMapping(by_address)
+        self.backends_by_name: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_name)
+        self.backends_by_address: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_address)
 
     @property
     def locations(self) -> Mapping[str, Location]:
         """Return the location of each hall that has one, by its name."""
         return self._locations
 
-    def updated(
-        self, generation: int, changed: Sequence[Resource], removed: Sequence[ResourceKey]
-    ) -> CompiledConfiguration:
-        """Return the configuration after a change, without touching this one.
-
-        A change of a few back ends costs no encoding, hashing or compiling of
-        the others; any other change compiles all from the start.
-
-        :param generation: number of the new generation.
-        :param changed: resources that are new or differ; at most one of a key.
-        :param removed: keys of resources that are gone; unknown ones are ignored.
-        :raises KeyError: if a back end names a hall that is not declared.
-        """
-        content = finished(updated_content_slices(self.content, generation, changed, removed))
-        return finished(self.updated_to_slices(content, changed, removed))
-
     def updated_to_slices(
         self,
         content: GenerationContent,
@@ -215,143 +168,19 @@
     def _take_update(self, base: CompiledConfiguration, update: IndexUpdate) -> Slices[None]:
         self.services_by_name = update.services
         self.services_by_address = {item.address: item for item in update.services.values()}
-        self.change = ConfigurationChange(base.generation, tuple(update.names))
         if len(update.gone) + len(update.present) > INCREMENTAL_LIMIT:
             yield from self._index_backends(list(update.services.values()))
             return
-        self.backends_by_name = _edited(
-            base.backends_by_name,
+        self.backends_by_name = base.backends_by_name.edited(
             [backend.name for backend in update.gone],
             {backend.name: backend for backend in update.present},
         )
-        self.backends_by_address = _edited(
-            base.backends_by_address,
+        self.backends_by_address = base.backends_by_address.edited(
             [backend.address for backend in update.gone],
             {backend.address: backend for backend in update.present},
         )
         yield len(update.gone) + len(update.present)
 
 
-def _edited(
-    index: Mapping[str, CompiledBackend], removed: Sequence[str], added: dict[str, CompiledBackend]
-) -> Mapping[str, CompiledBackend]:
-    layered = index if isinstance(index, LayeredMapping) else LayeredMapping(dict(index))
-    return layered.edited(removed, added)
-
-
-def only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
-    """Return whether a change concerns back ends alone."""
-    return all(isinstance(resource, Backend) for resource in changed) and all(
-        key.kind == _BACKEND_KIND for key in removed
-    )
-
-
-def backend_count(resources: Sequence[Resource]) -> int:
-    """Return how many back ends are among resources sorted by key; these come first."""
-    return bisect.bisect_left(resources, _AFTER_BACKENDS, key=resource_key)
-
-
-def without_backends(resources: Sequence[Resource]) -> tuple[Resource, ...]:
-    """Return all other kinds among resources sorted by key."""
-    return tuple(resources[backend_count(resources) :])
-
-
-def removed_names(removed: Sequence[ResourceKey]) -> RemovedNames:
-    """Return the names of back ends and services among removed keys."""
-    return RemovedNames(
-        backends=tuple(key.name for key in removed if key.kind == _BACKEND_KIND),
-        services=tuple(key.name for key in removed if key.kind == Kind.SERVICE.value),
-    )
-
-
-def resolve_locations(resources: tuple[Resource, ...]) -> dict[str, Location]:
-    """Return the location of each hall by its name.
-
-    Halls whose zone is not declared are left out; validation reports them.
-    """
-    zones = {resource.metadata.name: resource.spec for resource in resources if isinstance(resource, Zone)}
-    locations: dict[str, Location] = {}
-    for resource in resources:
-        if not isinstance(resource, Hall):
-            continue
-        zone = zones.get(resource.spec.zone)
-        if zone is not None:
-            name = resource.metadata.name
-            is_evacuated = zone.state is ZoneState.EVACUATED
-            locations[name] = Location(zone.region, resource.spec.zone, name, is_evacuated)
-    return locations
-
-
-def resource_key(resource: Resource) -> ResourceKey:
-    """Return the identity of a resource, which is its sort key as well."""
-    return ResourceKey(type(resource).__name__, resource.metadata.name)
-
-
-def make_snapshot(generation: int, resources: Sequence[Resource]) -> ConfigurationSnapshot:
-    """Return a snapshot of `resources`, sorted, with its digest.
-
-    :param generation: number of the generation, 1 or more.
-    """
-    ordered = tuple(sorted(resources, key=resource_key))
-    return ConfigurationSnapshot(generation=generation, digest=digest_of(ordered), resources=ordered)
-
-
-def content_of(snapshot: ConfigurationSnapshot) -> GenerationContent:
-    """Return a snapshot, whose resources are sorted, in a form that is cheap to change."""
-    resources: SortedItems[Resource] = SortedItems(snapshot.resources, resource_key)
-    return GenerationContent(snapshot.generation, snapshot.digest, resources)
-
-
-def updated_content_slices(
-    base: GenerationContent,
-    generation: int,
-    changed: Sequence[Resource],
-    removed: Sequence[ResourceKey],
-) -> Slices[GenerationContent]:
-    """Return the resources after a change, in slices; only what changed is hashed.
-
-    :param changed: resources that are new or differ; at most one of a key.
-    :param removed: keys of resources that are gone; unknown ones are ignored.
-    """
-    former: list[Resource] = []
-    if base.resources:
-        for block in blocks(dict.fromkeys((*removed, *map(resource_key, changed)))):
-            found = (find_resource(base.resources, key) for key in block)
-            former.extend(resource for resource in found if resource is not None)
-            yield len(block)
-    digest = yield from updated_digest_slices(base.digest, added=changed, removed=former)
-    resources = yield from base.resources.edited_slices(removed, changed)
-    return GenerationContent(generation, digest, resources)
-
-
-def find_resource(resources: Sequence[Resource], key: ResourceKey) -> Resource | None:
-    """Return the resource of a key among resources sorted by key, None if there is none."""
-    position = bisect.bisect_left(resources, key, key=resource_key)
-    if position < len(resources) and resource_key(resources[position]) == key:
-        return resources[position]
-    return None
-
-
 EMPTY_CONFIGURATION = CompiledConfiguration(make_snapshot(0, []))
 """What is in force before any generation has been read."""
-
-__all__ = [
-    "EMPTY_CONFIGURATION",
-    "CompiledBackend",
-    "CompiledConfiguration",
-    "CompiledService",
-    "ConfigurationChange",
-    "GenerationContent",
-    "Kind",
-    "ResourceKey",
-    "backend_count",
-    "content_of",
-    "find_resource",
-    "is_place_permitted",
-    "make_snapshot",
-    "only_backends",
-    "resolve_locations",
-    "resource_key",
-    "updated_content_slices",
-    "without_backends",
-]
--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -1,14 +1,15 @@
 """The parts of a compiled configuration: services and back ends with their places.
 
-`is_place_permitted` is the one place filter of the system; every path that picks
-a back end goes through it.
+Holds no state.  Relies on `resources.places` for where a back end stands and whether its
+service may use it there.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from sloepond.resources.model import Backend, BackendState, Location, ServiceLimits, ServiceSpec
+from sloepond.resources.model import Backend, BackendState, Location, ServiceSpec
+from sloepond.resources.places import is_place_permitted
 
 
 class CompiledBackend(msgspec.Struct, frozen=True, gc=False):
@@ -19,7 +20,6 @@
     address: str
     location: Location
     slots: int
-    connections: int
     weight: int
     state: BackendState
     permitted: bool
@@ -38,7 +38,6 @@
     name: str
     address: str
     spec: ServiceSpec
-    limits: ServiceLimits
     backends: tuple[CompiledBackend, ...]
     placeable: tuple[CompiledBackend, ...]
     """Back ends that may take new flows: permitted, active, weight above 0."""
@@ -58,20 +57,12 @@
         address=backend.spec.address,
         location=location,
         slots=backend.spec.slots,
-        connections=backend.spec.connections,
         weight=backend.spec.weight,
         state=backend.spec.state,
         permitted=is_place_permitted(service, location),
     )
 
 
-def is_place_permitted(service: ServiceSpec, location: Location) -> bool:
-    """Return whether traffic of `service` may go to `location`; denied wins."""
-    if any(selector.matches(location) for selector in service.denied):
-        return False
-    return any(selector.matches(location) for selector in service.permitted)
-
-
 def relocated_backend(
     service: ServiceSpec, backend: CompiledBackend, locations: dict[str, Location]
 ) -> CompiledBackend:
@@ -97,4 +88,4 @@
     :param backends: sorted by name.
     :param placeable: those that take new flows, sorted by name.
     """
-    return CompiledService(name, spec.address, spec, spec.limits, backends, placeable)
+    return CompiledService(name, spec.address, spec, backends, placeable)
--- a/sloepond/resources/digest.py
+++ b/sloepond/resources/digest.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from sloepond.resources.model import Resource
-from sloepond.resources.slices import Slices, blocks, finished
+from sloepond.resources.slices import Slices, blocks
 
 DIGEST_BYTES = 16
 _MODULUS = 2 ** (8 * DIGEST_BYTES)
@@ -33,18 +33,13 @@
     return _digest_text(sum(map(resource_hash, resources)))
 
 
-def updated_digest(digest: str, added: Iterable[Resource], removed: Iterable[Resource]) -> str:
-    """Return the digest after taking resources off and adding others.
+def updated_digest_slices(digest: str, added: Iterable[Resource], removed: Iterable[Resource]) -> Slices[str]:
+    """Return the digest after taking resources off and adding others, in slices.
 
     :param digest: digest of the set before, as `digest_of` gave it.
     :param added: resources as they are now.
     :param removed: the same or other resources as they were before.
     """
-    return finished(updated_digest_slices(digest, added, removed))
-
-
-def updated_digest_slices(digest: str, added: Iterable[Resource], removed: Iterable[Resource]) -> Slices[str]:
-    """Do the work of `updated_digest` in slices."""
     total = int(digest, 16)
     for block in blocks(added):
         total += sum(map(resource_hash, block))
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -1,4 +1,8 @@
-"""Changes of a few resources applied to the indexes of a configuration."""
+"""Changes of a few resources applied to the indexes of a configuration.
+
+Owns the new services while a change is worked out; the indexes it starts from stay as they
+are.  Relies on `resources.compiled_items` to compile what changed.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,8 @@
     compile_service,
     relocated_backend,
 )
-from sloepond.resources.model import Backend, Location, Resource, Service, ServiceSpec
+from sloepond.resources.generations import ResourceKey
+from sloepond.resources.model import Backend, Kind, Location, Resource, Service, ServiceSpec
 from sloepond.resources.ordered import edited
 from sloepond.resources.slices import Slices, blocks
 
@@ -30,6 +35,14 @@
     services: tuple[str, ...]
 
 
+def removed_names(removed: Sequence[ResourceKey]) -> RemovedNames:
+    """Return the names of back ends and services among removed keys."""
+    return RemovedNames(
+        backends=tuple(key.name for key in removed if key.kind == Kind.BACKEND.value),
+        services=tuple(key.name for key in removed if key.kind == Kind.SERVICE.value),
+    )
+
+
 class IndexUpdate:
     """The services after a change, and the back ends that differ.
 
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -5,7 +5,6 @@
 from collections.abc import Iterator, Sequence
 
 from sloepond.resources.addresses import AddressFailure, canonical_address
-from sloepond.resources.compiled import is_place_permitted, resolve_locations
 from sloepond.resources.declarations import NAME_PATH, Declaration
 from sloepond.resources.field_rules import ADDRESS_PATH, ADDRESSED_KINDS
 from sloepond.resources.findings import FieldPath, Finding, show_value
@@ -17,6 +16,7 @@
     Resource,
     Service,
 )
+from sloepond.resources.places import is_place_permitted, resolve_locations
 
 SERVICE_PATH: FieldPath = ("spec", "service")
 ZONE_REGION_PATH: FieldPath = ("spec", "region")
--- a/sloepond/resources/sorted_items.py
+++ b/sloepond/resources/sorted_items.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, TypeVar, overload
 
-from sloepond.resources.slices import Slices, blocks, finished
+from sloepond.resources.slices import Slices, blocks
 
 Item = TypeVar("Item")
 
@@ -83,16 +83,12 @@
 
     __hash__ = None  # type: ignore[assignment]
 
-    def edited(self, removed: Iterable[Any], added: Sequence[Item]) -> SortedItems[Item]:
-        """Return a copy without the items of some keys and with others put in.
+    def edited_slices(self, removed: Iterable[Any], added: Sequence[Item]) -> Slices[SortedItems[Item]]:
+        """Return a copy without the items of some keys and with others put in, in slices.
 
         :param removed: keys to take out; unknown ones are ignored.
         :param added: items to put in, in any order; an item of the same key is replaced.
         """
-        return finished(self.edited_slices(removed, added))
-
-    def edited_slices(self, removed: Iterable[Any], added: Sequence[Item]) -> Slices[SortedItems[Item]]:
-        """Do the work of `edited` in slices."""
         if not self._chunks and (yield from self._are_sorted(added)):
             return SortedItems(added, self._key_of)
         edits: dict[int, dict[Any, Item | None]] = {}
--- a/sloepond/standins/backend.py
+++ b/sloepond/standins/backend.py
@@ -17,7 +17,8 @@
 from sloepond.runtime.addresses import SocketAddress, format_address, parse_address
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.datagram_socket import DatagramSocket
-from sloepond.standins.backend_model import BackendCounters, BackendModel, BackendOutput, Execution
+from sloepond.standins.backend_model import BackendModel
+from sloepond.standins.backend_record import BackendCounters, BackendOutput, Execution
 from sloepond.standins.http import (
     STATUS_BAD_REQUEST,
     STATUS_NOT_FOUND,
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from sloepond.resources.compiled import CompiledConfiguration, CompiledService
-from sloepond.standins.backend_model import Execution
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledService
+from sloepond.standins.backend_record import Execution
 
 
 class ServiceBalance(msgspec.Struct, frozen=True):
--- a/sloepond/standins/checking.py
+++ b/sloepond/standins/checking.py
@@ -14,7 +14,7 @@
 
 from sloepond.core.packets import FlowKey
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.caller_record import FlowRecord, FlowState, RequestOutcome, RequestRecord
 from sloepond.standins.caller_report import count_outcomes
 
--- a/sloepond/standins/platform.py
+++ b/sloepond/standins/platform.py
@@ -17,8 +17,8 @@
 from starlette.routing import Route
 
 from sloepond.core.messages import Member
-from sloepond.resources.compiled import make_snapshot
 from sloepond.resources.findings import Finding
+from sloepond.resources.generations import make_snapshot
 from sloepond.resources.model import ConfigurationSnapshot, Resource
 from sloepond.resources.validation import validate_values
 from sloepond.standins.http import (
