--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -1,7 +1,9 @@
 """A back end without I/O: packets and time in, replies out.
 
-The model runs every request it accepts and does not compare requests with each
-other, so a request handed over twice is executed twice and `executions` shows it.
+Owns the flows it holds, the requests that wait or run, and the list of all it has run.  Without
+`ordered_flows` it does not compare requests with each other, so a request that comes twice is
+run twice and `executions` shows it.  Whoever runs it gives the time and moves the packets; all
+random choices come from the given source.
 """
 
 from __future__ import annotations
@@ -12,6 +14,7 @@
 
 import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import (
     BackendPacket,
     BackendReply,
@@ -21,22 +24,14 @@
     LoadReport,
 )
 from sloepond.standins.backend_record import BackendCounters, BackendOutput, Execution
+from sloepond.standins.backend_replies import answer_parts, pushed_item
 from sloepond.standins.backend_settings import BackendSettings
-from sloepond.standins.content import (
-    FEED_PAYLOAD,
-    AnswerContent,
-    BackendIdentity,
-    PushContent,
-    answer_body,
-    encode_content,
-)
+from sloepond.standins.content import FEED_PAYLOAD, BackendIdentity, encode_content
 from sloepond.standins.feed_schedule import FeedSchedule
 
-_NEVER = float("inf")
-
 
 class _HeldFlow(msgspec.Struct):
-    """A flow, the address and token it was last heard with and the requests it started.
+    """A flow, the address and token of its last packet and the requests it started.
 
     :ivar accepted: requests taken, and their answers once there are any.
     """
@@ -78,7 +73,7 @@
         self._feeds = FeedSchedule()
         self._started_at: float | None = None
         self._load = LoadReport(0, 0)
-        self._load_sampled_at = -_NEVER
+        self._load_sampled_at = -NEVER
 
     @property
     def flows(self) -> int:
@@ -96,7 +91,7 @@
 
     def next_deadline(self) -> float:
         """Return when `on_time` is next needed, infinity if never."""
-        finish = self._running[0][0] if self._running else _NEVER
+        finish = self._running[0][0] if self._running else NEVER
         return min(finish, self._feeds.next_deadline())
 
     def on_time(self, now: float) -> list[BackendOutput]:
@@ -169,7 +164,7 @@
             self._keep_answer(outputs[-1].reply)
             return
         held.accepted[packet.request_id] = []
-        deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else _NEVER
+        deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else NEVER
         self._waiting.append(_WaitingRequest(packet, source, deadline))
         self._start_waiting(now, outputs)
 
@@ -216,24 +211,8 @@
         self, request: _WaitingRequest, number: int, now: float, outputs: list[BackendOutput]
     ) -> None:
         packet = request.packet
-        body = answer_body(packet.flow, packet.request_id, number, packet.payload)
-        content = AnswerContent(self.identity, packet.flow, packet.request_id, number, body)
-        encoded = encode_content(content)
-        size = self.settings.part_bytes
-        pieces = [encoded[start : start + size] for start in range(0, len(encoded), size)]
         load = self._load_report(now)
-        for part, piece in enumerate(pieces):
-            reply = BackendReply(
-                kind=BackendReplyKind.ANSWER,
-                flow=packet.flow,
-                request_id=packet.request_id,
-                attempt=packet.attempt,
-                part=part,
-                parts=len(pieces),
-                payload=piece,
-                load=load,
-                token=packet.token,
-            )
+        for reply in answer_parts(self.identity, packet, number, self.settings.part_bytes, load):
             outputs.append(BackendOutput(request.source, reply))
             self._keep_answer(reply)
         if packet.payload == FEED_PAYLOAD and packet.flow in self._flows:
@@ -247,16 +226,9 @@
     def _push_due(self, now: float, outputs: list[BackendOutput]) -> None:
         for item in self._feeds.take_due(now, self.settings.push_interval_s):
             self.counters.pushes += 1
-            content = PushContent(self.identity, item.flow, item.sequence)
-            reply = BackendReply(
-                kind=BackendReplyKind.PUSH,
-                flow=item.flow,
-                request_id=item.request_id,
-                payload=encode_content(content),
-                load=self._load_report(now),
-                token=self._flows[item.flow].token,
-            )
-            outputs.append(BackendOutput(self._flows[item.flow].address, reply))
+            held = self._flows[item.flow]
+            reply = pushed_item(self.identity, item, held.token, self._load_report(now))
+            outputs.append(BackendOutput(held.address, reply))
 
     def _cancel(self, packet: BackendPacket, source: str, now: float, outputs: list[BackendOutput]) -> None:
         kept = [item for item in self._waiting if not _is_same_request(item.packet, packet)]
--- a/sloepond/standins/caller_model.py
+++ b/sloepond/standins/caller_model.py
@@ -1,9 +1,9 @@
 """One flow of a caller without I/O: replies and time in, packets out.
 
-The caller opens its flow, sends the requests of its plan, retransmits, joins
-the parts of answers and checks each one.  What it was told and what it found
-wrong is recorded in `CallerFlow.record` for a checker to compare with the
-executions of the back ends.
+The caller opens its flow, sends the requests of its plan, checks each answer and notices when
+the flow breaks.  `CallerFlow` owns the record of all this, which a checker compares with the
+executions of the back ends.  It relies on `CallerRequests` for what is sent and sent again, and
+on `Liveness` for silence; whoever runs it gives the time and moves the packets.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from collections.abc import Callable
 from typing import ClassVar
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import (
     CallerPacket,
     CallerPacketKind,
     CallerReply,
     CallerReplyKind,
     FlowKey,
-    Reason,
 )
-from sloepond.standins.caller_plan import CallerSettings, FlowPlan, RequestPlan
+from sloepond.standins.caller_plan import CallerSettings, FlowPlan
 from sloepond.standins.caller_record import (
     BreakReason,
     FlowRecord,
     FlowState,
     RequestOutcome,
-    RequestRecord,
 )
+from sloepond.standins.caller_requests import CallerRequests
 from sloepond.standins.content import (
     FEED_PAYLOAD,
     BackendIdentity,
@@ -38,9 +38,6 @@
 from sloepond.standins.liveness import Liveness
 from sloepond.standins.pending_request import PendingRequest, Retransmission, first_transmission
 
-_NEVER = float("inf")
-
-
 _FINISHED_STATES = frozenset({FlowState.CLOSED, FlowState.REFUSED, FlowState.UNOPENED, FlowState.BROKEN})
 
 
@@ -54,14 +51,10 @@
         """Prepare a flow to `service`, the name its back ends must give."""
         self.record = FlowRecord(flow=flow, service=service)
         self._flow = flow
-        self._plan = plan
         self._settings = settings
-        self._opening = Retransmission(_NEVER, settings.retransmit_s, _NEVER)
+        self._opening = Retransmission(NEVER, settings.retransmit_s, NEVER)
         self._liveness = Liveness(settings)
-        self._pending: dict[int, PendingRequest] = {}
-        self._next_plan = 0
-        self._next_request_at = _NEVER
-        self._close_at = _NEVER
+        self._requests = CallerRequests(plan, settings, self.record)
         self._token = 0
 
     @property
@@ -86,13 +79,10 @@
     def next_deadline(self) -> float:
         """Return when `on_time` is next needed, infinity if never."""
         if self.is_finished:
-            return _NEVER
+            return NEVER
         if self.record.state is FlowState.OPENING:
             return min(self._opening.due, self._opening.give_up_at)
-        deadlines = [pending.next_deadline() for pending in self._pending.values()]
-        if self._may_send():
-            deadlines.append(self._next_request_at)
-        return min(self._close_at, self._liveness.next_deadline(), *deadlines)
+        return min(self._requests.next_deadline(), self._liveness.next_deadline())
 
     def on_time(self, now: float) -> list[CallerPacket]:
         """Do all that is due: retransmit, give up, send, keep alive, close."""
@@ -101,20 +91,19 @@
         if self.record.state is FlowState.OPENING:
             return self._on_time_opening(now)
         self._check_liveness(now)
-        packets: list[CallerPacket] = []
-        for request_id in list(self._pending):
-            self._on_time_request(request_id, now, packets)
-        return packets + self._on_time_established(now)
+        due = self._requests.on_time(now, self._token)
+        if due.went_silent:
+            self._break(BreakReason.SILENT, now)
+        return due.packets + self._on_time_established(now)
 
     def _on_time_established(self, now: float) -> list[CallerPacket]:
         if self.is_finished:
             return []
-        packets: list[CallerPacket] = []
-        self._send_due(now, packets)
+        packets = self._requests.send_due(now, self._token)
         if self._liveness.is_keepalive_due(now):
             self._liveness.keepalive_sent(now)
             packets.append(CallerPacket(kind=CallerPacketKind.KEEPALIVE, flow=self._flow, token=self._token))
-        if now >= self._close_at and not self._pending:
+        if self._requests.are_over(now):
             packets += self.close(now)
         return packets
 
@@ -156,67 +145,12 @@
         self._token = reply.token
         self.record.opened_at = now
         self._liveness.flow_established(now)
-        self._schedule_next(now)
+        self._requests.schedule_next(now)
 
     # Requests
 
-    def _may_send(self) -> bool:
-        return self._next_plan < len(self._plan.requests) and len(self._pending) < self._settings.window
-
-    def _schedule_next(self, now: float) -> None:
-        if self._next_plan < len(self._plan.requests):
-            self._next_request_at = now + self._plan.requests[self._next_plan].pause_s
-        elif not self._pending:
-            self._next_request_at = _NEVER
-            self._close_at = now + self._plan.hold_s
-
-    def _send_due(self, now: float, packets: list[CallerPacket]) -> None:
-        while self._may_send() and now >= self._next_request_at:
-            plan = self._plan.requests[self._next_plan]
-            self._next_plan += 1
-            packets.append(self._send_request(plan, now))
-            self._schedule_next(now)
-
-    def _send_request(self, plan: RequestPlan, now: float) -> CallerPacket:
-        record = RequestRecord(request_id=len(self.record.requests) + 1, plan=plan, started_at=now)
-        self.record.requests.append(record)
-        cancel_at = _NEVER if plan.cancel_after_s is None else now + plan.cancel_after_s
-        pending = PendingRequest(record, first_transmission(now, self._settings), cancel_at)
-        self._pending[record.request_id] = pending
-        return pending.packet(self._flow, now, self._token)
-
-    def _on_time_request(self, request_id: int, now: float, packets: list[CallerPacket]) -> None:
-        pending = self._pending.get(request_id)
-        if pending is None:
-            return
-        if now >= pending.timing.give_up_at:
-            self._give_up(pending, now)
-            return
-        if now >= pending.cancel_at:
-            pending.cancel(now)
-        if now >= pending.timing.due:
-            pending.timing.next_attempt(now, self._settings)
-            pending.record.attempts += 1
-            packets.append(pending.packet(self._flow, now, self._token))
-
-    def _give_up(self, pending: PendingRequest, now: float) -> None:
-        if pending.record.reason is not Reason.NONE:
-            self._end_request(pending, RequestOutcome.UNKNOWN, now)
-        elif pending.cancelled:
-            self._end_request(pending, RequestOutcome.ABANDONED, now)
-        else:
-            self._end_request(pending, RequestOutcome.SILENT, now)
-            self._break(BreakReason.SILENT, now)
-
-    def _end_request(self, pending: PendingRequest, outcome: RequestOutcome, now: float) -> None:
-        record = pending.record
-        record.outcome = outcome
-        record.ended_at = now
-        self._pending.pop(record.request_id, None)
-        self._schedule_next(now)
-
     def _handle_answer(self, reply: CallerReply, now: float) -> None:
-        pending = self._pending.get(reply.request_id)
+        pending = self._requests.pending(reply.request_id)
         joined = pending.add_part(reply) if pending else None
         if pending is not None and joined is not None:
             self._check_answer(pending, joined, now)
@@ -225,12 +159,12 @@
         record = pending.record
         content = decode_answer(joined)
         if content is None or not is_own_answer(content, self._flow, record.request_id, record.plan.payload):
-            self._end_request(pending, RequestOutcome.WRONG, now)
+            self._requests.end(pending, RequestOutcome.WRONG, now)
             return
         record.execution = content.execution
         if record.plan.payload == FEED_PAYLOAD:
             self._liveness.feed_subscribed(now)
-        self._end_request(pending, RequestOutcome.ANSWERED, now)
+        self._requests.end(pending, RequestOutcome.ANSWERED, now)
         self._note_backend(content.backend, now)
 
     def _handle_refused(self, reply: CallerReply, now: float) -> None:
@@ -238,18 +172,18 @@
             self.record.reason = reply.reason
             self._finish(FlowState.REFUSED, now)
             return
-        pending = self._pending.get(reply.request_id)
+        pending = self._requests.pending(reply.request_id)
         if pending is not None:
             pending.record.reason = reply.reason
-            self._end_request(pending, RequestOutcome.REFUSED, now)
+            self._requests.end(pending, RequestOutcome.REFUSED, now)
 
     def _handle_unknown(self, reply: CallerReply, now: float) -> None:
-        pending = self._pending.get(reply.request_id)
+        pending = self._requests.pending(reply.request_id)
         if pending is None:
             return
         pending.record.reason = reply.reason
         if reply.retry_after_ms == 0:
-            self._end_request(pending, RequestOutcome.UNKNOWN, now)
+            self._requests.end(pending, RequestOutcome.UNKNOWN, now)
             return
         pending.timing.due = now + reply.retry_after_ms / 1000
 
@@ -313,10 +247,7 @@
 
     def _finish(self, state: FlowState, now: float) -> None:
         self.record.state = state
-        for pending in self._pending.values():
-            pending.record.outcome = RequestOutcome.ABANDONED
-            pending.record.ended_at = now
-        self._pending.clear()
+        self._requests.abandon(now)
 
     _HANDLERS: ClassVar[dict[CallerReplyKind, Callable[[CallerFlow, CallerReply, float], None]]] = {
         CallerReplyKind.OPENED: _handle_opened,
--- a/sloepond/standins/caller_plan.py
+++ b/sloepond/standins/caller_plan.py
@@ -1,4 +1,4 @@
-"""What a stand-in caller is to do and how long it waits."""
+"""What a stand-in caller does and how long it waits: plain values, drawn by whoever starts it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,6 @@
     :ivar keepalive_s: time between keepalives of a flow.
     :ivar feed_keepalive_s: the same for a flow with a feed.
     :ivar feed_patience_s: silence of a feed after which the flow is broken.
-    :ivar window: requests of one flow in progress at the same time.
     """
 
     retransmit_s: float = 0.4
@@ -25,7 +24,6 @@
     keepalive_s: float = 5.0
     feed_keepalive_s: float = 1.0
     feed_patience_s: float = 8.0
-    window: int = 1
 
 
 class RequestPlan(msgspec.Struct, frozen=True):
--- a/sloepond/standins/fabric.py
+++ b/sloepond/standins/fabric.py
@@ -16,6 +16,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
+from sloepond.core.deadlines import NEVER
 from sloepond.runtime.addresses import format_address, parse_address
 from sloepond.runtime.datagram_socket import DatagramSocket
 from sloepond.standins.fabric_model import Balancer, Delivery, FabricModel
@@ -84,7 +85,7 @@
 
     async def _move_datagrams(self, bound: DatagramSocket) -> None:
         while True:
-            deadline = self._held[0][0] if self._held else float("inf")
+            deadline = self._held[0][0] if self._held else NEVER
             with trio.move_on_at(deadline):
                 await bound.wait_readable()
             for datagram, _ in bound.receive_batch():
