--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -8,9 +8,9 @@
 
 from sloepond.core.packets import FlowKey
 from sloepond.demo import fleet as fleets
+from sloepond.demo.operators import CommandResult
 from sloepond.demo.probes import racing_operators
 from sloepond.demo.probes.generation_watch import GenerationWatch, ProcessKey
-from sloepond.demo.probes.operators import CommandResult
 from sloepond.demo.probes.outcome import check_evidence
 from sloepond.demo.probes.running import ProbeName, ProbeSettings
 from sloepond.demo.running import run_probe
--- a/sloepond/demo/__main__.py
+++ b/sloepond/demo/__main__.py
@@ -57,27 +57,12 @@
     :param seed: seed of the workload and of the fabric.
     :param scenario: failure to show.
     """
+    workload = WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s)
+    faults = FabricSettings(loss=loss, duplication=duplication, reordering=reordering)
     if scenario is not None:
-        probe = ProbeSettings(
-            scenario,
-            example,
-            WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s),
-            FabricSettings(loss=loss, duplication=duplication, reordering=reordering),
-            seed,
-        )
+        probe = ProbeSettings(scenario, example, workload, faults, seed)
         return trio.run(_run_interruptible, functools.partial(_run_probe, probe), Console())
-    settings = DemoSettings(
-        example=example,
-        drained=drained,
-        flows=flows,
-        opening_s=opening_s,
-        lifetime_s=lifetime_s,
-        pause_s=pause_s,
-        loss=loss,
-        duplication=duplication,
-        reordering=reordering,
-        seed=seed,
-    )
+    settings = DemoSettings(example, drained, workload, faults, seed)
     return trio.run(_run_interruptible, functools.partial(_run_checked, settings), Console())
 
 
--- a/sloepond/demo/declaration.py
+++ b/sloepond/demo/declaration.py
@@ -1,4 +1,7 @@
-"""The resources of a demo: an example with the addresses of its own network."""
+"""The resources of a demo: an example with the addresses of its own network.
+
+Writes the file that the stand-ins and operators' commands read; relies on `resources.loading`.
+"""
 
 from __future__ import annotations
 
@@ -24,8 +27,8 @@
         super().__init__("\n".join(map(str, findings)))
 
 
-class _ResourceFile(msgspec.Struct, frozen=True):
-    """Content of a resource file."""
+class ResourceFile(msgspec.Struct, frozen=True):
+    """Content of a JSON file of resources, as operators' commands read it."""
 
     resources: tuple[Resource, ...]
 
@@ -47,7 +50,7 @@
         raise InvalidExampleError(loaded.findings)
     resources = _move(loaded.resources, network)
     file = directory / RESOURCES_FILE
-    file.write_bytes(msgspec.json.encode(_ResourceFile(tuple(resources))))
+    file.write_bytes(msgspec.json.encode(ResourceFile(tuple(resources))))
     return Declaration(CompiledConfiguration(make_snapshot(1, resources)), file)
 
 
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -1,6 +1,8 @@
 """The processes of one demo: stand-ins and balancers, started and waited for.
 
-Every wait is for what the processes say of themselves, not for a time.
+`Fleet` owns the list of the balancers that are meant to run; the processes belong to the
+`ProcessGroup` it is given.  Every wait is for what the processes say of themselves, not for a
+time, so that a busy machine makes a run slower and not wrong.
 """
 
 from __future__ import annotations
@@ -38,8 +40,11 @@
 STANDIN_MODULE = "sloepond.cli.standin"
 
 START_TIMEOUT_S = 30.0
+"""Seconds all balancers may take to start or to take a generation; not measured."""
 BUSY_TIMEOUT_S = 60.0
+"""Seconds until so many requests are in progress at a balancer; not measured."""
 BUSY_INTERVAL_S = 0.03
+"""Seconds between looks at the requests in progress, far below the time that one runs."""
 
 
 class RunningBalancer(msgspec.Struct, frozen=True):
@@ -101,7 +106,7 @@
         return self.network.address(FABRIC_HOST, FABRIC_PORT)
 
     async def start(self) -> tuple[Member, ...]:
-        """Start everything but clients; return the members of the cell."""
+        """Start everything but clients; return the balancers as the platform lists them."""
         locations = _halls(self.declaration)
         planned = plan_balancers(locations, self.network, self.platform_url, self.directory)
         self._hosts_used = len(planned)
@@ -178,20 +183,18 @@
         return await self.start_balancer(planned)
 
     async def wait_serving(self) -> None:
-        """Wait until all of `balancers` are in one view, with lease and configuration.
+        """Wait until each of `balancers` has a configuration in force and forwards by it.
 
         :raises ProcessFailedError: where one of them has ended.
         """
-        await wait_until(
-            self._are_serving, START_TIMEOUT_S, "view of all balancers with lease and configuration"
-        )
+        await wait_until(self._are_serving, START_TIMEOUT_S, "configuration in force on every balancer")
 
     async def _are_serving(self) -> bool:
         for balancer in self.balancers:
             balancer.process.check_running()
             if not await self.access.is_ready(balancer.planned.api_url):
                 return False
-            if not is_serving(await self.access.status(balancer.planned), len(self.balancers)):
+            if not is_serving(await self.access.status(balancer.planned)):
                 return False
         return True
 
--- a/sloepond/demo/probes/operators.py
+++ b/sloepond/demo/operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands run by scenarios."""
+"""Operators' commands, each run as a process of its own against the platform of a demo."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from sloepond.standins.checking import Departure
 
 COMMAND_TIMEOUT_S = 60.0
+"""Seconds a command may take on a busy machine; not measured."""
 
 
 class CommandResult(msgspec.Struct, frozen=True):
--- a/sloepond/demo/probes/crash.py
+++ b/sloepond/demo/probes/crash.py
@@ -15,7 +15,7 @@
 
 
 async def crash(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Kill a balancer, wait for its eviction and start a replacement on new addresses."""
+    """Kill a balancer, wait until the others serve and start a replacement on new addresses."""
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     killed = fleet.balancers.pop(_KILLED)
     status = await fleet.access.status(killed.planned)
--- a/sloepond/demo/probes/load.py
+++ b/sloepond/demo/probes/load.py
@@ -11,14 +11,12 @@
 import trio
 
 from sloepond.demo.fleet import Fleet
-from sloepond.demo.fleet_access import POLL_INTERVAL_S, wait_until
+from sloepond.demo.fleet_access import POLL_INTERVAL_S, STEP_TIMEOUT_S, wait_until
 from sloepond.demo.processes import DemoProcess
 from sloepond.standins.caller_record import FlowRecord
 from sloepond.standins.caller_report import CallerReport
 from sloepond.standins.workload import WorkloadSettings
 
-STEP_TIMEOUT_S = 60.0
-
 
 class Load:
     """Waves of callers.
--- a/sloepond/demo/probes/pause.py
+++ b/sloepond/demo/probes/pause.py
@@ -4,8 +4,8 @@
 
 import trio
 
+from sloepond.demo import operators
 from sloepond.demo.fleet import Fleet
-from sloepond.demo.probes import operators
 from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import ProbeOutcome, expect_equal, expect_some
 from sloepond.runtime.clock import monotonic_seconds
@@ -27,8 +27,8 @@
 async def pause(fleet: Fleet, load: Load) -> ProbeOutcome:
     """Stop a balancer with SIGSTOP, drain a back end, wake the balancer and go on.
 
-    The list of machines drops the balancer after its eviction and has it again just
-    before it wakes, so that it gets packets while it still knows nothing.
+    The list of machines drops the balancer while it stands still and has it again just before
+    it wakes, so that it gets packets while it still knows nothing of the drain.
     """
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     members = await fleet.list_machines()
--- a/sloepond/demo/probes/racing_operators.py
+++ b/sloepond/demo/probes/racing_operators.py
@@ -10,12 +10,14 @@
 import trio
 
 from sloepond.cli.exit_codes import OK, REFUSED
+from sloepond.demo import operators
 from sloepond.demo.addresses import ANY_PORT, CLIENT_HOST
+from sloepond.demo.declaration import ResourceFile
 from sloepond.demo.fleet import Fleet
-from sloepond.demo.probes import operators
+from sloepond.demo.fleet_access import STEP_TIMEOUT_S
+from sloepond.demo.operators import CommandResult
 from sloepond.demo.probes.held_reads import HeldReads
-from sloepond.demo.probes.load import STEP_TIMEOUT_S, Load
-from sloepond.demo.probes.operators import CommandResult
+from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal
 from sloepond.demo.processes import DemoProcess
 from sloepond.resources.model import Backend, BackendState, ConfigurationSnapshot, Resource, Service
@@ -29,10 +31,6 @@
 """Starts a command that takes the platform to be at the URL."""
 
 
-class _ResourceFile(msgspec.Struct, frozen=True):
-    resources: tuple[Resource, ...]
-
-
 class Race(msgspec.Struct, frozen=True):
     """How two commands ended of which `late` had read before `early` wrote."""
 
@@ -79,7 +77,7 @@
         else:
             changed.append(resource)
     file = fleet.directory / f"variant-{number}.json"
-    file.write_bytes(msgspec.json.encode(_ResourceFile(tuple(changed))))
+    file.write_bytes(msgspec.json.encode(ResourceFile(tuple(changed))))
     return file
 
 
--- a/sloepond/demo/probes/rolling.py
+++ b/sloepond/demo/probes/rolling.py
@@ -5,7 +5,8 @@
 import trio
 
 from sloepond.demo.fleet import Fleet, RunningBalancer
-from sloepond.demo.probes.load import STEP_TIMEOUT_S, Load
+from sloepond.demo.fleet_access import STEP_TIMEOUT_S
+from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal
 
 _FLOWS_BETWEEN_STEPS = 10
--- a/sloepond/demo/probes/stale_platform.py
+++ b/sloepond/demo/probes/stale_platform.py
@@ -4,11 +4,11 @@
 
 import trio
 
+from sloepond.demo import operators
 from sloepond.demo.fleet import Fleet, RunningBalancer
-from sloepond.demo.fleet_access import wait_until
-from sloepond.demo.probes import operators
+from sloepond.demo.fleet_access import STEP_TIMEOUT_S, wait_until
 from sloepond.demo.probes.generation_watch import GenerationWatch
-from sloepond.demo.probes.load import STEP_TIMEOUT_S, Load
+from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal, expect_some
 from sloepond.demo.probes.rolling import stop
 from sloepond.standins.platform import ModeRequest, PlatformMode
--- a/sloepond/demo/processes.py
+++ b/sloepond/demo/processes.py
@@ -1,4 +1,7 @@
-"""Processes of a demo: started here, and ended here in any case."""
+"""Processes of a demo: started here, and ended here in any case.
+
+`ProcessGroup` owns the processes and their log files; nothing of a demo outlives it.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,10 @@
 from sloepond.standins.started import StandinStarted
 
 TERMINATE_WAIT_S = 1.0
-"""Time a process has to end after SIGTERM before it is killed."""
+"""Seconds a process has to end after SIGTERM before it is killed; not measured."""
 
 LOG_TAIL_LINES = 15
+"""Last lines of a log that are shown with an error."""
 
 _READ_BYTES = 65_536
 
--- a/sloepond/demo/running.py
+++ b/sloepond/demo/running.py
@@ -1,4 +1,8 @@
-"""One demo from start to end: its network, its directory and its processes."""
+"""One demo from start to end: its network, its directory and its processes.
+
+Owns all three and gives them back on every way out; errors that a run may meet are printed
+with the last log lines of each process.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,9 @@
 from sloepond.demo.scenario import DemoResult, DemoSettings, Scenario
 
 DEMO_TIMEOUT_S = 170.0
+"""Seconds a whole run may take before it is ended; not measured."""
 HTTP_TIMEOUT_S = 3.0
+"""Seconds a process may take to answer; a paused one counts as not answering then; not measured."""
 
 _Result = TypeVar("_Result")
 _ResultOut = TypeVar("_ResultOut", covariant=True)
