--- a/sloepond/core/configuration/sliced_work.py
+++ b/sloepond/core/configuration/sliced_work.py
@@ -1,7 +1,7 @@
 """Runs long work a slice at a time, with pauses in which others may go on.
 
-A balancer that is busy for long with one call misses heartbeats and may lose its
-lease.  Short work ends within the call that starts it.
+A balancer that is busy for long with one call forwards no packets meanwhile.  Short work
+ends within the call that starts it.
 """
 
 from __future__ import annotations
--- a/sloepond/core/context.py
+++ b/sloepond/core/context.py
@@ -18,7 +18,7 @@
 class NodeContext:
     """Shared state of one node's components.
 
-    :ivar identity: this balancer; replaced when it returns with a new incarnation.
+    :ivar identity: this balancer.
     :ivar now: seconds on a monotonic clock, set by the node before each event.
     :ivar random: the only source of randomness.
     :ivar commands: commands of the current event, in order.
--- a/sloepond/core/counters.py
+++ b/sloepond/core/counters.py
@@ -1,4 +1,7 @@
-"""Counters of one node; plain integers, read by metrics, status and the lab."""
+"""Counters of one node; plain integers, read by metrics, status and the lab.
+
+Owns the names: the operators' API exports each.  Relies on the node and the daemon to count.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,28 @@
     """
 
     caller_packets: int = 0
-    backend_replies: int = 0
     peer_messages: int = 0
+    stalls_detected: int = 0
+    configuration_reads: int = 0
+    configuration_read_failures: int = 0
+    configuration_rejected: int = 0
+    configuration_older_ignored: int = 0
+    configuration_parts_sent: int = 0
+    configuration_parts_received: int = 0
+    configuration_changes: int = 0
+    input_malformed: int = 0
+    input_oversized: int = 0
+    input_unauthenticated: int = 0
+    input_replayed: int = 0
+    handler_failures: int = 0
+    sends_dropped: int = 0
+    sends_failed: int = 0
+    commands_stale: int = 0
+    machine_list_read_failures: int = 0
+
+    # Nothing counts these: balancers hold no flows and requests, and watch neither back ends nor
+    # each other.  They are exported so that dashboards and alarms that name them find them.
+    backend_replies: int = 0
     caller_packets_forwarded: int = 0
     caller_packets_dropped: int = 0
     hop_limit_reached: int = 0
@@ -59,20 +82,3 @@
     views_changed: int = 0
     members_suspected: int = 0
     leases_lost: int = 0
-    stalls_detected: int = 0
-    configuration_reads: int = 0
-    configuration_read_failures: int = 0
-    configuration_rejected: int = 0
-    configuration_older_ignored: int = 0
-    configuration_parts_sent: int = 0
-    configuration_parts_received: int = 0
-    configuration_changes: int = 0
-    input_malformed: int = 0
-    input_oversized: int = 0
-    input_unauthenticated: int = 0
-    input_replayed: int = 0
-    handler_failures: int = 0
-    sends_dropped: int = 0
-    sends_failed: int = 0
-    commands_stale: int = 0
-    machine_list_read_failures: int = 0
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -1,9 +1,16 @@
-"""A balancer for sloepond's own packets that forwards by routing token.
+"""The node: one balancer's decisions on sloepond's own packets, without any I/O.
 
-Each packet names its back end by the token it carries (`CallerPacket.token`), so no flow is
-stored and no view of the fleet is agreed on.  Balancers find each other by the platform's
-list of machines, and what they tell each other is the configuration: a starting balancer
-hears from them which generation is in force, whatever the platform answers.
+`Node.handle(event, now)` takes what happened and returns commands.  The daemon runs it on
+sockets; the lab runs it on a simulated clock.
+
+Each packet names its back end by the routing token it carries (`CallerPacket.token`), so no
+flow is stored and balancers agree on nothing.  They find each other by the platform's list of
+machines and tell each other the configuration: a starting balancer hears from them which
+generation is in force, whatever the platform answers.
+
+Owns the identity, the counters and the time of a planned stop.  Relies on
+`core.configuration` for the generation in force and on `core.forwarding` for the back end of
+each packet.
 """
 
 from __future__ import annotations
@@ -52,14 +59,18 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 STOP_AFTER_S = 3.0
-"""How long a planned stop goes on, so that the fabric learns of it."""
+"""How long a stopping balancer forwards on, so that the fabric learns of it, seconds; not
+measured."""
 LIST_AGAIN_S = 1.0
-"""Time between reads of the machine list until a configuration is in force."""
+"""Time between reads of the machine list until a configuration is in force, seconds; not
+measured."""
 
 
 class Node:
-    """Runs a forwarding node on sloepond's own packets and configuration.
+    """One balancer.
 
+    :param identity: this process; its location gives the hall it stands in.
+    :param random_source: the only source of randomness.
     :ivar configuration: generation in force, and how it spreads.
     """
 
@@ -68,7 +79,7 @@
         self._seeds = tuple(seed for seed in settings.membership.seeds if seed != identity.address)
         self._list_interval_s = settings.membership.machine_list_interval_s
         self.configuration = ConfigurationStore(self._context, settings.configuration)
-        self._node = ForwardingNode(identity.location.hall, random_source)
+        self._forwarding = ForwardingNode(identity.location.hall, random_source)
         self._generation = 0
         self._listed: tuple[Member, ...] = ()
         self._next_list = 0.0
@@ -99,8 +110,8 @@
             has_lease=False,
             generation=in_force.generation,
             digest=in_force.digest,
-            flows=self._node.flows_observed,
-            in_flight=sum(backend.in_flight for backend in self._node.backends),
+            flows=self._forwarding.flows_observed,
+            in_flight=sum(backend.in_flight for backend in self._forwarding.backends),
             peers=(),
         )
 
@@ -110,20 +121,30 @@
         return BalancerState.ACTIVE if self.configuration.is_ready else BalancerState.JOINING
 
     def start(self, now: float) -> list[Command]:
-        """Begin to read the configuration and the list of machines."""
+        """Begin to read the configuration and the list of machines.
+
+        :param now: seconds of a monotonic clock.
+        """
         self._context.now = now
-        self._node.start(now)
+        self._forwarding.start(now)
         self._next_list = now
         return self._on_time(now)
 
     def next_deadline(self) -> float:
-        """Return when a timer is needed."""
+        """Return when to send `TimerFired` next, in seconds of the node's clock."""
         return min(
-            self._next_list, self._stop_at, self._node.next_deadline(), self.configuration.next_deadline()
+            self._next_list,
+            self._stop_at,
+            self._forwarding.next_deadline(),
+            self.configuration.next_deadline(),
         )
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event."""
+        """Take one event.
+
+        :param now: seconds of the same clock as in `start`, never going back.
+        :returns: commands to carry out, in order.
+        """
         self._context.now = now
         commands = self._take(event, now)
         self._note_stall()
@@ -131,7 +152,7 @@
 
     def _note_stall(self) -> None:
         """Count a sleep of the process, once, and ask for a log line."""
-        stalls = self._node.counters.stalls_detected
+        stalls = self._forwarding.counters.stalls_detected
         if stalls > self.counters.stalls_detected:
             self.counters.stalls_detected = stalls
             self._context.record_transition(TransitionKind.STALL_DETECTED, self.identity.name, "woke late")
@@ -175,7 +196,7 @@
             self._greet_seeds()
         if now >= self.configuration.next_deadline():
             self.configuration.on_time()
-        commands = self._carry_out(self._node.handle(ForwardingTimerFired(), now), now)
+        commands = self._carry_out(self._forwarding.handle(ForwardingTimerFired(), now), now)
         return commands + self._follow_configuration(now)
 
     def _greet_seeds(self) -> None:
@@ -185,7 +206,7 @@
                 self._context.send_to_peer(address, ConfigurationOffered(0, ""))
 
     def _follow_configuration(self, now: float) -> list[Command]:
-        """Forward by a generation that has come into force; return what is to be done."""
+        """Forward by a generation that has come into force; return the commands so far."""
         commands = self._context.take_commands()
         compiled = self.configuration.in_force
         if compiled.generation == self._generation:
@@ -195,13 +216,15 @@
 
     def _forward_by(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
         services = tuple(compiled.services_by_address.values())
-        self._node.backends.places_changed(place_rules_of(services))
+        self._forwarding.backends.places_changed(place_rules_of(services))
         revision = compiled.generation
         routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(route_of, services))))
         records = tuple(record_of(backend, revision) for service in services for backend in service.backends)
         for record in records:
             self._take_declared(record)
-        commands = self._node.handle(routes, now) + self._node.handle(BackendsRead(revision, records), now)
+        commands = self._forwarding.handle(routes, now) + self._forwarding.handle(
+            BackendsRead(revision, records), now
+        )
         return self._carry_out(commands, now)
 
     def _take_declared(self, record: BackendRecord) -> None:
@@ -210,7 +233,7 @@
         Forwarding keeps both for good, since a back end that says it leaves never comes back on
         its own and stays where it is.
         """
-        known = self._node.backends.by_name(record.name)
+        known = self._forwarding.backends.by_name(record.name)
         if known is None:
             return
         known.hall = record.hall
@@ -228,10 +251,10 @@
 
     def _caller_packet(self, packet: CallerPacket, now: float) -> list[Command]:
         segment = segment_of(packet)
-        decision = self._node.decide(segment, now)
+        decision = self._forwarding.decide(segment, now)
         if decision.hold:
             held = OpeningHeld(segment, msgspec.msgpack.encode(packet))
-            return self._carry_out(self._node.handle(held, now), now)
+            return self._carry_out(self._forwarding.handle(held, now), now)
         backend = decision.backend
         if backend is not None:
             address = f"{backend.endpoint.host}:{backend.endpoint.port}"
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -177,20 +177,18 @@
         return await self.start_balancer(planned)
 
     async def wait_serving(self) -> None:
-        """Wait until all of `balancers` are in one view, with lease and configuration.
+        """Wait until all of `balancers` forward.
 
         :raises ProcessFailedError: where one of them has ended.
         """
-        await wait_until(
-            self._are_serving, START_TIMEOUT_S, "view of all balancers with lease and configuration"
-        )
+        await wait_until(self._are_serving, START_TIMEOUT_S, "every balancer to forward")
 
     async def _are_serving(self) -> bool:
         for balancer in self.balancers:
             balancer.process.check_running()
             if not await self.access.is_ready(balancer.planned.api_url):
                 return False
-            if not is_serving(await self.access.status(balancer.planned), len(self.balancers)):
+            if not is_serving(await self.access.status(balancer.planned)):
                 return False
         return True
 
--- a/sloepond/demo/fleet_access.py
+++ b/sloepond/demo/fleet_access.py
@@ -12,7 +12,7 @@
 
 from sloepond.cli.balancer_access import STATUS_PATH
 from sloepond.core.messages import Member
-from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
+from sloepond.core.status import BalancerState, NodeStatus
 from sloepond.demo.balancer_settings import PlannedBalancer
 from sloepond.resources.model import ConfigurationSnapshot
 from sloepond.standins.backend import BACKENDS_PATH, EXECUTIONS_PATH, BackendList, ExecutionLog
@@ -118,17 +118,9 @@
     return Member(status.name, status.incarnation, settings.peer_address, settings.location)
 
 
-def is_serving(status: NodeStatus | None, members: int) -> bool:
-    """Return whether a balancer is in a view of `members` with lease and configuration.
-
-    One that is active in no view forwards by token, and needs the configuration only.
-    """
-    if status is None or status.generation == 0:
-        return False
-    is_active = status.state == BalancerState.ACTIVE
-    if status.epoch == NO_EPOCH:
-        return is_active
-    return is_active and status.has_lease and len(status.members) == members
+def is_serving(status: NodeStatus | None) -> bool:
+    """Return whether a balancer forwards: it is active and has a generation in force."""
+    return status is not None and status.generation > 0 and status.state == BalancerState.ACTIVE
 
 
 async def wait_until(
--- a/sloepond/runtime/clock.py
+++ b/sloepond/runtime/clock.py
@@ -12,8 +12,8 @@
 monotonic_seconds: Callable[[], float] = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
 """Returns seconds since the machine started, the time it was suspended included.
 
-A lease must not outlive the suspension of a machine, so the clock must not
-stand still meanwhile.
+A process that wakes from a suspension of its machine must notice how old its knowledge is,
+so the clock must not stand still meanwhile.
 """
 
 
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -15,8 +15,8 @@
 MAXIMUM_HANDLING_S = 0.5
 """Time after which packets to back ends are stale and dropped, in seconds.
 
-A process that was paused between deciding and sending has lost its lease
-meanwhile; what it decided is recorded, so the drop counts as a lost packet.
+A process that was paused between deciding and sending may send to a back end that has left
+meanwhile; the caller sends again.  Not measured.
 """
 
 
