--- a/features/steps/api_fakes.py
+++ b/features/steps/api_fakes.py
@@ -9,7 +9,8 @@
 
 from sloepond.core.counters import Counters
 from sloepond.core.status import NodeStatus, PeerReport
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/features/steps/api_watch_steps.py
+++ b/features/steps/api_watch_steps.py
@@ -21,7 +21,8 @@
 from sloepond.api.feed import BOOKMARK_INTERVAL_S, Batch, ConfigurationFeed
 from sloepond.api.server import serve_api
 from sloepond.api.watching import select_kind
-from sloepond.resources.compiled import CompiledConfiguration, ResourceKey, resource_key
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import ResourceKey, resource_key
 from sloepond.resources.model import Kind, Resource, Status
 from sloepond.runtime.settings import ApiSettings
 
--- a/features/steps/cli_race_steps.py
+++ b/features/steps/cli_race_steps.py
@@ -11,7 +11,7 @@
 from sloepond.cli.exit_codes import REFUSED
 from sloepond.cli.failures import CommandFailure
 from sloepond.cli.platform_access import Written
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import Backend, BackendState
 
 EXAMPLE = Path(__file__).resolve().parents[2] / "examples" / "accra"
--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -11,7 +11,7 @@
 from sloepond.core.configuration.store import ConfigurationStore
 from sloepond.core.messages import ConfigurationOffered, ConfigurationRequested, Member
 from sloepond.core.settings import ConfigurationSettings
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import Location
 from sloepond.wire.codec import encode_message
 
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -28,13 +28,9 @@
 from sloepond.core.configuration.sliced_work import SLICE_UNITS
 from sloepond.core.configuration.validation import findings_after
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
-from sloepond.resources.compiled import (
-    EMPTY_CONFIGURATION,
-    CompiledConfiguration,
-    make_snapshot,
-    resolve_locations,
-    resource_key,
-)
+from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
+from sloepond.resources.content import make_snapshot, resource_key
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/features/steps/interfaces_names.py
+++ b/features/steps/interfaces_names.py
@@ -34,7 +34,8 @@
 from sloepond.core.status import NodeStatus, PeerReport
 from sloepond.platform.settings import DEFAULT_FILE, FILE_VARIABLE, METRICS_PORT, parse_settings
 from sloepond.resources import model
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.runtime.exit_code import ExitCode
 from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.metrics import metrics_page
--- a/features/steps/lab_stateless_node.py
+++ b/features/steps/lab_stateless_node.py
@@ -36,7 +36,8 @@
     FlowKey,
 )
 from sloepond.core.settings import NodeSettings
-from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledBackend, CompiledConfiguration
+from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledBackend
 
 HASH_BYTES = 8
 STOP_AFTER_S = 3.0
--- a/features/steps/node_declaration_steps.py
+++ b/features/steps/node_declaration_steps.py
@@ -16,7 +16,7 @@
     CallerReplyKind,
     FlowKey,
 )
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import BackendState, PlaceSelector
 
 ARCHIVE, PLAYBACK = "archive", "playback"
--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -22,7 +22,7 @@
 from sloepond.core.node import Node
 from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReplyKind, FlowKey
 from sloepond.core.settings import ConfigurationSettings, NodeSettings
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import BackendState, Location, PlaceSelector
 from sloepond.standins.backend_model import BackendModel, BackendSettings
 from sloepond.standins.content import BackendIdentity
--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -14,7 +14,8 @@
 from sloepond.demo.probes.outcome import check_evidence
 from sloepond.demo.probes.running import ProbeName, ProbeSettings
 from sloepond.demo.running import run_probe
-from sloepond.resources.compiled import EMPTY_CONFIGURATION, make_snapshot
+from sloepond.resources.compiled import EMPTY_CONFIGURATION
+from sloepond.resources.content import make_snapshot
 from sloepond.standins.caller_plan import RequestPlan
 from sloepond.standins.caller_record import FlowRecord, FlowState, RequestOutcome, RequestRecord
 from sloepond.standins.checking import Evidence
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -17,7 +17,8 @@
 from hypothesis import strategies as st
 
 from sloepond.resources.addresses import canonical_address
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.documents import parse_text
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.loading import load_resources
--- a/features/steps/runtime_steps.py
+++ b/features/steps/runtime_steps.py
@@ -18,7 +18,7 @@
 from runtime_peer import OFFER, REQUEST, Peer
 
 from sloepond.core import commands, events, messages
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import API_VERSION, ConfigurationSnapshot, Location, Metadata, Region
 from sloepond.runtime.peer_outbox import PeerOutbox
 from sloepond.runtime.platform_client import ReadFailure, decode_configuration
--- a/features/steps/standins_checking_steps.py
+++ b/features/steps/standins_checking_steps.py
@@ -2,7 +2,8 @@
 from behave import given, then, when
 
 from sloepond.core.packets import FlowKey
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/sloepond/api/changes.py
+++ b/sloepond/api/changes.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from sloepond.api.resource_status import with_status
-from sloepond.resources.compiled import CompiledConfiguration, resource_key
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import resource_key
 from sloepond.resources.model import Resource
 
 
--- a/sloepond/cli/changes.py
+++ b/sloepond/cli/changes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sloepond.resources.compiled import resource_key
+from sloepond.resources.content import resource_key
 from sloepond.resources.model import Resource
 
 
--- a/sloepond/core/configuration/delta.py
+++ b/sloepond/core/configuration/delta.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from sloepond.resources.compiled import ResourceKey, resource_key
+from sloepond.resources.content import ResourceKey, resource_key
 from sloepond.resources.model import Resource
 from sloepond.resources.slices import BLOCK_ITEMS, Slices, blocks, finished
 
--- a/sloepond/core/configuration/encoding.py
+++ b/sloepond/core/configuration/encoding.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sloepond.core.configuration.delta import ConfigurationDelta
-from sloepond.resources.compiled import ResourceKey
+from sloepond.resources.content import ResourceKey
 from sloepond.resources.model import Resource
 from sloepond.resources.slices import Slices, blocks, finished
 
--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -16,12 +16,8 @@
 from sloepond.core.configuration.encoding import decode_slices
 from sloepond.core.configuration.fetcher import FetchedTransfer
 from sloepond.core.configuration.validation import findings_after_slices
-from sloepond.resources.compiled import (
-    CompiledConfiguration,
-    ResourceKey,
-    resource_key,
-    updated_content_slices,
-)
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import ResourceKey, resource_key, updated_content_slices
 from sloepond.resources.model import ConfigurationSnapshot, Resource
 from sloepond.resources.sharing import share_values_slices
 from sloepond.resources.slices import Slices, blocks
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -13,17 +13,11 @@
 import msgspec
 
 from sloepond.core.configuration.delta import ConfigurationDelta
-from sloepond.resources.compiled import (
-    CompiledBackend,
-    CompiledConfiguration,
-    ResourceKey,
-    find_resource,
-    is_place_permitted,
-    only_backends,
-    resolve_locations,
-    without_backends,
-)
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledBackend, is_place_permitted
+from sloepond.resources.content import ResourceKey, find_resource, only_backends, without_backends
 from sloepond.resources.findings import Finding
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     BackendSpec,
--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -15,7 +15,7 @@
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, Share
 from sloepond.core.packets import CallerPacket, CallerPacketKind
-from sloepond.resources.compiled import CompiledBackend, CompiledService
+from sloepond.resources.compiled_items import CompiledBackend, CompiledService
 from sloepond.resources.model import BackendState as DeclaredState
 
 HOST_KEY_BYTES = 4
--- a/sloepond/demo/declaration.py
+++ b/sloepond/demo/declaration.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from sloepond.demo.addresses import BACKEND_PORT, FIRST_BACKEND_HOST, LoopbackNetwork
-from sloepond.resources.compiled import CompiledConfiguration, make_snapshot
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.findings import Finding
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import Backend, Resource
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -9,7 +9,7 @@
 
 from sloepond.lab.network import address
 from sloepond.lab.scenario import Scenario, ServiceModel, Topology
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -1,13 +1,15 @@
 """A configuration snapshot, indexed for the data path.
 
 `CompiledConfiguration` answers, without any parsing, which back ends a service
-has, and which of them its place rules permit.  `is_place_permitted` is the one
-place filter of the system; every path that picks a back end goes through it.
+has, and which of them its place rules permit.
+
+Owns the indexes of one generation.  Relies on `resources.content` for its resources, on
+`resources.compiled_items` for the one place filter, and on `resources.index_update` for what
+a change touches.
 """
 
 from __future__ import annotations
 
-import bisect
 from collections.abc import Mapping, Sequence
 
 import msgspec
@@ -17,11 +19,20 @@
     CompiledService,
     compile_backend,
     compile_service,
-    is_place_permitted,
 )
-from sloepond.resources.digest import digest_of, updated_digest_slices
+from sloepond.resources.content import (
+    GenerationContent,
+    ResourceKey,
+    backend_count,
+    content_of,
+    make_snapshot,
+    only_backends,
+    updated_content_slices,
+    without_backends,
+)
 from sloepond.resources.index_update import IndexUpdate, RemovedNames
 from sloepond.resources.layered import LayeredMapping
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     ConfigurationSnapshot,
@@ -32,10 +43,8 @@
     Resource,
     Service,
     Zone,
-    ZoneState,
 )
 from sloepond.resources.slices import Slices, blocks, finished
-from sloepond.resources.sorted_items import SortedItems
 
 INCREMENTAL_LIMIT = 1_000
 """Changed resources above which a configuration is compiled from the start."""
@@ -45,25 +54,6 @@
 _BACKEND_KIND = Kind.BACKEND.value
 
 
-class ResourceKey(msgspec.Struct, frozen=True, array_like=True, order=True, gc=False):
-    """Identity of a resource; keys sort by kind, then name."""
-
-    kind: str
-    name: str
-
-
-_AFTER_BACKENDS = ResourceKey(_BACKEND_KIND + "\0", "")
-"""Sorts after every back end and before all other kinds."""
-
-
-class GenerationContent(msgspec.Struct, frozen=True):
-    """All resources of one generation, in a form that is cheap to change."""
-
-    generation: int
-    digest: str
-    resources: SortedItems[Resource]
-
-
 class ConfigurationChange(msgspec.Struct, frozen=True):
     """Which back ends differ from an earlier generation.
 
@@ -239,23 +229,6 @@
     return layered.edited(removed, added)
 
 
-def only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
-    """Return whether a change concerns back ends alone."""
-    return all(isinstance(resource, Backend) for resource in changed) and all(
-        key.kind == _BACKEND_KIND for key in removed
-    )
-
-
-def backend_count(resources: Sequence[Resource]) -> int:
-    """Return how many back ends are among resources sorted by key; these come first."""
-    return bisect.bisect_left(resources, _AFTER_BACKENDS, key=resource_key)
-
-
-def without_backends(resources: Sequence[Resource]) -> tuple[Resource, ...]:
-    """Return all other kinds among resources sorted by key."""
-    return tuple(resources[backend_count(resources) :])
-
-
 def removed_names(removed: Sequence[ResourceKey]) -> RemovedNames:
     """Return the names of back ends and services among removed keys."""
     return RemovedNames(
@@ -264,94 +237,5 @@
     )
 
 
-def resolve_locations(resources: tuple[Resource, ...]) -> dict[str, Location]:
-    """Return the location of each hall by its name.
-
-    Halls whose zone is not declared are left out; validation reports them.
-    """
-    zones = {resource.metadata.name: resource.spec for resource in resources if isinstance(resource, Zone)}
-    locations: dict[str, Location] = {}
-    for resource in resources:
-        if not isinstance(resource, Hall):
-            continue
-        zone = zones.get(resource.spec.zone)
-        if zone is not None:
-            name = resource.metadata.name
-            is_evacuated = zone.state is ZoneState.EVACUATED
-            locations[name] = Location(zone.region, resource.spec.zone, name, is_evacuated)
-    return locations
-
-
-def resource_key(resource: Resource) -> ResourceKey:
-    """Return the identity of a resource, which is its sort key as well."""
-    return ResourceKey(type(resource).__name__, resource.metadata.name)
-
-
-def make_snapshot(generation: int, resources: Sequence[Resource]) -> ConfigurationSnapshot:
-    """Return a snapshot of `resources`, sorted, with its digest.
-
-    :param generation: number of the generation, 1 or more.
-    """
-    ordered = tuple(sorted(resources, key=resource_key))
-    return ConfigurationSnapshot(generation=generation, digest=digest_of(ordered), resources=ordered)
-
-
-def content_of(snapshot: ConfigurationSnapshot) -> GenerationContent:
-    """Return a snapshot, whose resources are sorted, in a form that is cheap to change."""
-    resources: SortedItems[Resource] = SortedItems(snapshot.resources, resource_key)
-    return GenerationContent(snapshot.generation, snapshot.digest, resources)
-
-
-def updated_content_slices(
-    base: GenerationContent,
-    generation: int,
-    changed: Sequence[Resource],
-    removed: Sequence[ResourceKey],
-) -> Slices[GenerationContent]:
-    """Return the resources after a change, in slices; only what changed is hashed.
-
-    :param changed: resources that are new or differ; at most one of a key.
-    :param removed: keys of resources that are gone; unknown ones are ignored.
-    """
-    former: list[Resource] = []
-    if base.resources:
-        for block in blocks(dict.fromkeys((*removed, *map(resource_key, changed)))):
-            found = (find_resource(base.resources, key) for key in block)
-            former.extend(resource for resource in found if resource is not None)
-            yield len(block)
-    digest = yield from updated_digest_slices(base.digest, added=changed, removed=former)
-    resources = yield from base.resources.edited_slices(removed, changed)
-    return GenerationContent(generation, digest, resources)
-
-
-def find_resource(resources: Sequence[Resource], key: ResourceKey) -> Resource | None:
-    """Return the resource of a key among resources sorted by key, None if there is none."""
-    position = bisect.bisect_left(resources, key, key=resource_key)
-    if position < len(resources) and resource_key(resources[position]) == key:
-        return resources[position]
-    return None
-
-
 EMPTY_CONFIGURATION = CompiledConfiguration(make_snapshot(0, []))
 """What is in force before any generation has been read."""
-
-__all__ = [
-    "EMPTY_CONFIGURATION",
-    "CompiledBackend",
-    "CompiledConfiguration",
-    "CompiledService",
-    "ConfigurationChange",
-    "GenerationContent",
-    "Kind",
-    "ResourceKey",
-    "backend_count",
-    "content_of",
-    "find_resource",
-    "is_place_permitted",
-    "make_snapshot",
-    "only_backends",
-    "resolve_locations",
-    "resource_key",
-    "updated_content_slices",
-    "without_backends",
-]
--- /dev/null
+++ b/sloepond/resources/locations.py
@@ -0,0 +1,28 @@
+"""Where each hall stands.
+
+Relies on the resources alone; places that are not declared are left to validation.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from sloepond.resources.model import Hall, Location, Resource, Zone, ZoneState
+
+
+def resolve_locations(resources: Sequence[Resource]) -> dict[str, Location]:
+    """Return the location of each hall by its name.
+
+    Halls whose zone is not declared are left out; validation reports them.
+    """
+    zones = {resource.metadata.name: resource.spec for resource in resources if isinstance(resource, Zone)}
+    locations: dict[str, Location] = {}
+    for resource in resources:
+        if not isinstance(resource, Hall):
+            continue
+        zone = zones.get(resource.spec.zone)
+        if zone is not None:
+            name = resource.metadata.name
+            is_evacuated = zone.state is ZoneState.EVACUATED
+            locations[name] = Location(zone.region, resource.spec.zone, name, is_evacuated)
+    return locations
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -5,10 +5,11 @@
 from collections.abc import Iterator, Sequence
 
 from sloepond.resources.addresses import AddressFailure, canonical_address
-from sloepond.resources.compiled import is_place_permitted, resolve_locations
+from sloepond.resources.compiled_items import is_place_permitted
 from sloepond.resources.declarations import NAME_PATH, Declaration
 from sloepond.resources.field_rules import ADDRESS_PATH, ADDRESSED_KINDS
 from sloepond.resources.findings import FieldPath, Finding, show_value
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     BackendState,
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from sloepond.resources.compiled import CompiledConfiguration, CompiledService
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledService
 from sloepond.standins.backend_model import Execution
 
 
--- a/sloepond/standins/platform.py
+++ b/sloepond/standins/platform.py
@@ -17,7 +17,7 @@
 from starlette.routing import Route
 
 from sloepond.core.messages import Member
-from sloepond.resources.compiled import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.findings import Finding
 from sloepond.resources.model import ConfigurationSnapshot, Resource
 from sloepond.resources.validation import validate_values
