--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -13,6 +13,7 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import BackendPacket, CallerPacketKind
+from sloepond.lab.datagrams import BackendDatagram
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Endpoint
 from sloepond.standins.backend_model import BackendModel, BackendOutput, BackendSettings, Execution
@@ -20,7 +21,7 @@
 
 
 class BackendObserver(Protocol):
-    """What a back end tells the world."""
+    """What a back end reports to the world."""
 
     def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
         """Replies are to be sent."""
@@ -84,16 +85,16 @@
                 self.settings, load_factor=load_factor, load_lag_s=lag_s
             )
 
-    def receive(self, argument: tuple[str, BackendPacket]) -> None:
-        """Take a datagram: the address of the balancer and the packet."""
+    def receive(self, datagram: BackendDatagram) -> None:
+        """Take a datagram from a balancer."""
         model = self.model
         if model is None:
             return
-        source, packet = argument
+        packet = datagram.packet
         now = self._queue.now
         opens = packet.kind is CallerPacketKind.OPEN and not model.holds(packet.flow)
         self._observer.backend_received(self, packet, opens)
-        outputs = model.handle(packet, source, now)
+        outputs = model.handle(packet, datagram.source, now)
         if opens and model.holds(packet.flow):
             self._observer.backend_accepted(self, packet)
         self._act(model, outputs)
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -28,9 +28,10 @@
     PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.messages import ConfigurationPart, Member, PeerMessage
-from sloepond.core.packets import BackendPacket, BackendReply, CallerPacket, CallerReply
+from sloepond.core.messages import ConfigurationPart, Member
+from sloepond.core.packets import BackendPacket, CallerPacket, CallerReply
 from sloepond.core.settings import NodeSettings
+from sloepond.lab.datagrams import PeerDatagram, ProcessResult
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.hosting import LabNode, NodeFactory
 from sloepond.lab.machine_clock import MachineClock
@@ -45,13 +46,11 @@
 """Least time between two timers of one process, seconds; not measured."""
 
 
-class PeerDatagram(msgspec.Struct, frozen=True, gc=False):
-    """A message from one balancer to another."""
+class _Timer(msgspec.Struct, frozen=True, gc=False):
+    """A timer of the process with a number; `deadline` is in seconds of the machine's clock."""
 
-    sender: str
-    sender_incarnation: int
-    sender_address: str
-    message: PeerMessage
+    process: int
+    deadline: float
 
 
 class Surroundings(Protocol):
@@ -195,9 +194,9 @@
         """Take a datagram from the fabric."""
         self._receive(Socket.CALLERS, CallerPacketReceived(packet))
 
-    def receive_from_backend(self, argument: tuple[str, BackendReply]) -> None:
-        """Take a datagram from a back end: its address and the reply."""
-        self._receive(Socket.BACKENDS, BackendReplyReceived(argument[0], argument[1]))
+    def receive_from_backend(self, datagram: BackendReplyReceived) -> None:
+        """Take a datagram from a back end."""
+        self._receive(Socket.BACKENDS, datagram)
 
     def receive_from_peer(self, datagram: PeerDatagram) -> None:
         """Take a datagram from another balancer."""
@@ -208,15 +207,14 @@
         )
         self._receive(Socket.PEERS, event)
 
-    def receive_result(self, argument: tuple[int, Event]) -> None:
-        """Take the result of a read of the process with the given number."""
-        process, event = argument
-        if self.node is None or process != self.process:
+    def receive_result(self, result: ProcessResult) -> None:
+        """Take the result of a read; it is lost where the process has ended."""
+        if self.node is None or result.process != self.process:
             return
         if self.paused:
-            self._buffers.add_result(event)
+            self._buffers.add_result(result.event)
             return
-        self.handle(event)
+        self.handle(result.event)
 
     def _receive(self, socket: Socket, event: Event) -> None:
         node = self.node
@@ -252,19 +250,19 @@
         queue = self._queue
         due = max(self._clock.simulated(deadline), queue.now + MINIMUM_TIMER_S)
         self._timer_at = deadline
-        queue.schedule(due, self._on_timer, (self.process, deadline))
+        queue.schedule(due, self._on_timer, _Timer(self.process, deadline))
 
-    def _on_timer(self, argument: tuple[int, float]) -> None:
-        process, deadline = argument
-        if process != self.process or deadline != self._timer_at or self.node is None or self.paused:
+    def _on_timer(self, timer: _Timer) -> None:
+        is_current = timer.process == self.process and timer.deadline == self._timer_at
+        if not is_current or self.node is None or self.paused:
             return
         self._timer_at = NEVER
         wanted = self.node.next_deadline()
-        if wanted > deadline:
+        if wanted > timer.deadline:
             if wanted < NEVER:
                 self._set_timer(wanted)
             return
-        self._clock.reached(deadline)
+        self._clock.reached(timer.deadline)
         self.handle(TimerFired())
 
     # Output
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -1,7 +1,7 @@
 """The callers: flows that arrive, run the stand-in caller model and end.
 
 Owns all flows of a run and their timers.  Relies on the stand-in caller for what a caller does, and
-on the checkers to judge what it was told.
+on the checkers to judge what it received.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 LATE_REPLIES_S = 13.0
 """Seconds after the end of a flow during which replies to it are still checked: more than the
-patience of a caller, 12 s."""
+timeout of a caller, 12 s."""
 REQUEST_PAYLOAD = b"request"
 """What a session sends; a back end answers it with content of its own."""
 SERVABLE_KEPT = 12
 """Latest packets of a caller whose time is kept, for the flow checker: more than a caller sends in its
-patience while it gets no reply; not measured."""
+timeout while it gets no reply; not measured."""
 CANCEL_AFTER_S = 0.02
 """Time from a request to its cancellation, seconds: inside the service time of `long-requests`, 0.3 s."""
 PART_BYTES = 1_000
@@ -51,11 +51,11 @@
 
 
 class _Caller(msgspec.Struct, eq=False):
-    """One flow, the fabric it uses and what the checkers were told of it.
+    """One flow, the fabric it uses and what the checkers have seen of it.
 
     :ivar timer_at: simulated time of the timer that is set.
     :ivar established: whether the flow checker knows that the flow is open.
-    :ivar heard_at: when the caller last got a reply.
+    :ivar last_reply_at: when the caller last got a reply.
     :ivar servable_at: when packets were sent that could be served, the latest ones.
     :ivar ended_requests: requests whose outcome the request checker knows.
     """
@@ -65,7 +65,7 @@
     timer_at: float = NEVER
     established: bool = False
     finished: bool = False
-    heard_at: float = -NEVER
+    last_reply_at: float = -NEVER
     servable_at: collections.deque[float] = msgspec.field(
         default_factory=lambda: collections.deque(maxlen=SERVABLE_KEPT)
     )
@@ -158,7 +158,7 @@
         caller = self._callers.get(reply.flow)
         if caller is None:
             return
-        caller.heard_at = self._queue.now
+        caller.last_reply_at = self._queue.now
         flow = caller.flow
         refused_answers = flow.record.answered_after_refusal
         packets = flow.handle(reply, self._queue.now)
@@ -175,7 +175,7 @@
         self._after(caller, caller.flow.on_time(now))
 
     def _after(self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None) -> None:
-        """Send the packets, tell the checkers what changed and set the timer."""
+        """Send the packets, report changes to the checkers and set the timer."""
         flow = caller.flow
         record = flow.record
         if not caller.established and record.state is not FlowState.OPENING:
@@ -220,7 +220,7 @@
         if caller.finished:
             return
         caller.finished = True
-        service_times = ServiceTimes(caller.heard_at, tuple(caller.servable_at))
+        service_times = ServiceTimes(caller.last_reply_at, tuple(caller.servable_at))
         self._flow_checker.flow_ended(caller.flow.record, service_times, self._queue.now)
         self._queue.schedule(self._queue.now + LATE_REPLIES_S, self._forget, caller)
 
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -2,7 +2,7 @@
 
 A flow is established once its caller received OPENED.  It is broken where the
 caller is told it is lost, where another back end serves it, or where it gets no
-reply for the caller's whole patience, while its back end runs, some balancer can
+reply until the caller times out (`patience_s`), while its back end runs, some balancer can
 reach it, and at least one of the caller's packets in that time went to a running
 balancer that has a way to it.  Flows whose back end was itself killed do not count.
 """
@@ -28,12 +28,12 @@
 class ServiceTimes(msgspec.Struct, frozen=True):
     """When a flow last could be and was served; simulated seconds.
 
-    :ivar heard_at: when the caller last got any reply on the flow.
+    :ivar last_reply_at: when the caller last got any reply on the flow.
     :ivar servable_at: when packets of the caller went to a balancer that ran and
         could reach the back end, alone or through one other balancer; the latest ones.
     """
 
-    heard_at: float
+    last_reply_at: float
     servable_at: tuple[float, ...]
 
 
@@ -98,7 +98,7 @@
         backend = flow.backend
         if self._reach.was_killed_since(backend, flow.since):
             return
-        if record.break_reason is BreakReason.SILENT and now - times.heard_at < self._patience_s:
+        if record.break_reason is BreakReason.SILENT and now - times.last_reply_at < self._patience_s:
             return
         silent = record.break_reason in (BreakReason.SILENT, BreakReason.FEED_STALLED)
         if silent and self._was_cut(backend, times, now):
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -12,6 +12,7 @@
 from sloepond.core.events import StopRequested
 from sloepond.lab import faults
 from sloepond.lab.balancer import BalancerHost
+from sloepond.lab.datagrams import ProcessResult
 from sloepond.lab.world import World
 from sloepond.resources.model import BackendState
 
@@ -97,7 +98,7 @@
         self._world.note(f"{host.name} is asked to stop")
         host.leaving = True
         self._world.fleet.fabric.changed(host, present=False)
-        host.receive_result((host.process, StopRequested()))
+        host.receive_result(ProcessResult(host.process, StopRequested()))
         return True
 
     def _when_ended(self, host: BalancerHost, process: int, action: Callable[[], None]) -> None:
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -1,18 +1,27 @@
 """The fabric: sprays callers' packets evenly over the balancers it knows, with a lag.
 
-Owns which balancers it knows.  Relies on the fleet to be told of starts, stops and ends.
+Owns which balancers it knows.  Relies on the fleet to report starts, stops and ends.
 """
 
 from __future__ import annotations
 
 import random
 
+import msgspec
+
 from sloepond.core.packets import CallerPacket
 from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Endpoint, Network
 
 
+class _Change(msgspec.Struct, frozen=True, eq=False):
+    """A balancer has come or gone."""
+
+    host: BalancerHost
+    present: bool
+
+
 class Fabric:
     """The balancers as the fabric knows them."""
 
@@ -33,13 +42,13 @@
 
     def changed(self, host: BalancerHost, present: bool) -> None:
         """A balancer has started, or has ended or begun to leave; known after the lag."""
-        self._queue.schedule(self._queue.now + self._lag_s, self._learn, (host, present))
+        self._queue.schedule(self._queue.now + self._lag_s, self._learn, _Change(host, present))
 
-    def _learn(self, argument: tuple[BalancerHost, bool]) -> None:
-        host, present = argument
-        if present and host not in self._known:
+    def _learn(self, change: _Change) -> None:
+        host = change.host
+        if change.present and host not in self._known:
             self._known.append(host)
-        elif not present and host in self._known and not self._is_back(host):
+        elif not change.present and host in self._known and not self._is_back(host):
             self._known.remove(host)
 
     def _is_back(self, host: BalancerHost) -> bool:
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -37,7 +37,8 @@
     """Run a scenario to its end.
 
     :param factory: makes the nodes.
-    :param ordered_flows: whether flows are streams, in which a back end knows a copy of a request as one.
+    :param ordered_flows: whether flows are streams, in which a back end answers a copy of a request
+        without running it.
     :raises ValueError: where the scenario's resources or settings are not valid.
     """
     return LabRun(scenario, seed, factory, ordered_flows).run(progress)
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -8,17 +8,23 @@
 
 import msgspec
 
-from sloepond.core.events import ConfigurationRead, ConfigurationReadFailed, MachineListRead
+from sloepond.core.events import (
+    BackendReplyReceived,
+    ConfigurationRead,
+    ConfigurationReadFailed,
+    MachineListRead,
+)
 from sloepond.core.packets import BackendPacket, CallerReply
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.backend import BackendHost
-from sloepond.lab.balancer import BalancerHost, PeerDatagram
+from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.callers import CallerPopulation, ServiceEntrance
 from sloepond.lab.checkers.configuration import ConfigurationChecker
 from sloepond.lab.checkers.flows import FlowChecker
 from sloepond.lab.checkers.places import PlaceChecker
 from sloepond.lab.checkers.requests import RequestChecker
 from sloepond.lab.checkers.violations import ViolationLog
+from sloepond.lab.datagrams import BackendDatagram, PeerDatagram, ProcessResult
 from sloepond.lab.declaration import Declaration
 from sloepond.lab.engine import EventQueue, RandomStreams
 from sloepond.lab.fleet import Fleet, FleetMedium
@@ -120,8 +126,8 @@
         """Send a packet to a back end; the network makes no copies on this link."""
         target = self._backends_by_address.get(address)
         if target is not None:
-            argument = (host.address, packet)
-            self.network.transmit(host.endpoint, target.endpoint, target.receive, argument, False)
+            datagram = BackendDatagram(host.address, packet)
+            self.network.transmit(host.endpoint, target.endpoint, target.receive, datagram, False)
 
     def balancer_to_peer(self, host: BalancerHost, address: str, datagram: PeerDatagram) -> None:
         """Send a message to another balancer."""
@@ -136,9 +142,9 @@
         for output in outputs:
             target = self.fleet.by_address.get(output.destination)
             if target is not None:
-                argument = (host.address, output.reply)
+                datagram = BackendReplyReceived(host.address, output.reply)
                 self.network.transmit(
-                    host.endpoint, target.endpoint, target.receive_from_backend, argument, False
+                    host.endpoint, target.endpoint, target.receive_from_backend, datagram, False
                 )
 
     def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
@@ -164,16 +170,18 @@
         if snapshot is None:
             event = ConfigurationReadFailed("configuration service does not answer")
             delay = READ_TIMEOUT_S
-            self.queue.schedule(self.queue.now + delay, host.receive_result, (host.process, event))
+            self.queue.schedule(
+                self.queue.now + delay, host.receive_result, ProcessResult(host.process, event)
+            )
             return
-        result = (host.process, ConfigurationRead(snapshot))
+        result = ProcessResult(host.process, ConfigurationRead(snapshot))
         self.queue.schedule(self.queue.now + delay, host.receive_result, result)
 
     def read_machine_list(self, host: BalancerHost) -> None:
         """Answer a read of the list of machines."""
         delay = self.scenario.platform.read_latency_ms / 1000
         event = MachineListRead(self.platform.machines(self.queue.now))
-        self.queue.schedule(self.queue.now + delay, host.receive_result, (host.process, event))
+        self.queue.schedule(self.queue.now + delay, host.receive_result, ProcessResult(host.process, event))
 
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
