--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -29,18 +29,24 @@
     """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
+    """No connection, or one that broke."""
     TIMED_OUT = "timed_out"
+    """No answer in time."""
     REFUSED = "refused"
-    """The store answered that it did nothing."""
+    """The store answered with an error that is none of the others."""
     THROTTLED = "throttled"
+    """The store answered that there are too many calls."""
     HISTORY_LOST = "history_lost"
+    """The store no longer knows the changes since the revision of a watch."""
     MALFORMED = "malformed"
+    """The answer could not be decoded."""
 
 
 class RoutesRead(msgspec.Struct, frozen=True):
-    """What operators have written was read whole; no routes if there are none yet.
+    """The routes and the evacuated halls were read whole.
 
     :ivar revision: the store's revision at the read.
+    :ivar configuration: the routes, None if operators have written none yet.
     :ivar evacuated: the halls that are evacuated.
     """
 
@@ -50,14 +56,22 @@
 
 
 class BackendsRead(msgspec.Struct, frozen=True):
-    """The whole list of back ends was read."""
+    """The whole list of back ends was read.
+
+    :ivar revision: the store's revision at the read.
+    """
 
     revision: int
     records: tuple[BackendRecord, ...]
 
 
 class RoutesChanged(msgspec.Struct, frozen=True):
-    """A watch answered: the routes as they were written, oldest first, and halls that changed."""
+    """A watch of the routes was answered.
+
+    :ivar revision: the store's revision up to which these are all changes.
+    :ivar configurations: the routes as they were written, oldest first.
+    :ivar halls: evacuated halls and such taken back, oldest first.
+    """
 
     revision: int
     configurations: tuple[RouteConfiguration, ...]
@@ -65,14 +79,18 @@
 
 
 class DepartedBackend(msgspec.Struct, frozen=True):
-    """A back end's entry is gone."""
+    """A back end's entry is gone from the list as of a revision."""
 
     name: str
     revision: int
 
 
 class BackendsChanged(msgspec.Struct, frozen=True):
-    """A watch answered: changes in their order."""
+    """A watch of the back ends was answered.
+
+    :ivar revision: the store's revision up to which these are all changes.
+    :ivar changes: in the order in which they were written.
+    """
 
     revision: int
     changes: tuple[BackendRecord | DepartedBackend, ...]
@@ -94,7 +112,7 @@
 
 
 class StoreProbed(msgspec.Struct, frozen=True):
-    """A call that only asks whether the store answers has ended.
+    """A probe of the store has ended.
 
     :ivar failure: why there was no answer, None where there was one.
     :ivar revision: the store's revision at the answer, 0 where it named none.
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -46,16 +46,6 @@
         self._confirmed: collections.deque[int] = collections.deque(maxlen=REPEATS)
         self._routes_taken_at = 0.0
 
-    @property
-    def routes_version(self) -> int:
-        """Version of the routes in force."""
-        return self._routes.version
-
-    @property
-    def list_checksum(self) -> int:
-        """Anti-entropy checksum of the back ends that are listed."""
-        return self._backends.list_checksum
-
     def routes_taken(self, now: float) -> None:
         """Note that a version of the routes has come into force."""
         self._routes_taken_at = now
@@ -69,10 +59,8 @@
         delta = None
         if now - self._routes_taken_at < REPEAT_ROUTES_S:
             delta = self._routes.history.latest_to(self._routes.version)
-        parts = tuple(self._parts(base, revision, now))
-        if not parts:
-            parts = (self._changes(None, revision, revision, is_all=True),)
-        return (msgspec.structs.replace(parts[0], route_delta=delta), *parts[1:])
+        first, *others = self._parts(base, revision, now)
+        return (msgspec.structs.replace(first, route_delta=delta), *others)
 
     def answer(self, routes_version: int, revision: int, own_revision: int, now: float) -> list[Changes]:
         """Return what a peer lacks, empty where it would be too much.
@@ -115,7 +103,7 @@
         That the sender names no later change proves nothing: a balancer that has started lately never
         received what had left the list before.
         """
-        is_list_alike = changes.list_checksum == self.list_checksum
+        is_list_alike = changes.list_checksum == self._backends.list_checksum
         knows_base = revision >= changes.base_revision or is_list_alike
         return max(revision, changes.revision) if knows_base else revision
 
@@ -126,7 +114,7 @@
         return base
 
     def _parts(self, base: int, revision: int, now: float) -> Iterator[Changes]:
-        """Return all changes between two revisions, in parts that follow each other.
+        """Return all changes between two revisions, in parts that follow each other; at least one.
 
         Where not all of them are remembered, the later ones: who began with the same list then has all,
         which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse knows
@@ -162,5 +150,5 @@
         """
         latest = self._backends.changes.latest
         evacuated = self._evacuations.known
-        checksum = self.list_checksum if is_all else NO_CHECKSUM
+        checksum = self._backends.list_checksum if is_all else NO_CHECKSUM
         return Changes(self._routes.version, delta, base, revision, latest, backends, evacuated, checksum)
