--- a/features/steps/forwarding_loop_steps.py
+++ b/features/steps/forwarding_loop_steps.py
@@ -23,7 +23,10 @@
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=120)
 PATIENCE_S = 10.0
 REPOSITORY = pathlib.Path(__file__).parents[2]
-HEAVY_MODULES = ("trio", "h11", "asyncio", "inspect", "dataclasses", "urllib.parse", "logging", "threading")
+HEAVY_MODULES = (
+    "trio", "h11", "asyncio", "inspect", "dataclasses", "urllib.parse", "logging", "threading",
+    "socket", "signal",
+)  # fmt: skip
 """Modules that take long to load, each seen in a start of an earlier version or of trio."""
 
 
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
+import _socket
 import binascii
-import socket
 
 import msgspec
 
@@ -168,7 +168,7 @@
 
 
 def _route(document: RouteDocument) -> Route:
-    address = int.from_bytes(socket.inet_aton(document.destination), "big")
+    address = int.from_bytes(_socket.inet_aton(document.destination), "big")
     key = address << PORT_BITS | int(document.port_path.strip("/"))
     regions = document.allowed_regions or ()
     parts = document.split or (SplitPart(document.service),)
--- a/sloepond/platform/packet_codec.py
+++ b/sloepond/platform/packet_codec.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-import socket
+import _socket
 import struct
 
 from sloepond.core.forwarding.packets import Segment
@@ -78,4 +78,4 @@
 
     def caller_endpoint(self, segment: Segment) -> tuple[str, int]:
         """Return the caller's address, with the port that all callers receive packets at."""
-        return socket.inet_ntoa(segment.source.to_bytes(4, "big")), self._reply_port
+        return _socket.inet_ntoa(segment.source.to_bytes(4, "big")), self._reply_port
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import socket
 from collections.abc import Callable, Iterable
 
 from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningHeld, UnknownTokenMet
@@ -21,6 +20,7 @@
 )
 from sloepond.runtime.forwarding.drivers import PacketCodec
 from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.sockets import Socket
 
 
 class DataPath:
@@ -31,9 +31,7 @@
     :param logs: tells a sample of the decisions, as far as its rate allows.
     """
 
-    def __init__(
-        self, edge: socket.socket, codec: PacketCodec, node: ForwardingNode, logs: LogWriter
-    ) -> None:
+    def __init__(self, edge: Socket, codec: PacketCodec, node: ForwardingNode, logs: LogWriter) -> None:
         self._edge = edge
         self._codec = codec
         self._node = node
--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -10,13 +10,13 @@
 import heapq
 import itertools
 import selectors
-import socket
 import types
 from collections import deque
 from collections.abc import Callable, Coroutine, Generator
 
 from sloepond.core.deadlines import NEVER
 from sloepond.runtime.clock import monotonic_seconds
+from sloepond.runtime.forwarding.sockets import Socket
 
 LONGEST_SELECT_S = 60.0
 """Longest single wait for sockets, in seconds; a wait without any deadline is cut into these.
@@ -40,13 +40,13 @@
 
     __slots__ = ("deadline", "stream", "events")
 
-    def __init__(self, deadline: float, stream: socket.socket | None = None, events: int = 0) -> None:
+    def __init__(self, deadline: float, stream: Socket | None = None, events: int = 0) -> None:
         self.deadline = deadline
         self.stream = stream
         self.events = events
 
 
-async def readable(stream: socket.socket, deadline: float) -> None:
+async def readable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be read from or accepted on.
 
     :raises TimeoutError: where the deadline passes first.
@@ -54,7 +54,7 @@
     await _wait(Wait(deadline, stream, FOR_READING))
 
 
-async def writable(stream: socket.socket, deadline: float) -> None:
+async def writable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be written to, or until its connection is made or refused.
 
     :raises TimeoutError: where the deadline passes first.
@@ -115,11 +115,11 @@
         self._tasks.add(task)
         self._due.append(task)
 
-    def watch(self, stream: socket.socket, on_readable: Callable[[], None]) -> None:
+    def watch(self, stream: Socket, on_readable: Callable[[], None]) -> None:
         """Call a function each time a socket can be read from or accepted on."""
         self._selector.register(stream, FOR_READING, on_readable)
 
-    def unwatch(self, stream: socket.socket) -> None:
+    def unwatch(self, stream: Socket) -> None:
         """Call the function of a socket no longer."""
         self._selector.unregister(stream)
 
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -6,13 +6,14 @@
 
 from __future__ import annotations
 
-import socket
+import _socket
 from collections.abc import Callable
 
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
 from sloepond.runtime.forwarding.http_message import HttpSyntaxError
+from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import READ_BYTES, connect, keep_alive, send_all
 
 LONGEST_CALL_S = 8.0
@@ -88,7 +89,7 @@
 
     async def _connect(self, deadline: CallDeadline) -> HttpConnection:
         stream = await connect(self._server, deadline.at)
-        stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
         keep_alive(stream)
         return HttpConnection(stream, HttpExchange(f"{self._server.host}:{self._server.port}"))
 
@@ -116,7 +117,7 @@
 class HttpConnection:
     """One connection to the server."""
 
-    def __init__(self, stream: socket.socket, exchange: HttpExchange) -> None:
+    def __init__(self, stream: Socket, exchange: HttpExchange) -> None:
         self._stream = stream
         self.exchange = exchange
 
--- a/sloepond/runtime/forwarding/http_server.py
+++ b/sloepond/runtime/forwarding/http_server.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import socket
 from collections.abc import Callable
 
 import msgspec
@@ -14,6 +13,7 @@
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
 from sloepond.runtime.forwarding.http_message import BodyReader, HttpHead, HttpSyntaxError, take_head
+from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import Acceptor, send_all
 
 READ_BYTES = 8_192
@@ -52,14 +52,14 @@
     """
 
     def __init__(
-        self, loop: EventLoop, listener: socket.socket, source: PageSource, counters: ForwardingCounters
+        self, loop: EventLoop, listener: Socket, source: PageSource, counters: ForwardingCounters
     ) -> None:
         self._loop = loop
         self._source = source
         self._counters = counters
         Acceptor(loop, listener, self._serve, MAXIMUM_CONNECTIONS, counters)
 
-    async def _serve(self, stream: socket.socket) -> None:
+    async def _serve(self, stream: Socket) -> None:
         buffer = bytearray()
         while True:
             deadline = self._loop.clock() + IDLE_S
@@ -75,7 +75,7 @@
                 return
 
 
-async def _next_request(stream: socket.socket, buffer: bytearray, deadline: float) -> HttpHead | None:
+async def _next_request(stream: Socket, buffer: bytearray, deadline: float) -> HttpHead | None:
     """Return the head of the next whole request, None if the other end closes; its body is dropped."""
     head: HttpHead | None = None
     body: BodyReader | None = None
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-import socket
+import _socket
 from collections.abc import Callable
 
 import msgspec
@@ -47,6 +47,7 @@
 )
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import Acceptor, connect, keep_alive, read_to_end, send_all
 
 FETCH_TIMEOUT_S = 2.5
@@ -95,8 +96,8 @@
     def __init__(
         self,
         loop: EventLoop,
-        datagrams: socket.socket,
-        streams: socket.socket,
+        datagrams: Socket,
+        streams: Socket,
         node: ForwardingNode,
         dispatch: Callable[[Event], None],
         logs: LogWriter,
@@ -169,12 +170,12 @@
         with await connect(Endpoint(ip, self._port), deadline) as stream:
             keep_alive(stream)
             await send_all(stream, self._encoder.encode(request), deadline)
-            stream.shutdown(socket.SHUT_WR)
+            stream.shutdown(_socket.SHUT_WR)
             answer = await read_to_end(stream, MAXIMUM_ANSWER_BYTES, deadline)
         self._node.counters.stream_bytes_received += len(answer)
         return answer
 
-    async def _serve(self, stream: socket.socket) -> None:
+    async def _serve(self, stream: Socket) -> None:
         """Answer the request on one stream."""
         deadline = self._loop.clock() + FETCH_TIMEOUT_S
         received = await read_to_end(stream, MAXIMUM_REQUEST_BYTES, deadline)
--- a/sloepond/runtime/forwarding/process.py
+++ b/sloepond/runtime/forwarding/process.py
@@ -9,7 +9,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    import socket
+    from sloepond.runtime.forwarding.sockets import Socket
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -140,18 +140,20 @@
     __slots__ = ("edge", "readiness", "peer_datagrams", "peer_streams", "metrics", "signals")
 
     def __init__(self, descriptors: BoundDescriptors, signals: int) -> None:
-        import socket
+        import _socket
 
-        def adopt(descriptor: int, kind: socket.SocketKind, family: int = socket.AF_INET) -> socket.socket:
-            adopted = socket.socket(family, kind, fileno=descriptor)
+        from sloepond.runtime.forwarding.sockets import Socket
+
+        def adopt(descriptor: int, kind: int, family: int = _socket.AF_INET) -> Socket:
+            adopted = Socket(family, kind, fileno=descriptor)
             adopted.setblocking(False)
             return adopted
 
-        self.edge = adopt(descriptors.edge, socket.SOCK_DGRAM)
-        self.peer_datagrams = adopt(descriptors.peer_datagrams, socket.SOCK_DGRAM)
-        self.readiness = adopt(descriptors.readiness, socket.SOCK_STREAM)
-        self.peer_streams = adopt(descriptors.peer_streams, socket.SOCK_STREAM)
-        self.metrics: socket.socket | None = None
+        self.edge = adopt(descriptors.edge, _socket.SOCK_DGRAM)
+        self.peer_datagrams = adopt(descriptors.peer_datagrams, _socket.SOCK_DGRAM)
+        self.readiness = adopt(descriptors.readiness, _socket.SOCK_STREAM)
+        self.peer_streams = adopt(descriptors.peer_streams, _socket.SOCK_STREAM)
+        self.metrics: Socket | None = None
         if not isinstance(descriptors.metrics, NotBound):
-            self.metrics = adopt(descriptors.metrics, socket.SOCK_STREAM)
-        self.signals = adopt(signals, socket.SOCK_STREAM, socket.AF_UNIX)
+            self.metrics = adopt(descriptors.metrics, _socket.SOCK_STREAM)
+        self.signals = adopt(signals, _socket.SOCK_STREAM, _socket.AF_UNIX)
--- a/sloepond/runtime/forwarding/streams.py
+++ b/sloepond/runtime/forwarding/streams.py
@@ -6,14 +6,15 @@
 
 from __future__ import annotations
 
+import _socket
 import errno
 import os
-import socket
 from collections.abc import Callable, Coroutine
 
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, Wait, readable, sleep_until, writable
+from sloepond.runtime.forwarding.sockets import Socket
 
 READ_BYTES = 65_536
 """Bytes read at once from a connection.  Not measured: the default size of a pipe or socket buffer."""
@@ -44,24 +45,24 @@
 Keep-alive doesn't probe meanwhile, so a watch sent on a silent connection would wait 25.7 s.
 """
 
-StreamHandler = Callable[[socket.socket], Coroutine[Wait, None, None]]
+StreamHandler = Callable[[Socket], Coroutine[Wait, None, None]]
 """Serves one connection, which is closed afterwards; OSError ends it."""
 
 
-async def connect(server: Endpoint, deadline: float) -> socket.socket:
+async def connect(server: Endpoint, deadline: float) -> Socket:
     """Return a connection to a server.
 
     :raises OSError: if it refuses or cannot be reached, or descriptors or ports are short here;
         `TimeoutError` after the deadline.
     """
-    stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    stream = Socket(_socket.AF_INET, _socket.SOCK_STREAM)
     try:
         stream.setblocking(False)
         begun = stream.connect_ex(server)
         if begun not in (0, errno.EINPROGRESS):
             raise OSError(begun, os.strerror(begun))
         await writable(stream, deadline)
-        failed = stream.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        failed = stream.getsockopt(_socket.SOL_SOCKET, _socket.SO_ERROR)
         if failed:
             raise OSError(failed, os.strerror(failed))
     except BaseException:
@@ -70,16 +71,16 @@
     return stream
 
 
-def keep_alive(stream: socket.socket) -> None:
+def keep_alive(stream: Socket) -> None:
     """Make a connection fail with a time-out 2 s after its other end has gone silent."""
-    stream.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_ANSWER_S)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 1)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
+    stream.setsockopt(_socket.SOL_SOCKET, _socket.SO_KEEPALIVE, 1)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPINTVL, KEEP_ALIVE_ANSWER_S)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPCNT, 1)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
 
 
-async def send_all(stream: socket.socket, data: bytes, deadline: float) -> None:
+async def send_all(stream: Socket, data: bytes, deadline: float) -> None:
     """Send bytes, as fast as the other end takes them.
 
     :raises OSError: where the connection fails, `TimeoutError` after the deadline.
@@ -92,7 +93,7 @@
             await writable(stream, deadline)
 
 
-async def read_to_end(stream: socket.socket, most: int, deadline: float) -> bytes:
+async def read_to_end(stream: Socket, most: int, deadline: float) -> bytes:
     """Return all that the other end sends until it closes.
 
     :param most: bytes after which reading stops; one read more may be returned.
@@ -120,7 +121,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        listener: socket.socket,
+        listener: Socket,
         handler: StreamHandler,
         most: int,
         counters: ForwardingCounters,
@@ -157,7 +158,7 @@
         await sleep_until(self._loop.clock() + ACCEPT_RETRY_S)
         self._loop.watch(self._listener, self._accept)
 
-    async def _serve(self, stream: socket.socket) -> None:
+    async def _serve(self, stream: Socket) -> None:
         try:
             with stream:
                 await self._handler(stream)
