--- a/features/forwarding/process.feature
+++ b/features/forwarding/process.feature
@@ -1,6 +1,6 @@
 Feature: The balancer as a process, before stand-ins of store, router and targets
 
-  Scenario: A packet goes its way, a stop leaves the routers first
+  Scenario: A packet is forwarded, and a stop is announced to the routers first
     Given platform stand-ins of a store and of two targets
     When a platform balancer is started
     Then the platform balancer becomes ready and forwards a flow to one target
--- a/sloepond/platform/__main__.py
+++ b/sloepond/platform/__main__.py
@@ -1,4 +1,8 @@
-"""Start of a balancer on the platform: bind first, so that nothing is lost, then load the rest."""
+"""Starts a balancer on the platform: binds its sockets, then loads the rest.
+
+What callers send meanwhile waits in the sockets' buffers.  Owns the signals of the process; relies on
+`binding` and `settings` to load next to nothing.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -11,6 +11,7 @@
 from sloepond.runtime.forwarding.process import ForwardingSettings
 
 FILE_VARIABLE = "SLOEPOND_NODE_FILE"
+"""Environment variable that names the settings file."""
 DEFAULT_FILE = "/etc/sloepond/node.conf"
 ZONES = "zones."
 """What the names of fields begin with that tell a hall's region: `zones.HALL=REGION`."""
@@ -25,8 +26,8 @@
     """Read the settings file.
 
     :param path: the file; if empty, the one named in the environment.
-    :raises OSError: where it cannot be read.
-    :raises KeyError: where a field that is needed is missing.
+    :raises OSError: if it cannot be read.
+    :raises KeyError: if a field that is needed is missing.
     """
     with open(path or os.environ.get(FILE_VARIABLE, DEFAULT_FILE), encoding="utf-8") as file:
         return parse_settings(file.read())
@@ -35,7 +36,7 @@
 def parse_settings(text: str) -> ForwardingSettings:
     """Return the settings in the text of a settings file; unknown fields are skipped.
 
-    :raises KeyError: where a field that is needed is missing.
+    :raises KeyError: if a field that is needed is missing.
     """
     file = SettingsText(text)
     fields = file.fields
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -28,7 +28,7 @@
 
     :ivar report: takes events about packets that wait and back ends that may be gone; set by the service.
     :param edge: bound, non-blocking UDP socket for callers' packets; they also leave through it.
-    :param logs: tells a sample of the decisions, as far as its rate allows.
+    :param logs: for a line about each decision, as far as its rate allows.
     """
 
     def __init__(self, edge: Socket, codec: PacketCodec, node: ForwardingNode, logs: LogWriter) -> None:
--- a/sloepond/runtime/forwarding/datagrams.py
+++ b/sloepond/runtime/forwarding/datagrams.py
@@ -40,6 +40,6 @@
         self._logs.failure(LogKind.RECEIVE_FAILED, self._subject, error)
 
     def send_failed(self, error: OSError) -> None:
-        """Note a datagram that could not be sent; whoever waits for it sends again."""
+        """Note a datagram that could not be sent; for its sender it is lost."""
         self._counters.sends_failed += 1
         self._logs.failure(LogKind.SEND_FAILED, self._subject, error)
--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -24,7 +24,9 @@
 Not measured: `epoll_wait` takes a bounded number of milliseconds, and one wake-up a minute costs nothing.
 """
 FOR_READING = selectors.EVENT_READ
+"""Event of a wait: there are bytes, a datagram or a connection, or the other end has closed."""
 FOR_WRITING = selectors.EVENT_WRITE
+"""Event of a wait: there is room to write, or a connection is made or refused."""
 
 Routine = Coroutine["Wait", None, None]
 """A coroutine that the loop runs; it waits by `readable`, `writable` and `sleep_until` only."""
@@ -34,7 +36,7 @@
     """What a coroutine waits for.
 
     :ivar deadline: seconds of the loop's clock, `NEVER` for none.
-    :ivar stream: socket to become ready, None where only the time counts.
+    :ivar stream: socket to become ready, None if only the time counts.
     :ivar events: `FOR_READING` or `FOR_WRITING`.
     """
 
@@ -49,7 +51,7 @@
 async def readable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be read from or accepted on.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_READING))
 
@@ -57,7 +59,7 @@
 async def writable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be written to, or until its connection is made or refused.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_WRITING))
 
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -25,14 +25,14 @@
 
 
 def _ignore(failure: HttpFailure, error: Exception) -> None:
-    """Do nothing: no one wants to know the errors."""
+    """Do nothing: the caller needs no errors."""
 
 
 class HttpClient:
     """Calls one server, one call at a time on each kept connection.
 
     :param server: IP address and port.
-    :param report: told the error behind each `HttpFailure`, for a log line.
+    :param report: called with the error behind each `HttpFailure`, for a log line.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._idle.clear()
 
     def _failed(self, error: Exception) -> HttpFailure:
-        """Return what an error of a call means; a time-out casts doubt on all idle connections too."""
+        """Return what an error of a call means; after a time-out the idle connections are closed too."""
         if isinstance(error, TimeoutError):
             failure = HttpFailure.TIMED_OUT
             self.close()
@@ -125,8 +125,8 @@
         """Send a request and return the response.
 
         :param deadline: extended whenever bytes come.
-        :raises OSError: where the connection fails, `TimeoutError` where it is too slow.
-        :raises HttpSyntaxError: where the server does not speak HTTP or breaks off.
+        :raises OSError: if the connection fails, `TimeoutError` if it is too slow.
+        :raises HttpSyntaxError: if the server does not speak HTTP, or closes within its response.
         """
         await send_all(self._stream, self.exchange.request(target), deadline.at)
         response = None
--- a/sloepond/runtime/forwarding/http_exchange.py
+++ b/sloepond/runtime/forwarding/http_exchange.py
@@ -57,8 +57,8 @@
     def receive(self, data: bytes) -> HttpResponse | None:
         """Take bytes of the server; return the response once it is whole.
 
-        :param data: empty where the server has closed the connection.
-        :raises HttpSyntaxError: where the server does not speak HTTP or breaks off.
+        :param data: empty if the server has closed the connection.
+        :raises HttpSyntaxError: if the server does not speak HTTP, or closes within its response.
         """
         self._buffer += data
         while self._head is None:
--- a/sloepond/runtime/forwarding/http_message.py
+++ b/sloepond/runtime/forwarding/http_message.py
@@ -67,7 +67,7 @@
 def take_head(buffer: bytearray) -> HttpHead | None:
     """Return the head at the start of a buffer and remove it, None while it is not whole.
 
-    :raises HttpSyntaxError: where it is no head, or too long for one.
+    :raises HttpSyntaxError: if it is no head, or longer than `LONGEST_HEAD_BYTES`.
     """
     end = buffer.find(END_OF_HEAD)
     if end < 0:
@@ -95,7 +95,7 @@
 class BodyReader:
     """Collects the body that follows a head.
 
-    :param length: bytes of the body, None where it is chunked or ends with the connection.
+    :param length: bytes of the body, None if it is chunked or ends with the connection.
     :ivar is_whole: whether all of it has come.
     """
 
@@ -115,7 +115,7 @@
     def take(self, buffer: bytearray) -> None:
         """Remove from a buffer what belongs to the body.
 
-        :raises HttpSyntaxError: where chunks are malformed.
+        :raises HttpSyntaxError: if chunks are malformed.
         """
         if self._is_chunked:
             while not self.is_whole and self._take_chunk(buffer):
@@ -129,7 +129,7 @@
     def connection_closed(self) -> None:
         """Note that nothing more comes.
 
-        :raises HttpSyntaxError: where the body is not whole.
+        :raises HttpSyntaxError: if the body is not whole.
         """
         if self._is_chunked or self._left is not None:
             raise HttpSyntaxError("the connection closed within a body")
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -165,7 +165,7 @@
             self._dispatch(PeerMessageReceived(source[0], message))
 
     async def _request(self, ip: str, request: StreamRequest) -> bytes:
-        """Return the bytes that a peer answers; empty if it has nothing to tell."""
+        """Return the bytes that a peer answers; empty if it knows nothing newer."""
         deadline = self._loop.clock() + FETCH_TIMEOUT_S
         with await connect(Endpoint(ip, self._port), deadline) as stream:
             keep_alive(stream)
--- a/sloepond/runtime/forwarding/reloading.py
+++ b/sloepond/runtime/forwarding/reloading.py
@@ -19,6 +19,7 @@
 Not measured: seeds and the store's address change rarely, and a read of a small file costs little.
 """
 _TAKEN_WHILE_RUNNING = ("seeds", "store")
+"""Settings that are put in force at once."""
 _DERIVED = ("metrics",)
 """Settings that no field of the file holds; the field they follow from is logged instead."""
 _WITHOUT_RESTART = frozenset((*_TAKEN_WHILE_RUNNING, *_DERIVED))
--- a/sloepond/runtime/forwarding/store_client.py
+++ b/sloepond/runtime/forwarding/store_client.py
@@ -56,13 +56,13 @@
         self._loop = loop
         self._codec = codec
         self._logs = logs
-        self._client = self._connect_to(address)
+        self._client = self._client_for(address)
         self.bytes_received = 0
 
     def move(self, address: str) -> None:
         """Use another address for all calls from now on."""
         self._client.close()
-        self._client = self._connect_to(address)
+        self._client = self._client_for(address)
 
     async def read(self, command: ReadSubject, on_page: Callable[[], None]) -> StoreEvent:
         """Read everything of a subject.
@@ -113,7 +113,7 @@
                 self._log_failure(failure, f"status {answer.status}")
         return answer
 
-    def _connect_to(self, address: str) -> HttpClient:
+    def _client_for(self, address: str) -> HttpClient:
         def report(failure: HttpFailure, error: Exception) -> None:
             self._log_failure(STORE_FAILURES[failure], error)
 
--- a/sloepond/runtime/forwarding/store_pages.py
+++ b/sloepond/runtime/forwarding/store_pages.py
@@ -26,6 +26,7 @@
     HttpFailure.MALFORMED: StoreFailure.MALFORMED,
 }
 """What a call without a response means to the node."""
+# What a response without a page means to the node; any other status is a refusal.
 _STATUSES = {429: StoreFailure.THROTTLED, 410: StoreFailure.HISTORY_LOST}
 OK = 200
 NOT_FOUND = 404
--- a/sloepond/runtime/forwarding/streams.py
+++ b/sloepond/runtime/forwarding/streams.py
@@ -83,7 +83,7 @@
 async def send_all(stream: Socket, data: bytes, deadline: float) -> None:
     """Send bytes, as fast as the other end takes them.
 
-    :raises OSError: where the connection fails, `TimeoutError` after the deadline.
+    :raises OSError: if the connection fails, `TimeoutError` after the deadline.
     """
     left = memoryview(data)
     while left:
@@ -97,7 +97,7 @@
     """Return all that the other end sends until it closes.
 
     :param most: bytes after which reading stops; one read more may be returned.
-    :raises OSError: where the connection fails, `TimeoutError` after the deadline.
+    :raises OSError: if the connection fails, `TimeoutError` after the deadline.
     """
     parts: list[bytes] = []
     size = 0
