--- a/sloepond/runtime/garbage_collection.py
+++ b/sloepond/runtime/garbage_collection.py
@@ -1,12 +1,19 @@
-"""Settings of Python's garbage collector for a process with much long-lived state."""
+"""Settings of Python's garbage collector for a process with much long-lived state.
+
+Owns the thresholds of the process.  Relies on reference counting to free nearly everything.
+"""
 
 from __future__ import annotations
 
 import gc
 
 THRESHOLDS = (20_000, 20, 50)
-"""Allocations between collections of the youngest objects, and how many of these
-collections there are between those of older ones."""
+"""Allocations between collections of the youngest objects, and collections of each generation
+between two of the next older one.
+
+Not measured: Python's defaults are 700, 10 and 10.  Packets and flows hold no cycles and are freed
+without the collector, so it may run about thirty times as rarely.
+"""
 
 
 def tune_garbage_collection() -> None:
