--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -84,6 +84,16 @@
         """Counters of this node."""
         return self._context.counters
 
+    @property
+    def requests_unanswered(self) -> int:
+        """Requests that were forwarded here and counted as unanswered, since the start."""
+        return self._node.counters.requests_unanswered
+
+    @property
+    def backends_passed_over(self) -> int:
+        """Back ends that are given no or few new flows for requests they have left unanswered."""
+        return self._node.backends_passed_over
+
     def status(self) -> NodeStatus:
         """Return what operators are told of this balancer."""
         identity = self._context.identity
