--- a/features/steps/node_answer_steps.py
+++ b/features/steps/node_answer_steps.py
@@ -6,15 +6,22 @@
 
 from behave import given, then, when
 from configuration_network import snapshot
+from forwarding_model import record
 from node_steps import NodeNetwork, sent_to
 
 from sloepond.core.events import BackendReplyReceived, CallerPacketReceived, ConfigurationRead
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
+from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S, WaitingRequests
+from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.core.forwarding_input import reply_head_of, segment_of
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind, FlowKey
 
 PLAYBACK = "10.255.0.2:7000"
 SETTLED_S = 3.0
 ANSWER_S = 0.03
 """Time from a request to its answer."""
+WAITED_S = 2 * UNANSWERED_AFTER_S
+"""Time after which a request that waits has counted as unanswered."""
 OPENING_INTERVAL_S = 0.2
 """Time between new flows, in which each back end has room for one."""
 MOST_OPENINGS = 64
@@ -104,3 +111,105 @@
 def step_none(context):
     seen = (context.node.requests_unanswered, context.most_passed_over)
     assert seen == (0, 0), f"{seen[0]} requests unanswered, {seen[1]} back ends passed over at once"
+
+
+@when("a request is replied to with {kind}")
+def step_refused(context, kind):
+    flow = RequestingFlow(context, 4000)
+    flow.request()
+    let_pass(context, ANSWER_S)
+    flow.reply(BackendReplyKind[kind.upper()], flow.request_id)
+    let_pass(context, WAITED_S)
+
+
+@when(
+    "{count:d} of the back ends gets a request on each of {total:d} flows every {interval:d} seconds"
+    " for {seconds:d} seconds and is silent"
+)
+def step_silent(context, count, total, interval, seconds):
+    flows = flows_of(context, count, total)
+    for _ in range(seconds // interval):
+        for flow in flows:
+            flow.request()
+        let_pass(context, interval)
+
+
+@then("all {count:d} requests count as unanswered and that back end is passed over")
+def step_passed_over(context, count):
+    assert (context.node.requests_unanswered, context.most_passed_over) == (count, 1)
+
+
+def other_packet(context, flow, name):
+    """Send a packet of a back end that does not answer the last request of a flow."""
+    if name == "a late copy of the answer to the one before":
+        flow.reply(BackendReplyKind.ANSWER, flow.request_id - 1)
+    elif name == "the answer of another back end":
+        flow.token += 1
+        flow.answer()
+    elif name == "the answer to a request of another flow":
+        other = RequestingFlow(context, 4001)
+        other.request()
+        other.answer()
+    elif name == "a push of a feed":
+        flow.reply(BackendReplyKind.PUSH, flow.request_id)
+    elif name == "the answer to a keepalive":
+        flow.reply(BackendReplyKind.ALIVE, 0)
+    else:
+        raise AssertionError(name)
+
+
+@when("a request waits and its balancer gets {name}")
+def step_waits(context, name):
+    flow = RequestingFlow(context, 4000)
+    flow.request()
+    flow.answer()
+    let_pass(context, ANSWER_S)
+    flow.request()
+    let_pass(context, ANSWER_S)
+    other_packet(context, flow, name)
+    let_pass(context, WAITED_S)
+
+
+@then("{count:d} request counts as unanswered")
+def step_unanswered(context, count):
+    assert context.node.requests_unanswered == count, context.node.requests_unanswered
+
+
+@when("a request is answered in {parts:d} parts that pass in any order")
+def step_parts(context, parts):
+    flow = RequestingFlow(context, 4000)
+    let_pass(context, SETTLED_S)
+    context.under_way = [context.node.status().in_flight]
+    flow.request()
+    context.under_way.append(context.node.status().in_flight)
+    for part in reversed(range(parts)):
+        flow.reply(BackendReplyKind.ANSWER, flow.request_id, part, parts)
+        context.under_way.append(context.node.status().in_flight)
+
+
+@then("it is under way until the first of them and never again")
+def step_under_way(context):
+    assert context.under_way == [0, 1, 0, 0, 0], context.under_way
+
+
+@when("an observer of flows sees a request, {reply} and the caller's next packet")
+def step_observed(context, reply):
+    context.observer = FlowObserver(WaitingRequests())
+    context.backend = ForwardingBackend(record(1), 0.0)
+    flow = FlowKey(PLAYBACK, "10.1.1.1:4000", 7)
+    token = context.backend.token
+    request = CallerPacket(CallerPacketKind.REQUEST, flow, 1, token=token)
+    kind = BackendReplyKind.REFUSED if reply == "a refusal" else BackendReplyKind.ANSWER
+    context.observer.packet(segment_of(request), context.backend, 1.0)
+    for copy in range(2 if reply == "the answer twice" else 1):
+        head = reply_head_of(BackendReply(kind, flow, 1, token=token))
+        context.observer.reply(head, 1.0 + ANSWER_S * (copy + 1))
+    keepalive = CallerPacket(CallerPacketKind.KEEPALIVE, flow, token=token)
+    context.observer.packet(segment_of(keepalive), context.backend, 3.0)
+
+
+@then("it has counted {count:d} latencies and no request is under way")
+def step_counted(context, count):
+    latency = context.observer.request_latency
+    assert (latency.count, context.backend.in_flight) == (count, 0)
+    assert abs(latency.total_s - count * ANSWER_S) < 1e-9, latency.total_s
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -1,6 +1,7 @@
-"""Load of back ends, seen from callers' packets alone: answers go past the balancer.
+"""Load of back ends, seen from callers' packets: on the platform answers go past the balancer.
 
 Data from a caller is a request; an acknowledgement that advances is its answer on the way.
+Where replies pass the balancer, the reply itself is seen, before the caller acknowledges it.
 Owns what was seen of the flows whose packets pass here and the counts at each back end
 (`flows`, `in_flight`, `latency`), and tells `waiting_requests` of requests and answers.  No
 packet of an open flow depends on this for its way: a flow may be forgotten at any time.
@@ -14,7 +15,7 @@
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.load.latency import LatencyHistogram
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
-from sloepond.core.forwarding.packets import Segment
+from sloepond.core.forwarding.packets import ReplyHead, Segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 MAXIMUM_FLOWS = 20_000
@@ -37,7 +38,7 @@
     :ivar sequence: of the last data seen, -1 for none.
     :ivar opened_at: time of the opening packet, 0 for none or once another has followed.
     :ivar requested_at: when the request was first seen of which no part of an answer has been
-        acknowledged, 0 for none.
+        acknowledged or has passed here, 0 for none.
     :ivar data_at: time of the last data of the request that counts as under way, 0 for none; a new
         flow counts as one request.
     """
@@ -72,7 +73,8 @@
 
     :param waiting: takes requests and their answers.
     :ivar opening_latency: from an opening packet to the next packet of the flow.
-    :ivar request_latency: from a request to the first acknowledgement of its answer.
+    :ivar request_latency: from a request to the first acknowledgement of its answer, or to the first
+        part of the answer where that passes here.
     """
 
     def __init__(self, waiting: WaitingRequests) -> None:
@@ -158,6 +160,20 @@
         flow.acknowledged = segment.acknowledgement
         return is_repeated
 
+    def reply(self, head: ReplyHead, now: float) -> None:
+        """Note a back end's reply, if it is the first one to the last request seen of its flow.
+
+        A refusal ends the wait and says nothing of the latency: a back end that sheds requests would seem
+        fast and be given more flows.
+        """
+        flow = self._flows.get(head.flow_key)
+        if flow is None or flow.acknowledged != head.acknowledgement or flow.backend.token != head.token:
+            return
+        if head.is_answer:
+            self._latency_seen(flow, now)
+        flow.requested_at = 0.0
+        self._end_in_flight(head.flow_key, flow)
+
     def _latency_seen(self, flow: ObservedFlow, now: float) -> None:
         """Note the time from a request to the first acknowledgement of its answer."""
         if not flow.requested_at:
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -40,7 +40,7 @@
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_S
 from sloepond.core.forwarding.load.latency import LatencyHistogram
 from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S
-from sloepond.core.forwarding.packets import Segment
+from sloepond.core.forwarding.packets import ReplyHead, Segment
 from sloepond.core.forwarding.peers.messages import Snapshot
 from sloepond.core.forwarding.peers.reader_election import Role
 from sloepond.core.forwarding.state.backend import Decision
@@ -176,6 +176,10 @@
             self._deadline = min(self._deadline, now + UNANSWERED_AFTER_S)
         return decision
 
+    def reply_seen(self, head: ReplyHead, now: float) -> None:
+        """Note a back end's reply that passes this balancer; never called where replies go past it."""
+        self._forwarder.observer.reply(head, now)
+
     def next_deadline(self) -> float:
         """Return when to send `TimerFired` next."""
         return self._deadline
--- a/sloepond/core/forwarding/packets.py
+++ b/sloepond/core/forwarding/packets.py
@@ -1,6 +1,6 @@
-"""The head of a caller's packet, and the reasons for which one is not forwarded.
+"""The heads of callers' packets and of replies, and the reasons for which a packet is not forwarded.
 
-Owns: the form of both.  Relies on: the codec of the runtime to fill a segment.
+Owns: the form of all three.  Relies on: the codec of the runtime to fill a segment.
 """
 
 from __future__ import annotations
@@ -51,6 +51,21 @@
         return caller << ENDPOINT_BITS | self.route_key
 
 
+class ReplyHead(msgspec.Struct, frozen=True, gc=False):
+    """Head of a back end's reply to a request, where replies pass the balancer.
+
+    :ivar flow_key: key of the flow; see `Segment.flow_key`.
+    :ivar acknowledgement: `Segment.acknowledgement` of the request that is replied to.
+    :ivar token: routing token of the back end.
+    :ivar is_answer: whether it holds the answer or a part of it, rather than a refusal.
+    """
+
+    flow_key: int
+    acknowledgement: int
+    token: int
+    is_answer: bool
+
+
 def last_segment(flow_key: int, acknowledgement: int) -> Segment:
     """Return the head of an empty packet of a flow, as its caller would send it.
 
--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -10,11 +10,17 @@
 import hashlib
 import ipaddress
 
-from sloepond.core.forwarding.packets import PORT_BITS, Segment
+from sloepond.core.forwarding.packets import ENDPOINT_BITS, PORT_BITS, ReplyHead, Segment
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, Share
-from sloepond.core.packets import CallerPacket, CallerPacketKind
+from sloepond.core.packets import (
+    BackendReply,
+    BackendReplyKind,
+    CallerPacket,
+    CallerPacketKind,
+    FlowKey,
+)
 from sloepond.resources.compiled import CompiledBackend, CompiledService
 from sloepond.resources.model import BackendState as DeclaredState
 
@@ -22,6 +28,8 @@
 """Bytes of a host in the key of an endpoint."""
 NUMBER_BYTES = 8
 """Bytes of a back end's number, from which its routing token is made."""
+_REFUSALS = (BackendReplyKind.REFUSED, BackendReplyKind.CANCELLED, BackendReplyKind.FLOW_UNKNOWN)
+"""Replies that say a request was not run: the back end works, so none of them is silence."""
 
 
 def segment_of(packet: CallerPacket) -> Segment:
@@ -39,7 +47,7 @@
         destination=destination >> PORT_BITS,
         destination_port=destination & (1 << PORT_BITS) - 1,
         sequence=0,
-        acknowledgement=packet.attempt if is_opening else packet.request_id + 1,
+        acknowledgement=packet.attempt if is_opening else _acknowledgement(packet.request_id),
         length=int(packet.kind is CallerPacketKind.REQUEST),
         is_opening=is_opening,
         is_closing=packet.kind is CallerPacketKind.CLOSE,
@@ -48,6 +56,17 @@
     )
 
 
+def reply_head_of(reply: BackendReply) -> ReplyHead | None:
+    """Return the head of a back end's reply to a request, None for other replies.
+
+    :raises ValueError: an address of the flow is none; no caller's packet of such a flow is forwarded.
+    """
+    is_answer = reply.kind is BackendReplyKind.ANSWER
+    if not reply.request_id or not (is_answer or reply.kind in _REFUSALS):
+        return None
+    return ReplyHead(_flow_key(reply.flow), _acknowledgement(reply.request_id), reply.token, is_answer)
+
+
 def route_of(service: CompiledService) -> Route:
     """Return the route of a service's address: to this service alone."""
     return Route(service.name, _endpoint_key(service.address), (Share(service.name, 1.0),))
@@ -95,6 +114,16 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=NUMBER_BYTES).digest(), "big")
 
 
+def _acknowledgement(request_id: int) -> int:
+    """Return the number that packets of a flow carry once it has sent a request."""
+    return request_id + 1
+
+
+def _flow_key(flow: FlowKey) -> int:
+    """Return `Segment.flow_key` of a flow's packets."""
+    return _endpoint_key(flow.caller_address) << ENDPOINT_BITS | _endpoint_key(flow.service_address)
+
+
 def _endpoint_key(address: str) -> int:
     host, _, port = address.rpartition(":")
     return _host_key(host) << PORT_BITS | int(port)
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -44,7 +44,7 @@
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import RouteConfiguration
-from sloepond.core.forwarding_input import place_rules_of, record_of, route_of, segment_of
+from sloepond.core.forwarding_input import place_rules_of, record_of, reply_head_of, route_of, segment_of
 from sloepond.core.messages import ConfigurationOffered, Member
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
@@ -151,7 +151,7 @@
             self.counters.caller_packets += 1
             return self._caller_packet(event.packet, now)
         if isinstance(event, BackendReplyReceived):
-            return _passed_on(event.reply)
+            return self._backend_reply(event.reply, now)
         if isinstance(event, TimerFired):
             return self._on_time(now)
         if isinstance(event, StopRequested):
@@ -248,6 +248,12 @@
             return [SendToBackend(address, backend_packet(packet, backend.token))]
         return [SendToCaller(refusal_of(packet))] if decision.reset else []
 
+    def _backend_reply(self, reply: BackendReply, now: float) -> list[Command]:
+        head = reply_head_of(reply)
+        if head is not None:
+            self._node.reply_seen(head, now)
+        return _passed_on(reply)
+
 
 def _passed_on(reply: BackendReply) -> list[Command]:
     """Return a reply on its way; a back end that does not take a flow is silent."""
