--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -51,7 +51,7 @@
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import RouteConfiguration
-from sloepond.core.forwarding_input import place_rules_of, record_of, route_of, segment_of
+from sloepond.core.forwarding_input import place_rules_of, record_of, reply_head_of, route_of, segment_of
 from sloepond.core.messages import ConfigurationOffered, Member
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
@@ -95,6 +95,16 @@
         """Counters of this node."""
         return self._context.counters
 
+    @property
+    def requests_unanswered(self) -> int:
+        """Requests that were forwarded here and counted as unanswered, since the start."""
+        return self._node.counters.requests_unanswered
+
+    @property
+    def backends_passed_over(self) -> int:
+        """Back ends that are given no or few new flows for requests they have left unanswered."""
+        return self._node.backends_passed_over
+
     def status(self) -> NodeStatus:
         """Return what operators are told of this balancer."""
         identity = self._context.identity
@@ -162,7 +172,7 @@
             self.counters.caller_packets += 1
             return self._caller_packet(event.packet, now)
         if isinstance(event, BackendReplyReceived):
-            return _passed_on(event.reply)
+            return self._backend_reply(event.reply, now)
         if isinstance(event, TimerFired):
             return self._on_time(now)
         if isinstance(event, StopRequested):
@@ -261,6 +271,12 @@
             return [SendToBackend(address, backend_packet(packet, backend.token))]
         return [SendToCaller(refusal_of(packet))] if decision.reset else []
 
+    def _backend_reply(self, reply: BackendReply, now: float) -> list[Command]:
+        head = reply_head_of(reply)
+        if head is not None:
+            self._node.reply_seen(head, now)
+        return _passed_on(reply)
+
 
 def _passed_on(reply: BackendReply) -> list[Command]:
     """Return a reply on its way; a back end that does not take a flow is silent."""
