--- a/sloepond/core/packets.py
+++ b/sloepond/core/packets.py
@@ -90,8 +90,10 @@
     BACKEND_GONE = 7
     DEADLINE_PASSED = 8
     ALREADY_HANDED_OVER = 9
-    NO_LEASE = 10
-    NO_QUORUM = 11
+    RETIRED_10 = 10
+    """Not sent; an earlier version sent it while it was unsure that no other balancer acted for a flow."""
+    RETIRED_11 = 11
+    """Not sent; an earlier version sent it where too few balancers could be reached."""
     FLOW_UNKNOWN = 12
     CANCELLED = 13
     LEAVING = 14
