--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -24,7 +24,8 @@
 from sloepond.core.settings import ConfigurationSettings, NodeSettings
 from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import BackendState, Location, PlaceSelector
-from sloepond.standins.backend_model import BackendModel, BackendSettings
+from sloepond.standins.backend_model import BackendModel
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=120)
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -13,7 +13,8 @@
     CallerReplyKind,
     FlowKey,
 )
-from sloepond.standins.backend_model import BackendModel, BackendSettings
+from sloepond.standins.backend_model import BackendModel
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.caller_model import CallerFlow
 from sloepond.standins.caller_plan import CallerSettings, FlowPlan, RequestPlan
 from sloepond.standins.caller_record import BreakReason, FlowState, RequestOutcome
--- a/sloepond/cli/standin.py
+++ b/sloepond/cli/standin.py
@@ -18,7 +18,7 @@
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import Resource
 from sloepond.standins.backend import BackendHost
-from sloepond.standins.backend_model import BackendSettings
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.caller_plan import CallerSettings
 from sloepond.standins.client import Client
 from sloepond.standins.fabric import Fabric, FabricStarted
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -29,7 +29,8 @@
 from sloepond.demo.fleet_access import FleetAccess, is_serving, member_of, wait_until
 from sloepond.demo.processes import DemoProcess, ProcessFailedError, ProcessGroup
 from sloepond.resources.model import Location
-from sloepond.standins.backend_model import BackendSettings, Execution
+from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.fabric_model import Balancer, FabricSettings
 from sloepond.standins.workload import WorkloadSettings
 
--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -15,7 +15,8 @@
 from sloepond.core.packets import BackendPacket, CallerPacketKind
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Endpoint
-from sloepond.standins.backend_model import BackendModel, BackendOutput, BackendSettings, Execution
+from sloepond.standins.backend_model import BackendModel, BackendOutput, Execution
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
 
 
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -29,7 +29,8 @@
 from sloepond.lab.result import TimelineEntry
 from sloepond.lab.scenario import Scenario, ServiceModel
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.standins.backend_model import BackendOutput, BackendSettings, Execution
+from sloepond.standins.backend_model import BackendOutput, Execution
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
 
 READ_TIMEOUT_S = 1.0
--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import (
     BackendPacket,
     BackendReply,
@@ -21,6 +22,7 @@
     LoadReport,
 )
 from sloepond.standins.backend_record import BackendCounters, BackendOutput, Execution
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import (
     FEED_PAYLOAD,
     AnswerContent,
@@ -31,40 +33,6 @@
 )
 from sloepond.standins.feed_schedule import FeedSchedule
 
-_NEVER = float("inf")
-
-
-class BackendSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Behaviour of one back end.
-
-    :ivar slots: requests run at the same time.
-    :ivar connections: flows held at the same time.
-    :ivar queue: requests that may wait for a slot; more are shed.
-    :ivar service_s: mean time a request runs, in seconds.
-    :ivar service_spread: the time is drawn evenly within this share of the mean.
-    :ivar part_bytes: payload bytes of one part of an answer.
-    :ivar push_interval_s: time between items of a feed, in seconds.
-    :ivar cold_s: time after the start during which requests run slower.
-    :ivar cold_factor: how many times slower requests run at the start.
-    :ivar load_lag_s: age a reported load may have, in seconds.
-    :ivar load_factor: multiplies the reported load; 0 claims to be idle.
-    :ivar ordered_flows: whether a flow is a stream of bytes, in which a copy of a
-        request is no second request: it is answered again, not run again.
-    """
-
-    slots: int = 2
-    connections: int = 2_000
-    queue: int = 16
-    service_s: float = 0.02
-    service_spread: float = 0.5
-    part_bytes: int = 1_000
-    push_interval_s: float = 0.2
-    cold_s: float = 0.0
-    cold_factor: float = 4.0
-    load_lag_s: float = 0.0
-    load_factor: float = 1.0
-    ordered_flows: bool = False
-
 
 class _HeldFlow(msgspec.Struct):
     """A flow, the address and token it was last heard with and the requests it started.
@@ -109,7 +77,7 @@
         self._feeds = FeedSchedule()
         self._started_at: float | None = None
         self._load = LoadReport(0, 0)
-        self._load_sampled_at = -_NEVER
+        self._load_sampled_at = -NEVER
 
     @property
     def flows(self) -> int:
@@ -127,7 +95,7 @@
 
     def next_deadline(self) -> float:
         """Return when `on_time` is next needed, infinity if never."""
-        finish = self._running[0][0] if self._running else _NEVER
+        finish = self._running[0][0] if self._running else NEVER
         return min(finish, self._feeds.next_deadline())
 
     def on_time(self, now: float) -> list[BackendOutput]:
@@ -200,7 +168,7 @@
             self._keep_answer(outputs[-1].reply)
             return
         held.accepted[packet.request_id] = []
-        deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else _NEVER
+        deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else NEVER
         self._waiting.append(_WaitingRequest(packet, source, deadline))
         self._start_waiting(now, outputs)
 
--- a/sloepond/standins/caller_model.py
+++ b/sloepond/standins/caller_model.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import ClassVar
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import (
     CallerPacket,
     CallerPacketKind,
@@ -38,11 +39,6 @@
 from sloepond.standins.liveness import Liveness
 from sloepond.standins.pending_request import PendingRequest, Retransmission, first_transmission
 
-_NEVER = float("inf")
-
-
-_FINISHED_STATES = frozenset({FlowState.CLOSED, FlowState.REFUSED, FlowState.UNOPENED, FlowState.BROKEN})
-
 
 class CallerFlow:
     """One flow of a caller.
@@ -56,18 +52,18 @@
         self._flow = flow
         self._plan = plan
         self._settings = settings
-        self._opening = Retransmission(_NEVER, settings.retransmit_s, _NEVER)
+        self._opening = Retransmission(NEVER, settings.retransmit_s, NEVER)
         self._liveness = Liveness(settings)
         self._pending: dict[int, PendingRequest] = {}
         self._next_plan = 0
-        self._next_request_at = _NEVER
-        self._close_at = _NEVER
+        self._next_request_at = NEVER
+        self._close_at = NEVER
         self._token = 0
 
     @property
     def is_finished(self) -> bool:
         """Whether the flow sends nothing more."""
-        return self.record.state in _FINISHED_STATES
+        return self.record.is_finished
 
     def start(self, now: float) -> list[CallerPacket]:
         """Open the flow."""
@@ -86,7 +82,7 @@
     def next_deadline(self) -> float:
         """Return when `on_time` is next needed, infinity if never."""
         if self.is_finished:
-            return _NEVER
+            return NEVER
         if self.record.state is FlowState.OPENING:
             return min(self._opening.due, self._opening.give_up_at)
         deadlines = [pending.next_deadline() for pending in self._pending.values()]
@@ -128,7 +124,7 @@
             return []
         if reply.token and self._token and reply.token != self._token:
             return []
-        self._note_contradiction(reply)
+        self.record.note_contradiction(reply)
         if self.is_finished:
             return []
         self._liveness.reply_received()
@@ -137,8 +133,6 @@
             handler(self, reply, now)
         return self.on_time(now) if self.next_deadline() <= now else []
 
-    # Opening
-
     def _on_time_opening(self, now: float) -> list[CallerPacket]:
         if now >= self._opening.give_up_at:
             self._finish(FlowState.UNOPENED, now)
@@ -158,8 +152,6 @@
         self._liveness.flow_established(now)
         self._schedule_next(now)
 
-    # Requests
-
     def _may_send(self) -> bool:
         return self._next_plan < len(self._plan.requests) and len(self._pending) < self._settings.window
 
@@ -167,7 +159,7 @@
         if self._next_plan < len(self._plan.requests):
             self._next_request_at = now + self._plan.requests[self._next_plan].pause_s
         elif not self._pending:
-            self._next_request_at = _NEVER
+            self._next_request_at = NEVER
             self._close_at = now + self._plan.hold_s
 
     def _send_due(self, now: float, packets: list[CallerPacket]) -> None:
@@ -180,7 +172,7 @@
     def _send_request(self, plan: RequestPlan, now: float) -> CallerPacket:
         record = RequestRecord(request_id=len(self.record.requests) + 1, plan=plan, started_at=now)
         self.record.requests.append(record)
-        cancel_at = _NEVER if plan.cancel_after_s is None else now + plan.cancel_after_s
+        cancel_at = NEVER if plan.cancel_after_s is None else now + plan.cancel_after_s
         pending = PendingRequest(record, first_transmission(now, self._settings), cancel_at)
         self._pending[record.request_id] = pending
         return pending.packet(self._flow, now, self._token)
@@ -209,10 +201,8 @@
             self._break(BreakReason.SILENT, now)
 
     def _end_request(self, pending: PendingRequest, outcome: RequestOutcome, now: float) -> None:
-        record = pending.record
-        record.outcome = outcome
-        record.ended_at = now
-        self._pending.pop(record.request_id, None)
+        pending.record.end(outcome, now)
+        self._pending.pop(pending.record.request_id, None)
         self._schedule_next(now)
 
     def _handle_answer(self, reply: CallerReply, now: float) -> None:
@@ -253,29 +243,13 @@
             return
         pending.timing.due = now + reply.retry_after_ms / 1000
 
-    def _note_contradiction(self, reply: CallerReply) -> None:
-        """Record a refusal or an answer that comes after the other for the same request."""
-        if not 1 <= reply.request_id <= len(self.record.requests):
-            return
-        record = self.record.requests[reply.request_id - 1]
-        if reply.kind is CallerReplyKind.REFUSED:
-            record.told_refused = True
-        elif reply.kind is CallerReplyKind.ANSWER and record.told_refused:
-            self.record.answered_after_refusal += 1
-
-    # Feeds, keepalives and the end of the flow
-
     def _handle_push(self, reply: CallerReply, now: float) -> None:
         content = decode_push(reply.payload)
         if content is None or content.flow != self._flow:
             self.record.misrouted += 1
             return
         self._liveness.feed_item_received(now)
-        self.record.feed_items += 1
-        missed = content.sequence - self.record.feed_sequence - 1
-        if missed >= 0:
-            self.record.feed_gaps += missed
-            self.record.feed_sequence = content.sequence
+        self.record.note_feed_item(content.sequence)
         self._note_backend(content.backend, now)
 
     def _handle_alive(self, reply: CallerReply, now: float) -> None:
@@ -294,14 +268,7 @@
             self._break(reason, now)
 
     def _note_backend(self, identity: BackendIdentity | None, now: float) -> None:
-        if identity is None:
-            return
-        if identity.service != self.record.service:
-            self.record.misrouted += 1
-            return
-        if not self.record.backend:
-            self.record.backend = identity.name
-        elif self.record.backend != identity.name:
+        if identity is not None and self.record.note_backend(identity):
             self._break(BreakReason.BACKEND_CHANGED, now)
 
     def _break(self, reason: BreakReason, now: float) -> None:
@@ -314,8 +281,7 @@
     def _finish(self, state: FlowState, now: float) -> None:
         self.record.state = state
         for pending in self._pending.values():
-            pending.record.outcome = RequestOutcome.ABANDONED
-            pending.record.ended_at = now
+            pending.record.end(RequestOutcome.ABANDONED, now)
         self._pending.clear()
 
     _HANDLERS: ClassVar[dict[CallerReplyKind, Callable[[CallerFlow, CallerReply, float], None]]] = {
--- a/sloepond/standins/caller_record.py
+++ b/sloepond/standins/caller_record.py
@@ -6,8 +6,9 @@
 
 import msgspec
 
-from sloepond.core.packets import FlowKey, Reason
+from sloepond.core.packets import CallerReply, CallerReplyKind, FlowKey, Reason
 from sloepond.standins.caller_plan import RequestPlan
+from sloepond.standins.content import BackendIdentity
 
 
 class RequestOutcome(enum.StrEnum):
@@ -38,6 +39,9 @@
     BROKEN = "broken"
 
 
+_FINISHED_STATES = frozenset({FlowState.CLOSED, FlowState.REFUSED, FlowState.UNOPENED, FlowState.BROKEN})
+
+
 class BreakReason(enum.StrEnum):
     """Why an established flow counts as broken."""
 
@@ -65,6 +69,11 @@
     execution: int = 0
     told_refused: bool = False
 
+    def end(self, outcome: RequestOutcome, now: float) -> None:
+        """Note how the request ended."""
+        self.outcome = outcome
+        self.ended_at = now
+
 
 class FlowRecord(msgspec.Struct):
     """What became of one flow.
@@ -89,3 +98,35 @@
     feed_gaps: int = 0
     feed_sequence: int = 0
     requests: list[RequestRecord] = msgspec.field(default_factory=list)
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether the flow sends nothing more."""
+        return self.state in _FINISHED_STATES
+
+    def note_contradiction(self, reply: CallerReply) -> None:
+        """Record a refusal or an answer that comes after the other for the same request."""
+        if not 1 <= reply.request_id <= len(self.requests):
+            return
+        request = self.requests[reply.request_id - 1]
+        if reply.kind is CallerReplyKind.REFUSED:
+            request.told_refused = True
+        elif reply.kind is CallerReplyKind.ANSWER and request.told_refused:
+            self.answered_after_refusal += 1
+
+    def note_feed_item(self, sequence: int) -> None:
+        """Record an item of a feed, and those that it shows were skipped."""
+        self.feed_items += 1
+        missed = sequence - self.feed_sequence - 1
+        if missed >= 0:
+            self.feed_gaps += missed
+            self.feed_sequence = sequence
+
+    def note_backend(self, identity: BackendIdentity) -> bool:
+        """Record which back end spoke; return whether another one spoke before."""
+        if identity.service != self.service:
+            self.misrouted += 1
+            return False
+        if not self.backend:
+            self.backend = identity.name
+        return self.backend != identity.name
--- a/sloepond/standins/client.py
+++ b/sloepond/standins/client.py
@@ -11,6 +11,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import CallerPacket, FlowKey
 from sloepond.runtime.addresses import format_address, parse_address
 from sloepond.runtime.clock import monotonic_seconds
@@ -28,7 +29,6 @@
 REPORT_PATH = "/report"
 
 _INCARNATION_BITS = 48
-_NEVER = float("inf")
 
 
 class Client:
@@ -85,13 +85,13 @@
         return len(self._flows) == len(self._planned) and not self._open
 
     def _next_deadline(self) -> float:
-        deadline = self._deadlines[0][0] if self._deadlines else _NEVER
+        deadline = self._deadlines[0][0] if self._deadlines else NEVER
         return min(deadline, self._next_opening())
 
     def _next_opening(self) -> float:
         opened = len(self._flows)
         if opened == len(self._planned):
-            return _NEVER
+            return NEVER
         return self._started_at + self._planned[opened].opens_at
 
     def _step(self, bound: DatagramSocket) -> list[CallerPacket]:
@@ -145,7 +145,7 @@
             self._open.discard(key)
             return
         deadline = flow.next_deadline()
-        if deadline >= self._scheduled.get(key, _NEVER):
+        if deadline >= self._scheduled.get(key, NEVER):
             return
         self._scheduled[key] = deadline
         self._number += 1
--- a/sloepond/standins/feed_schedule.py
+++ b/sloepond/standins/feed_schedule.py
@@ -6,10 +6,9 @@
 
 import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import FlowKey
 
-_NEVER = float("inf")
-
 
 class FeedItem(msgspec.Struct, frozen=True):
     """An item to push now.
@@ -51,7 +50,7 @@
 
     def next_deadline(self) -> float:
         """Return when the next item is due, infinity if never."""
-        return self._schedule[0][0] if self._schedule else _NEVER
+        return self._schedule[0][0] if self._schedule else NEVER
 
     def take_due(self, now: float, interval_s: float) -> list[FeedItem]:
         """Return the items due by `now` and schedule the following ones."""
--- a/sloepond/standins/hosting.py
+++ b/sloepond/standins/hosting.py
@@ -9,7 +9,8 @@
 
 from sloepond.resources.model import Backend, Resource, Service
 from sloepond.standins.backend import HostedBackend
-from sloepond.standins.backend_model import BackendModel, BackendSettings
+from sloepond.standins.backend_model import BackendModel
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
 from sloepond.standins.workload import CalledService
 
--- a/sloepond/standins/liveness.py
+++ b/sloepond/standins/liveness.py
@@ -2,20 +2,19 @@
 
 from __future__ import annotations
 
+from sloepond.core.deadlines import NEVER
 from sloepond.standins.caller_plan import CallerSettings
 from sloepond.standins.caller_record import BreakReason
 
-_NEVER = float("inf")
-
 
 class Liveness:
     """Times of keepalives, of silence and of the feed, in seconds."""
 
     def __init__(self, settings: CallerSettings) -> None:
         self._settings = settings
-        self._keepalive_at = _NEVER
-        self._unanswered_since = _NEVER
-        self._feed_heard_at = _NEVER
+        self._keepalive_at = NEVER
+        self._unanswered_since = NEVER
+        self._feed_heard_at = NEVER
 
     def flow_established(self, now: float) -> None:
         """Start sending keepalives."""
@@ -23,7 +22,7 @@
 
     def reply_received(self) -> None:
         """Note that the flow is served."""
-        self._unanswered_since = _NEVER
+        self._unanswered_since = NEVER
 
     def feed_subscribed(self, now: float) -> None:
         """Expect feed items from now on, and send keepalives more often."""
@@ -40,7 +39,7 @@
 
     def keepalive_sent(self, now: float) -> None:
         """Wait for a reply and set the time of the next keepalive."""
-        has_feed = self._feed_heard_at < _NEVER
+        has_feed = self._feed_heard_at < NEVER
         interval = self._settings.feed_keepalive_s if has_feed else self._settings.keepalive_s
         self._keepalive_at = now + interval
         self._unanswered_since = min(self._unanswered_since, now)
--- a/sloepond/standins/pending_request.py
+++ b/sloepond/standins/pending_request.py
@@ -4,12 +4,11 @@
 
 import msgspec
 
+from sloepond.core.deadlines import NEVER
 from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReply, FlowKey
 from sloepond.standins.caller_plan import CallerSettings
 from sloepond.standins.caller_record import RequestRecord
 
-_NEVER = float("inf")
-
 
 class Retransmission(msgspec.Struct):
     """When a packet is sent again and given up; times in seconds."""
@@ -51,7 +50,7 @@
 
     def cancel(self, now: float) -> None:
         """Make the next packet a cancellation, due at once."""
-        self.cancel_at = _NEVER
+        self.cancel_at = NEVER
         self.cancelled = True
         self.timing.due = now
 
