--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -10,13 +10,13 @@
 import heapq
 import itertools
 import selectors
-import socket
 import types
 from collections import deque
 from collections.abc import Callable, Coroutine, Generator
 
 from sloepond.core.deadlines import NEVER
 from sloepond.runtime.clock import monotonic_seconds
+from sloepond.runtime.forwarding.sockets import Socket
 
 LONGEST_SELECT_S = 60.0
 """Longest single wait for sockets, in seconds; a wait without any deadline is cut into these.
@@ -24,7 +24,9 @@
 Not measured: `epoll_wait` takes a bounded number of milliseconds, and one wake-up a minute costs nothing.
 """
 FOR_READING = selectors.EVENT_READ
+"""Event of a wait: there are bytes, a datagram or a connection, or the other end has closed."""
 FOR_WRITING = selectors.EVENT_WRITE
+"""Event of a wait: there is room to write, or a connection is made or refused."""
 
 Routine = Coroutine["Wait", None, None]
 """A coroutine that the loop runs; it waits by `readable`, `writable` and `sleep_until` only."""
@@ -34,30 +36,30 @@
     """What a coroutine waits for.
 
     :ivar deadline: seconds of the loop's clock, `NEVER` for none.
-    :ivar stream: socket to become ready, None where only the time counts.
+    :ivar stream: socket to become ready, None if only the time counts.
     :ivar events: `FOR_READING` or `FOR_WRITING`.
     """
 
     __slots__ = ("deadline", "stream", "events")
 
-    def __init__(self, deadline: float, stream: socket.socket | None = None, events: int = 0) -> None:
+    def __init__(self, deadline: float, stream: Socket | None = None, events: int = 0) -> None:
         self.deadline = deadline
         self.stream = stream
         self.events = events
 
 
-async def readable(stream: socket.socket, deadline: float) -> None:
+async def readable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be read from or accepted on.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_READING))
 
 
-async def writable(stream: socket.socket, deadline: float) -> None:
+async def writable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be written to, or until its connection is made or refused.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_WRITING))
 
@@ -115,11 +117,11 @@
         self._tasks.add(task)
         self._due.append(task)
 
-    def watch(self, stream: socket.socket, on_readable: Callable[[], None]) -> None:
+    def watch(self, stream: Socket, on_readable: Callable[[], None]) -> None:
         """Call a function each time a socket can be read from or accepted on."""
         self._selector.register(stream, FOR_READING, on_readable)
 
-    def unwatch(self, stream: socket.socket) -> None:
+    def unwatch(self, stream: Socket) -> None:
         """Call the function of a socket no longer."""
         self._selector.unregister(stream)
 
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -6,13 +6,14 @@
 
 from __future__ import annotations
 
-import socket
+import _socket
 from collections.abc import Callable
 
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
 from sloepond.runtime.forwarding.http_message import HttpSyntaxError
+from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import READ_BYTES, connect, keep_alive, send_all
 
 LONGEST_CALL_S = 8.0
@@ -24,14 +25,14 @@
 
 
 def _ignore(failure: HttpFailure, error: Exception) -> None:
-    """Do nothing: no one wants to know the errors."""
+    """Do nothing: the caller needs no errors."""
 
 
 class HttpClient:
     """Calls one server, one call at a time on each kept connection.
 
     :param server: IP address and port.
-    :param report: told the error behind each `HttpFailure`, for a log line.
+    :param report: called with the error behind each `HttpFailure`, for a log line.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._idle.clear()
 
     def _failed(self, error: Exception) -> HttpFailure:
-        """Return what an error of a call means; a time-out casts doubt on all idle connections too."""
+        """Return what an error of a call means; after a time-out the idle connections are closed too."""
         if isinstance(error, TimeoutError):
             failure = HttpFailure.TIMED_OUT
             self.close()
@@ -88,7 +89,7 @@
 
     async def _connect(self, deadline: CallDeadline) -> HttpConnection:
         stream = await connect(self._server, deadline.at)
-        stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
         keep_alive(stream)
         return HttpConnection(stream, HttpExchange(f"{self._server.host}:{self._server.port}"))
 
@@ -116,7 +117,7 @@
 class HttpConnection:
     """One connection to the server."""
 
-    def __init__(self, stream: socket.socket, exchange: HttpExchange) -> None:
+    def __init__(self, stream: Socket, exchange: HttpExchange) -> None:
         self._stream = stream
         self.exchange = exchange
 
@@ -124,8 +125,8 @@
         """Send a request and return the response.
 
         :param deadline: extended whenever bytes come.
-        :raises OSError: where the connection fails, `TimeoutError` where it is too slow.
-        :raises HttpSyntaxError: where the server does not speak HTTP or breaks off.
+        :raises OSError: if the connection fails, `TimeoutError` if it is too slow.
+        :raises HttpSyntaxError: if the server does not speak HTTP, or closes within its response.
         """
         await send_all(self._stream, self.exchange.request(target), deadline.at)
         response = None
