--- a/sloepond/cli/standin.py
+++ b/sloepond/cli/standin.py
@@ -211,7 +211,7 @@
     try:
         trio.run(run)  # type: ignore[arg-type]
     except* KeyboardInterrupt:
-        pass
+        pass  # An interrupt is how a stand-in is ended.
 
 
 STANDIN_COMMANDS: list[Callable[..., None]] = [platform, fabric, backend, client]
--- a/sloepond/core/caller_packets.py
+++ b/sloepond/core/caller_packets.py
@@ -1,4 +1,7 @@
-"""Packets between callers, balancers and back ends, one made from the other."""
+"""Packets between callers, balancers and back ends, one made from the other.
+
+Holds no state; relies on the types of `core.packets` alone.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/commands.py
+++ b/sloepond/core/commands.py
@@ -1,4 +1,7 @@
-"""Commands returned by the node: what is to be done outside."""
+"""Commands returned by the node: what is to be done outside.
+
+The node decides; whoever runs it (daemon or lab) carries commands out, in order.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/assembly.py
+++ b/sloepond/core/configuration/assembly.py
@@ -1,4 +1,7 @@
-"""Reassembly of an encoded delta or snapshot from its parts."""
+"""Reassembly of an encoded delta or snapshot from its parts.
+
+Owns the parts of one transfer.  Relies on the sender's header for their number, within limits.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/delta.py
+++ b/sloepond/core/configuration/delta.py
@@ -1,4 +1,7 @@
-"""Differences between generations, and a bounded history of them."""
+"""Differences between generations, and a bounded history of them.
+
+Owns the deltas of the last generations.  Relies on resources sorted by key.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/fetcher.py
+++ b/sloepond/core/configuration/fetcher.py
@@ -1,4 +1,8 @@
-"""Fetches a newer generation from a balancer that has it in force."""
+"""Fetches a newer generation from a balancer that has it in force.
+
+Owns the one fetch under way and the balancers known to have more.  Relies on
+`ConfigurationStore` to judge what it has fetched.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -3,6 +3,8 @@
 A generation is taken as a change of the present one: it is compared or decoded,
 hashed, checked as a whole and compiled.  Nothing is changed on the way; the
 result is a configuration that may be put in force, or the reason why not.
+
+Holds no state.  Relies on `validation` for the rules and on `resources.compiled` for the result.
 """
 
 from __future__ import annotations
--- a/sloepond/core/configuration/rejections.py
+++ b/sloepond/core/configuration/rejections.py
@@ -1,4 +1,7 @@
-"""Versions of the configuration that were rejected, each reported once."""
+"""Versions of the configuration that were rejected, each reported once.
+
+Owns which versions were rejected, a bounded number of them.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/sender.py
+++ b/sloepond/core/configuration/sender.py
@@ -1,4 +1,8 @@
-"""Sends deltas and snapshots to balancers that ask for them."""
+"""Sends deltas and snapshots to balancers that ask for them.
+
+Owns encoded transfers, those who wait for one and the rate limit of all.  Relies on
+`ConfigurationStore` for the generation in force.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/sliced_work.py
+++ b/sloepond/core/configuration/sliced_work.py
@@ -2,6 +2,8 @@
 
 A balancer that is busy for long with one call forwards no packets meanwhile.  Short work
 ends within the call that starts it.
+
+Owns the piece of work under way.  Relies on `ConfigurationStore` to call `on_time`.
 """
 
 from __future__ import annotations
--- a/sloepond/core/configuration/sources.py
+++ b/sloepond/core/configuration/sources.py
@@ -1,4 +1,7 @@
-"""Balancers that are known to have a newer generation in force."""
+"""Balancers that are known to have a newer generation in force.
+
+Owns what each of them last said, for a bounded number of them.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/configuration/startup.py
+++ b/sloepond/core/configuration/startup.py
@@ -2,6 +2,8 @@
 
 The platform's service may be stale.  A balancer that has nothing in force must
 not take an old generation from it while its peers have a newer one.
+
+Owns the snapshot that is held.  Relies on `ConfigurationStore` to tell of peers heard.
 """
 
 from __future__ import annotations
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -4,6 +4,9 @@
 whole and matches its digest.  A lower one never replaces it, wherever it comes
 from.  Two contents under one generation are a fault of the platform: the first
 one stays and the other is reported.
+
+Owns the generation in force and the one that is judged.  Relies on the other modules of
+this package, each for one job, and on the node for time and messages.
 """
 
 from __future__ import annotations
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -4,6 +4,8 @@
 resource.  Here the back ends in which it cannot find anything are told apart
 first, at a few microseconds each; it is asked about all the others, together
 with one back end of each service that shows that the service is reachable.
+
+Holds no state.  Relies on `resources.validation` for the findings themselves.
 """
 
 from __future__ import annotations
--- a/sloepond/core/deadlines.py
+++ b/sloepond/core/deadlines.py
@@ -1,4 +1,7 @@
-"""Deadlines of components."""
+"""Deadlines of components.
+
+Compared with times of the node's clock, in seconds.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/core/events.py
+++ b/sloepond/core/events.py
@@ -1,4 +1,7 @@
-"""Events taken by the node: what has happened outside, without any I/O."""
+"""Events taken by the node: what has happened outside, without any I/O.
+
+Whoever runs the node makes events of datagrams, timers and answers of the platform.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/addresses.py
+++ b/sloepond/runtime/addresses.py
@@ -1,4 +1,7 @@
-"""Addresses as the core writes them (`ip:port`) and as sockets take them."""
+"""Addresses as the core writes them (`ip:port`) and as sockets take them.
+
+Holds no state but a cache of parsed addresses.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/clock.py
+++ b/sloepond/runtime/clock.py
@@ -1,4 +1,7 @@
-"""The clocks of the daemon."""
+"""The clocks of the daemon.
+
+Relies on the operating system's clocks.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/command_writer.py
+++ b/sloepond/runtime/command_writer.py
@@ -1,4 +1,8 @@
-"""Carrying out the node's commands without waiting."""
+"""Carrying out the node's commands without waiting.
+
+Owns which part carries out which command.  Relies on the sender for datagrams, on the reader
+for the platform and on the logger for changes of state.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/daemon.py
+++ b/sloepond/runtime/daemon.py
@@ -1,4 +1,8 @@
-"""The balancer daemon: tasks around one node."""
+"""The balancer daemon: tasks around one node.
+
+Owns the tasks, the exit code and the limit of a planned stop.  Relies on `Pipeline` for
+everything between sockets and node.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/datagram_socket.py
+++ b/sloepond/runtime/datagram_socket.py
@@ -1,4 +1,7 @@
-"""A non-blocking UDP socket that is drained in batches and never waits to send."""
+"""A non-blocking UDP socket that is drained in batches and never waits to send.
+
+Owns the socket.  Relies on the kernel's buffers: what they cannot hold is lost and counted.
+"""
 
 from __future__ import annotations
 
@@ -62,7 +65,11 @@
         for _ in range(BATCH_DATAGRAMS):
             try:
                 received = receive(size)
+            except BlockingIOError:
+                return
             except OSError:
+                # The kernel reports here that an earlier datagram did not arrive.
+                self._counters.sends_failed += 1
                 return
             yield received
 
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -1,4 +1,8 @@
-"""Hands events to the node and its commands to the writer; never raises."""
+"""Hands events to the node and its commands to the writer; never raises.
+
+Owns when the balancer was last busy and which failures were logged.  Relies on the node for
+decisions and on `command_writer` to carry them out.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/packet_sender.py
+++ b/sloepond/runtime/packet_sender.py
@@ -1,4 +1,8 @@
-"""Sending packets and messages without waiting."""
+"""Sending packets and messages without waiting.
+
+Owns the three sockets of a balancer.  Relies on `wire.edge` for the bytes of packets and on
+the outbox for messages to peers.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/peer_outbox.py
+++ b/sloepond/runtime/peer_outbox.py
@@ -1,4 +1,7 @@
-"""Messages to peers, gathered so that those of one batch share datagrams."""
+"""Messages to peers, gathered so that those of one batch share datagrams.
+
+Owns the messages of the present batch.  Relies on the pipeline to flush it after each batch.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -1,4 +1,8 @@
-"""One node on three sockets, without tasks: datagrams and time in, datagrams out."""
+"""One node on three sockets, without tasks: datagrams and time in, datagrams out.
+
+Owns the node and what stands between it and the sockets.  Relies on whoever runs it to wait for
+sockets and time.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/platform_client.py
+++ b/sloepond/runtime/platform_client.py
@@ -3,6 +3,8 @@
 The platform's service is read-only and may be down, stale or wrong: every
 failure is a value with a reason.  Answers are taken only if every field of them
 has its type.
+
+Owns the HTTP client.  Relies on `resources` to decode and check what was read.
 """
 
 from __future__ import annotations
--- a/sloepond/runtime/platform_reader.py
+++ b/sloepond/runtime/platform_reader.py
@@ -1,4 +1,8 @@
-"""Carries out the node's reads of the platform, one of each kind at a time."""
+"""Carries out the node's reads of the platform, one of each kind at a time.
+
+Owns the reads that wait.  Relies on `PlatformClient` for each read and on `dispatch` to hand
+over what it gave.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/receiver.py
+++ b/sloepond/runtime/receiver.py
@@ -1,4 +1,7 @@
-"""Turning datagrams into events; what cannot be taken is counted and dropped."""
+"""Turning datagrams into events; what cannot be taken is counted and dropped.
+
+Relies on `wire` to decode and authenticate; owns only the choice of counters.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/reloading.py
+++ b/sloepond/runtime/reloading.py
@@ -1,4 +1,7 @@
-"""Reading the settings file again while the daemon runs."""
+"""Reading the settings file again while the daemon runs.
+
+Owns which settings are taken over without a restart.  Relies on `settings_file` for the checks.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/settings.py
+++ b/sloepond/runtime/settings.py
@@ -1,4 +1,7 @@
-"""Settings of the daemon; the file is TOML and its tables mirror these structs."""
+"""Settings of the daemon; the file is TOML and its tables mirror these structs.
+
+`runtime.unread_settings` adds what a file may hold besides.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/settings_file.py
+++ b/sloepond/runtime/settings_file.py
@@ -1,4 +1,8 @@
-"""Reading the settings file, with flags that override it."""
+"""Reading the settings file, with flags that override it.
+
+Relies on `structure` for types, on `settings_rules` for values and on `unread_settings` for the
+form of the file.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/runtime/settings_rules.py
+++ b/sloepond/runtime/settings_rules.py
@@ -1,4 +1,7 @@
-"""Rules on settings beyond the type of each field."""
+"""Rules on settings beyond the type of each field.
+
+Owns the limits of values.  Relies on `structure` to have checked the types before.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/fabric.py
+++ b/sloepond/standins/fabric.py
@@ -113,7 +113,7 @@
             response.raise_for_status()
             machines = msgspec.json.decode(response.content, type=MachineList)
         except (httpx.HTTPError, msgspec.MsgspecError):
-            return
+            return  # The stand-in platform may be down on purpose; the list that was read last stays.
         self._model.set_live_names([member.name for member in machines.members])
 
     async def _set_balancers(self, request: Request) -> Response:
--- a/sloepond/wire/replay.py
+++ b/sloepond/wire/replay.py
@@ -1,4 +1,7 @@
-"""Which sequence numbers of each peer were seen, in bounded memory."""
+"""Which sequence numbers of each peer were seen, in bounded memory.
+
+Owns a window of sequence numbers for each sender; relies on the envelope to be authentic.
+"""
 
 from __future__ import annotations
 
