--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -98,12 +98,12 @@
     @property
     def requests_unanswered(self) -> int:
         """Requests that were forwarded here and counted as unanswered, since the start."""
-        return self._node.counters.requests_unanswered
+        return self._forwarding.counters.requests_unanswered
 
     @property
     def backends_passed_over(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
-        return self._node.backends_passed_over
+        return self._forwarding.backends_passed_over
 
     def status(self) -> NodeStatus:
         """Return what operators are told of this balancer."""
@@ -274,7 +274,7 @@
     def _backend_reply(self, reply: BackendReply, now: float) -> list[Command]:
         head = reply_head_of(reply)
         if head is not None:
-            self._node.reply_seen(head, now)
+            self._forwarding.reply_seen(head, now)
         return _passed_on(reply)
 
 
