--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -36,7 +36,7 @@
     SnapshotReceived,
     StoreCallFailed,
     StoreFailure,
-    StoreHeard,
+    StorePartReceived,
     StoreProbed,
     Subject,
     TimerFired,
@@ -302,7 +302,7 @@
     harness = context.harness
     harness.all(FetchSnapshot)
     for _ in range(round(seconds * 10)):
-        harness.handle(StoreHeard())
+        harness.handle(StorePartReceived())
         harness.run_to(harness.now + 0.1, TimerFired())
 
 
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -107,7 +107,7 @@
     was_watch: bool
 
 
-class StoreHeard(msgspec.Struct, frozen=True):
+class StorePartReceived(msgspec.Struct, frozen=True):
     """A part of an answer has come from the store; the rest is on its way."""
 
 
@@ -215,7 +215,7 @@
 
 
 StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
-StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StoreHeard
+StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePartReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
 PacketEvent = OpeningHeld | UnknownTokenMet | BackendSuspected | BackendChecked
 ProcessEvent = PeersJoined | SettingsChanged | StopRequested
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -28,7 +28,7 @@
     SnapshotReceived,
     StoreCallFailed,
     StoreEvent,
-    StoreHeard,
+    StorePartReceived,
     StoreProbed,
     Subject,
     TimerFired,
@@ -223,7 +223,7 @@
         """Take an answer, a part of one, or the failure of a call."""
         if isinstance(event, StoreProbed):
             self._dissemination.probe_ended(event, self._now)
-        elif isinstance(event, StoreHeard):
+        elif isinstance(event, StorePartReceived):
             self._exchange.bootstrap.store_answering(self._now)
         else:
             self._answers.take(event, self._now)
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -27,7 +27,7 @@
 class Lag(msgspec.Struct):
     """A subject of which a peer knows more than this balancer.
 
-    :ivar peer: who knows more.
+    :ivar peer: address of the peer that knows more.
     :ivar due: when the next request is sent.
     :ivar known: version or revision known here when the waits began.
     :ivar step: how many of the waits are over.
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -2,7 +2,7 @@
 
 Readers of the store confirm several times over what they know; every balancer passes each confirmation on
 once, to a few random peers, so it reaches all within a few steps whatever the size of the fleet.  It
-carries what has changed lately.  Who has missed more than that requests it from the sender, then from
+carries what has changed lately.  A balancer that has missed more requests it from the sender, then from
 another peer, then from the store.
 
 Owns: which revisions were confirmed last.  Relies on: `ChangeIndex` and `RouteHistory` for what has changed
@@ -26,7 +26,7 @@
 MAXIMUM_BACKENDS = 12
 """Back ends in one message.  Encoded, 12 take 1,268 bytes, so the message stays below 1,500."""
 MAXIMUM_MESSAGES = 8
-"""Messages that answer one request; who lacks more reads the whole list from the store.  Not measured: 96
+"""Messages that answer one request; a peer that lacks more reads the list from the store.  Not measured: 96
 back ends, 10 kB."""
 REPEATS = 2
 """Confirmations of one reader that carry a change of back ends, against lost datagrams.  Measured between
@@ -116,9 +116,9 @@
     def _parts(self, base: int, revision: int, now: float) -> Iterator[Changes]:
         """Return all changes between two revisions, in parts that follow each other; at least one.
 
-        Where not all of them are remembered, the later ones: who began with the same list then has all,
-        which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse knows
-        all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
+        Where not all of them are remembered, the later ones: a peer that began with the same list has all
+        then, which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse
+        knows all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
         """
         base = max(base, self._backends.changes.complete_from)
         names = self._backends.changes.since(base) or ()
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -105,7 +105,7 @@
     def compare_lists(self, ip: str, changes: Changes, now: float) -> None:
         """Read the list anew if readers that know as much hold another one.
 
-        Whoever knows less requests what it lacks; of two lists that count as complete up to the same
+        A balancer that knows less requests what it lacks; of two lists that count as complete up to the same
         revision, only the store can tell which one is wrong.
         """
         watcher = self._watchers[Subject.BACKENDS]
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -1,4 +1,4 @@
-"""Keeps the copy of the store current: by own reads of the store, or by gossip of those who read it.
+"""Keeps the copy of the store current: by own reads of the store, or by gossip of its readers.
 
 Owns: the parts that do so (role, probes of the store, confirmations, intake of changes) and the order
 in which they act.  Relies on: the watchers in `store`, which schedule the reads and watches themselves.
--- a/sloepond/core/forwarding/peers/list_comparison.py
+++ b/sloepond/core/forwarding/peers/list_comparison.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from sloepond.core.deadlines import NEVER
+from sloepond.core.forwarding.store.backoff import DoublingInterval
 
 DIFFERS_S = 0.4
 """Seconds for which all checksums received must differ before the list is read anew.  A change reaches all
@@ -23,7 +24,7 @@
 
     def __init__(self) -> None:
         self._differs_since = NEVER
-        self._timeout_s = DIFFERS_S
+        self._timeout = DoublingInterval(DIFFERS_S, LONGEST_TIMEOUT_S)
 
     def compare(self, is_alike: bool, now: float) -> bool:
         """Take one comparison; return whether the list is to be read anew.
@@ -32,11 +33,11 @@
         """
         if is_alike:
             self._differs_since = NEVER
-            self._timeout_s = DIFFERS_S
+            self._timeout.reset()
             return False
         self._differs_since = min(self._differs_since, now)
-        if now - self._differs_since < self._timeout_s:
+        if now - self._differs_since < self._timeout.seconds:
             return False
         self._differs_since = NEVER
-        self._timeout_s = min(LONGEST_TIMEOUT_S, 2.0 * self._timeout_s)
+        self._timeout.double()
         return True
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -1,7 +1,7 @@
 """Peer sampling: each balancer keeps a partial view of the others, by heartbeats to a random few.
 
-Membership needs no agreement.  A heartbeat says how much its sender knows, so that who has missed a change
-requests it; and it carries addresses of other balancers.
+Membership needs no agreement.  A heartbeat says how much its sender knows, so that a peer that has missed
+a change requests it; and it carries addresses of other balancers.
 
 Owns: the peers known, and when each sent its last message.  Relies on: `Heartbeats` to send and take
 heartbeats, the settings for seeds.
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -51,9 +51,9 @@
 def without_changes(message: Confirmation) -> Confirmation:
     """Return a confirmation that only says how much its reader knows.
 
-    Whoever learns of changes passes them on once; all who receive them again pass on only that they are
-    confirmed, and who lacks them then requests them.  What 195 balancers sent each other over one day
-    fell from 254 to 68 MB by this and by sending each change in two confirmations.
+    A balancer passes changes on whole when it learns of them; when it receives them again it passes on only
+    that they are confirmed, and a peer that lacks them requests them.  What 195 balancers sent each other
+    over one day fell from 254 to 68 MB by this and by sending each change in two confirmations.
     """
     sent = message.changes
     bare = Changes(
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -204,7 +204,7 @@
     def listed(
         self, records: Sequence[BackendRecord], revision: int, now: float, complete_to: int = 0
     ) -> int:
-        """Take the whole list as of a revision: who is missing in it has departed.
+        """Take the whole list as of a revision: a back end that is missing in it has departed.
 
         :param complete_to: revision up to which all changes are known here, if that is beyond the list.
         :returns: number of back ends that changed.
--- a/sloepond/core/forwarding/state/change_index.py
+++ b/sloepond/core/forwarding/state/change_index.py
@@ -10,7 +10,7 @@
 import msgspec
 
 MAXIMUM_CHANGES = 4_096
-"""Changes remembered; who lacks more reads the whole list.  Not measured: many more than the 96 that answer
+"""Changes remembered; a peer that lacks more reads the list.  Not measured: many more than the 96 that answer
 one request; about 0.3 MB of memory."""
 
 
--- a/sloepond/core/forwarding/state/route_delta.py
+++ b/sloepond/core/forwarding/state/route_delta.py
@@ -12,8 +12,8 @@
 from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration
 
 MAXIMUM_DELTAS = 32
-"""Differences kept for peers that are behind.  Not measured: who lacks more versions reads the routes
-whole."""
+"""Differences kept for peers that are behind.  Not measured: a peer that lacks more versions reads the
+routes from the store."""
 MAXIMUM_CHANGES = 12
 """Routes changed in a difference that is sent by datagram; a larger one goes by stream.  Encoded,
 12 routes with two services each take 987 bytes, so the message stays below 1,500."""
--- a/sloepond/core/forwarding/store/missed_changes.py
+++ b/sloepond/core/forwarding/store/missed_changes.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from sloepond.core.deadlines import NEVER
+from sloepond.core.forwarding.store.backoff import DoublingInterval
 
 READ_INTERVAL_S = 1.0
 """The least seconds between reads for this reason; it doubles with each that brings nothing, since others
@@ -44,7 +45,7 @@
         self._probed_revision = 0
         self._read_for = KnownState(0, 0, 0)
         self._read_again_at = -NEVER
-        self._interval_s = READ_INTERVAL_S
+        self._interval = DoublingInterval(READ_INTERVAL_S, LONGEST_READ_INTERVAL_S)
 
     def begin(self) -> None:
         """Forget earlier probes: this balancer begins to watch."""
@@ -62,10 +63,10 @@
         self._probed_revision = revision
         if not has_missed or now < self._read_again_at:
             return False
-        is_useless = known.has_same_content(self._read_for)
-        self._interval_s = (
-            min(LONGEST_READ_INTERVAL_S, 2.0 * self._interval_s) if is_useless else READ_INTERVAL_S
-        )
+        if known.has_same_content(self._read_for):
+            self._interval.double()
+        else:
+            self._interval.reset()
         self._read_for = known
-        self._read_again_at = now + self._interval_s
+        self._read_again_at = now + self._interval.seconds
         return True
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -25,7 +25,7 @@
     Event,
     PeersJoined,
     StopRequested,
-    StoreHeard,
+    StorePartReceived,
     TimerFired,
 )
 from sloepond.core.forwarding.node import ForwardingNode
@@ -128,7 +128,7 @@
         self.dispatch(TimerFired())
 
     def _store_heard(self) -> None:
-        self.dispatch(StoreHeard())
+        self.dispatch(StorePartReceived())
 
     def _check_backend(self, command: CheckBackend) -> None:
         def report(result: CheckResult) -> None:
