--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -30,7 +30,7 @@
     Event,
     PeersJoined,
     StopRequested,
-    StoreHeard,
+    StorePartReceived,
     TimerFired,
 )
 from sloepond.core.forwarding.node import ForwardingNode
@@ -153,7 +153,7 @@
         self.dispatch(TimerFired())
 
     def _store_page_received(self) -> None:
-        self.dispatch(StoreHeard())
+        self.dispatch(StorePartReceived())
 
     def _check_backend(self, command: CheckBackend) -> None:
         def report(result: CheckResult) -> None:
