--- a/features/node/node.feature
+++ b/features/node/node.feature
@@ -29,6 +29,11 @@
     When the next generations drain a back end, remove it, and declare it again
     Then the node gives it new flows after the last of them, and none between
 
+  Scenario: A zone that is drained is given no new flow until that is taken back
+    Given a running node with generation 3 in force
+    When the next generations drain the zone of a back end with an open flow, and take it back
+    Then the node gives it the open flow throughout, and new flows only when its zone is not drained
+
   Scenario: A back end that moves to another address is given its new flows there
     Given a running node with generation 3 in force
     When the next generation declares a back end with an open flow at another address
--- a/features/steps/node_declaration_steps.py
+++ b/features/steps/node_declaration_steps.py
@@ -17,7 +17,17 @@
     FlowKey,
 )
 from sloepond.resources.content import make_snapshot
-from sloepond.resources.model import BackendState, PlaceSelector
+from sloepond.resources.model import (
+    API_VERSION,
+    BackendState,
+    Hall,
+    HallSpec,
+    Metadata,
+    PlaceSelector,
+    Zone,
+    ZoneSpec,
+    ZoneState,
+)
 
 ARCHIVE, PLAYBACK = "archive", "playback"
 KEPT, MOVED = 0, 4
@@ -27,6 +37,7 @@
 OPENING_INTERVAL_S = 0.5
 NEW_ADDRESS = "10.0.9.9:8000"
 DENIED_HALL = "hall-2"
+FAR_ZONE, FAR_HALL = "zone-b", "hall-9"
 SETTLED_S = 3.0
 
 
@@ -94,6 +105,26 @@
     assert context.given_flows == [True, False, True, False, False, True], context.given_flows
 
 
+@when("the next generations drain the zone of a back end with an open flow, and take it back")
+def step_zone_drained(context):
+    open_at_moved(context)
+    elsewhere = backend(MOVED, ARCHIVE, hall=FAR_HALL)
+    context.given_flows, context.open_flow_kept = [], []
+    for number, state in enumerate((ZoneState.ACTIVE, ZoneState.EVACUATED, ZoneState.ACTIVE)):
+        zone = Zone(API_VERSION, Metadata(FAR_ZONE), ZoneSpec("accra", state=state))
+        hall = Hall(API_VERSION, Metadata(FAR_HALL), HallSpec(FAR_ZONE))
+        take(context, declared(5 + number, zone, hall, elsewhere))
+        context.given_flows.append(address_of(MOVED) in openings(context))
+        sent = sent_to(context.network.handle(context.node, context.request))
+        context.open_flow_kept.append(sent.address == address_of(MOVED))
+
+
+@then("the node gives it the open flow throughout, and new flows only when its zone is not drained")
+def step_zone_undrained(context):
+    assert context.given_flows == [True, False, True], context.given_flows
+    assert all(context.open_flow_kept), context.open_flow_kept
+
+
 @when("the next generation declares a back end with an open flow at another address")
 def step_moved(context):
     open_at_moved(context)
--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -23,7 +23,18 @@
 from sloepond.core.packets import CallerPacket, CallerPacketKind, CallerReplyKind, FlowKey
 from sloepond.core.settings import ConfigurationSettings, NodeSettings
 from sloepond.resources.content import make_snapshot
-from sloepond.resources.model import BackendState, Location, PlaceSelector
+from sloepond.resources.model import (
+    API_VERSION,
+    BackendState,
+    Hall,
+    HallSpec,
+    Location,
+    Metadata,
+    PlaceSelector,
+    Zone,
+    ZoneSpec,
+    ZoneState,
+)
 from sloepond.standins.backend_model import BackendModel
 from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
@@ -36,6 +47,8 @@
 BACKENDS = 5
 SERVICES = ("archive", "playback")
 DENIED_HALL = "hall-2"
+FAR_HALL = "hall-9"
+"""Hall of a zone that is drained in some generations."""
 LOCATION = Location("accra", "zone-a", "hall-0")
 SERVE_S = 0.05
 STEP_S = 0.02
@@ -83,14 +96,18 @@
         """Publish a generation in which each back end serves, drains, stands elsewhere or is gone."""
         self.generation += 1
         denied = (PlaceSelector(hall=DENIED_HALL),)
-        resources = [*places(), *(service(name, denied) for name in SERVICES)]
+        state = ZoneState.EVACUATED if self.draw.random() < 0.3 else ZoneState.ACTIVE
+        far = Zone(API_VERSION, Metadata("zone-b"), ZoneSpec("accra", state=state))
+        far_hall = Hall(API_VERSION, Metadata(FAR_HALL), HallSpec("zone-b"))
+        resources = [*places(), far, far_hall, *(service(name, denied) for name in SERVICES)]
         for number in range(BACKENDS * len(SERVICES)):
             fate = self.draw.random()
             if number >= len(SERVICES) and fate < 0.2:
                 continue
             is_draining = number >= len(SERVICES) and fate < 0.5
             state = BackendState.DRAINING if is_draining else BackendState.ACTIVE
-            hall = DENIED_HALL if number >= len(SERVICES) and fate > 0.85 else "hall-0"
+            hall = self.draw.choice(("hall-0", "hall-0", FAR_HALL, DENIED_HALL))
+            hall = hall if number >= len(SERVICES) else "hall-0"
             owner = SERVICES[number % len(SERVICES)]
             declared = backend(number, owner, hall=hall, state=state)
             resources.append(declared)
--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -73,11 +73,16 @@
 
 
 def place_rules_of(services: tuple[CompiledService, ...]) -> PlaceRules:
-    """Return the halls in which each service's back ends may be given new flows."""
+    """Return the halls in which each service's back ends may be given new flows.
+
+    A hall whose zone is drained is none; its back ends keep their open flows.
+    """
     return PlaceRules(
         {
             service.name: frozenset(
-                backend.location.hall for backend in service.backends if backend.permitted
+                backend.location.hall
+                for backend in service.backends
+                if backend.permitted and not backend.location.evacuated
             )
             for service in services
         }
