--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sloepond.resources.model import Backend, BackendState, Location, ServiceLimits, ServiceSpec
+from sloepond.resources.model import Backend, BackendState, Location, ServiceSpec
 
 
 class CompiledBackend(msgspec.Struct, frozen=True, gc=False):
@@ -19,7 +19,6 @@
     address: str
     location: Location
     slots: int
-    connections: int
     weight: int
     state: BackendState
     permitted: bool
@@ -38,7 +37,6 @@
     name: str
     address: str
     spec: ServiceSpec
-    limits: ServiceLimits
     backends: tuple[CompiledBackend, ...]
     placeable: tuple[CompiledBackend, ...]
     """Back ends that may take new flows: permitted, active, weight above 0."""
@@ -58,7 +56,6 @@
         address=backend.spec.address,
         location=location,
         slots=backend.spec.slots,
-        connections=backend.spec.connections,
         weight=backend.spec.weight,
         state=backend.spec.state,
         permitted=is_place_permitted(service, location),
@@ -97,4 +94,4 @@
     :param backends: sorted by name.
     :param placeable: those that take new flows, sorted by name.
     """
-    return CompiledService(name, spec.address, spec, spec.limits, backends, placeable)
+    return CompiledService(name, spec.address, spec, backends, placeable)
--- a/sloepond/resources/model.py
+++ b/sloepond/resources/model.py
@@ -98,7 +98,10 @@
 
 
 class ServiceLimits(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """Admission limits of one service on one balancer, and its time limits."""
+    """Limits of one service: accepted, checked and shown, but read by no balancer.
+
+    Balancers forward by routing token and count neither flows nor requests of a service.
+    """
 
     flows: int = 400_000
     """Open flows a balancer may hold for the service."""
@@ -121,7 +124,7 @@
     denied: tuple[PlaceSelector, ...] = ()
     """Places traffic may not go; wins over `permitted`."""
     repeatable_by_default: bool = False
-    """Whether a request that does not say may be run more than once."""
+    """Whether a request that does not say may be run more than once; read by no balancer."""
     limits: ServiceLimits = ServiceLimits()
 
 
@@ -135,9 +138,9 @@
     slots: int = 2
     """Requests the back end runs at the same time."""
     connections: int = 2_000
-    """Flows the back end holds at the same time."""
+    """Flows the back end holds at the same time; read by stand-ins, by no balancer."""
     weight: int = 100
-    """Relative share of new flows; 0 takes none."""
+    """0 takes no new flows; balancers make no difference between other values."""
     state: BackendState = BackendState.ACTIVE
 
 
