--- a/features/steps/api_fakes.py
+++ b/features/steps/api_fakes.py
@@ -10,7 +10,7 @@
 from sloepond.core.counters import Counters
 from sloepond.core.status import NodeStatus, PeerReport
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.resources.generations import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -29,7 +29,8 @@
 from sloepond.core.configuration.validation import findings_after
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
-from sloepond.resources.generations import make_snapshot, only_backends, resource_key, updated_content_slices
+from sloepond.resources.content import make_snapshot, only_backends, resource_key, updated_content_slices
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
@@ -41,7 +42,6 @@
     Zone,
     ZoneSpec,
 )
-from sloepond.resources.places import resolve_locations
 from sloepond.resources.slices import BLOCK_ITEMS, finished
 from sloepond.resources.validation import validate_snapshot
 
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -18,8 +18,8 @@
 
 from sloepond.resources.addresses import canonical_address
 from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.documents import parse_text
-from sloepond.resources.generations import make_snapshot
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import API_VERSION, Backend, BackendSpec, Hall, Metadata, Status
--- a/features/steps/standins_checking_steps.py
+++ b/features/steps/standins_checking_steps.py
@@ -3,7 +3,7 @@
 
 from sloepond.core.packets import FlowKey
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.resources.generations import make_snapshot
+from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
     API_VERSION,
     Backend,
--- a/sloepond/api/changes.py
+++ b/sloepond/api/changes.py
@@ -8,7 +8,7 @@
 
 from sloepond.api.resource_status import with_status
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.resources.generations import resource_key
+from sloepond.resources.content import resource_key
 from sloepond.resources.model import Resource
 
 
--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -3,6 +3,8 @@
 A generation is taken as a change of the present one: it is compared or decoded,
 hashed, checked as a whole and compiled.  Nothing is changed on the way; the
 result is a configuration that may be put in force, or the reason why not.
+
+Holds no state.  Relies on `validation` for the rules and on `resources.compiled` for the result.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 from sloepond.core.configuration.fetcher import FetchedTransfer
 from sloepond.core.configuration.validation import findings_after_slices
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.resources.generations import ResourceKey, resource_key, updated_content_slices
+from sloepond.resources.content import ResourceKey, resource_key, updated_content_slices
 from sloepond.resources.model import ConfigurationSnapshot, Resource
 from sloepond.resources.sharing import share_values_slices
 from sloepond.resources.slices import Slices, blocks
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -4,6 +4,8 @@
 resource.  Here the back ends in which it cannot find anything are told apart
 first, at a few microseconds each; it is asked about all the others, together
 with one back end of each service that shows that the service is reachable.
+
+Holds no state.  Relies on `resources.validation` for the findings themselves.
 """
 
 from __future__ import annotations
@@ -14,9 +16,10 @@
 
 from sloepond.core.configuration.delta import ConfigurationDelta
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.resources.compiled_items import CompiledBackend
+from sloepond.resources.compiled_items import CompiledBackend, is_place_permitted
+from sloepond.resources.content import ResourceKey, find_resource, only_backends, without_backends
 from sloepond.resources.findings import Finding
-from sloepond.resources.generations import ResourceKey, find_resource, only_backends, without_backends
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     BackendSpec,
@@ -27,7 +30,6 @@
     Service,
     ServiceSpec,
 )
-from sloepond.resources.places import is_place_permitted, resolve_locations
 from sloepond.resources.slices import Slices, blocks, finished
 from sloepond.resources.typed_rules import is_right_by_itself
 from sloepond.resources.validation import validate_snapshot
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -8,10 +8,9 @@
 from __future__ import annotations
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.commands import Command, FetchRoutes, LogKind
+from sloepond.core.forwarding.commands import Command, FetchRoutes, LogKind, Outbox
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.local_state import LocalState
-from sloepond.core.forwarding.outbox import Outbox
 from sloepond.core.forwarding.peers.catch_up import READ_SPREAD_S, CatchUp
 from sloepond.core.forwarding.peers.change_gossip import ChangeGossip
 from sloepond.core.forwarding.peers.list_comparison import ListComparison
@@ -106,7 +105,7 @@
     def compare_lists(self, ip: str, changes: Changes, now: float) -> None:
         """Read the list anew if readers that know as much hold another one.
 
-        Whoever knows less requests what it lacks; of two lists that count as complete up to the same
+        A balancer that knows less requests what it lacks; of two lists that count as complete up to the same
         revision, only the store can tell which one is wrong.
         """
         watcher = self._watchers[Subject.BACKENDS]
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -7,10 +7,9 @@
 from __future__ import annotations
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.commands import ForwardHeld, LogKind
+from sloepond.core.forwarding.commands import ForwardHeld, LogKind, Outbox
 from sloepond.core.forwarding.events import Subject, UnknownTokenMet
 from sloepond.core.forwarding.local_state import LocalState
-from sloepond.core.forwarding.outbox import Outbox
 from sloepond.core.forwarding.peers.held_packets import HOLD_S, HeldPackets
 from sloepond.core.forwarding.peers.messages import KnownBackend, TokenReply, TokenRequest
 
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -183,11 +183,11 @@
         return await self.start_balancer(planned)
 
     async def wait_serving(self) -> None:
-        """Wait until each of `balancers` has a configuration in force and forwards by it.
+        """Wait until all of `balancers` forward.
 
         :raises ProcessFailedError: where one of them has ended.
         """
-        await wait_until(self._are_serving, START_TIMEOUT_S, "configuration in force on every balancer")
+        await wait_until(self._are_serving, START_TIMEOUT_S, "every balancer to forward")
 
     async def _are_serving(self) -> bool:
         for balancer in self.balancers:
--- a/sloepond/demo/fleet_access.py
+++ b/sloepond/demo/fleet_access.py
@@ -126,7 +126,7 @@
 
 
 def is_serving(status: NodeStatus | None) -> bool:
-    """Return whether a balancer has a configuration in force and forwards by it."""
+    """Return whether a balancer forwards: it is active and has a generation in force."""
     return status is not None and status.generation > 0 and status.state == BalancerState.ACTIVE
 
 
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -1,9 +1,11 @@
-"""The configuration of one generation, compiled into indexes.
+"""A configuration snapshot, indexed for the data path.
 
-`CompiledConfiguration` answers, without any parsing, which back ends a service has and which
-of them may be given new flows.  It owns the indexes of one generation and is never changed:
-an update gives another one that shares what stays.  Relies on `resources.generations` for the
-resources and on `resources.index_update` for a change that concerns few of them.
+`CompiledConfiguration` answers, without any parsing, which back ends a service
+has, and which of them its place rules permit.
+
+Owns the indexes of one generation.  Relies on `resources.content` for its resources, on
+`resources.compiled_items` for the one place filter, and on `resources.index_update` for what
+a change touches.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
     compile_backend,
     compile_service,
 )
-from sloepond.resources.generations import (
+from sloepond.resources.content import (
     GenerationContent,
     ResourceKey,
     backend_count,
@@ -27,6 +29,7 @@
 )
 from sloepond.resources.index_update import IndexUpdate, removed_names
 from sloepond.resources.layered import LayeredMapping
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     ConfigurationSnapshot,
@@ -38,7 +41,6 @@
     Service,
     Zone,
 )
-from sloepond.resources.places import resolve_locations
 from sloepond.resources.slices import Slices, blocks, finished
 
 INCREMENTAL_LIMIT = 1_000
--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -1,7 +1,7 @@
 """The parts of a compiled configuration: services and back ends with their places.
 
-Holds no state.  Relies on `resources.places` for where a back end stands and whether its
-service may use it there.
+`is_place_permitted` is the one place filter of the system; every path that picks
+a back end goes through it.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 import msgspec
 
 from sloepond.resources.model import Backend, BackendState, Location, ServiceSpec
-from sloepond.resources.places import is_place_permitted
 
 
 class CompiledBackend(msgspec.Struct, frozen=True, gc=False):
@@ -63,6 +62,13 @@
     )
 
 
+def is_place_permitted(service: ServiceSpec, location: Location) -> bool:
+    """Return whether traffic of `service` may go to `location`; denied wins."""
+    if any(selector.matches(location) for selector in service.denied):
+        return False
+    return any(selector.matches(location) for selector in service.permitted)
+
+
 def relocated_backend(
     service: ServiceSpec, backend: CompiledBackend, locations: dict[str, Location]
 ) -> CompiledBackend:
--- a/sloepond/resources/generations.py
+++ b/sloepond/resources/content.py
@@ -1,9 +1,7 @@
-"""The resources of one generation: their identity, order and digest, and changes of them.
+"""All resources of one generation, sorted by kind and name.
 
-Resources are sorted by `ResourceKey`, so that one is found by bisection and two generations
-are compared in one pass.  Nothing here is changed in place: a change gives another
-`GenerationContent` that shares what stays.  Relies on `resources.sorted_items` for the
-sharing and on `resources.digest` for a digest that costs only what changed.
+Owns the order of resources and what is found by it.  Relies on `resources.digest` for the
+digest of a set and on `resources.sorted_items` for sets that are cheap to change.
 """
 
 from __future__ import annotations
@@ -40,6 +38,23 @@
     resources: SortedItems[Resource]
 
 
+def only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
+    """Return whether a change concerns back ends alone."""
+    return all(isinstance(resource, Backend) for resource in changed) and all(
+        key.kind == _BACKEND_KIND for key in removed
+    )
+
+
+def backend_count(resources: Sequence[Resource]) -> int:
+    """Return how many back ends are among resources sorted by key; these come first."""
+    return bisect.bisect_left(resources, _AFTER_BACKENDS, key=resource_key)
+
+
+def without_backends(resources: Sequence[Resource]) -> tuple[Resource, ...]:
+    """Return all other kinds among resources sorted by key."""
+    return tuple(resources[backend_count(resources) :])
+
+
 def resource_key(resource: Resource) -> ResourceKey:
     """Return the identity of a resource, which is its sort key as well."""
     return ResourceKey(type(resource).__name__, resource.metadata.name)
@@ -88,20 +103,3 @@
     if position < len(resources) and resource_key(resources[position]) == key:
         return resources[position]
     return None
-
-
-def only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
-    """Return whether a change concerns back ends alone."""
-    return all(isinstance(resource, Backend) for resource in changed) and all(
-        key.kind == _BACKEND_KIND for key in removed
-    )
-
-
-def backend_count(resources: Sequence[Resource]) -> int:
-    """Return how many back ends are among resources sorted by key; these come first."""
-    return bisect.bisect_left(resources, _AFTER_BACKENDS, key=resource_key)
-
-
-def without_backends(resources: Sequence[Resource]) -> tuple[Resource, ...]:
-    """Return all other kinds among resources sorted by key."""
-    return tuple(resources[backend_count(resources) :])
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -17,7 +17,7 @@
     compile_service,
     relocated_backend,
 )
-from sloepond.resources.generations import ResourceKey
+from sloepond.resources.content import ResourceKey
 from sloepond.resources.model import Backend, Kind, Location, Resource, Service, ServiceSpec
 from sloepond.resources.ordered import edited
 from sloepond.resources.slices import Slices, blocks
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -5,9 +5,11 @@
 from collections.abc import Iterator, Sequence
 
 from sloepond.resources.addresses import AddressFailure, canonical_address
+from sloepond.resources.compiled_items import is_place_permitted
 from sloepond.resources.declarations import NAME_PATH, Declaration
 from sloepond.resources.field_rules import ADDRESS_PATH, ADDRESSED_KINDS
 from sloepond.resources.findings import FieldPath, Finding, show_value
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     BackendState,
@@ -16,7 +18,6 @@
     Resource,
     Service,
 )
-from sloepond.resources.places import is_place_permitted, resolve_locations
 
 SERVICE_PATH: FieldPath = ("spec", "service")
 ZONE_REGION_PATH: FieldPath = ("spec", "region")
--- a/sloepond/standins/backend_settings.py
+++ b/sloepond/standins/backend_settings.py
@@ -1,8 +1,4 @@
-"""How a stand-in back end behaves: its size, its speed and the load it claims.
-
-Plain values that never change while a back end runs, but for the lab, which replaces them to
-let a back end report a wrong load.
-"""
+"""How a stand-in back end behaves."""
 
 from __future__ import annotations
 
--- a/sloepond/standins/caller_model.py
+++ b/sloepond/standins/caller_model.py
@@ -38,8 +38,6 @@
 from sloepond.standins.liveness import Liveness
 from sloepond.standins.pending_request import PendingRequest, Retransmission, first_transmission
 
-_FINISHED_STATES = frozenset({FlowState.CLOSED, FlowState.REFUSED, FlowState.UNOPENED, FlowState.BROKEN})
-
 
 class CallerFlow:
     """One flow of a caller.
@@ -60,7 +58,7 @@
     @property
     def is_finished(self) -> bool:
         """Whether the flow sends nothing more."""
-        return self.record.state in _FINISHED_STATES
+        return self.record.is_finished
 
     def start(self, now: float) -> list[CallerPacket]:
         """Open the flow."""
@@ -117,7 +115,7 @@
             return []
         if reply.token and self._token and reply.token != self._token:
             return []
-        self._note_contradiction(reply)
+        self.record.note_contradiction(reply)
         if self.is_finished:
             return []
         self._liveness.reply_received()
@@ -126,8 +124,6 @@
             handler(self, reply, now)
         return self.on_time(now) if self.next_deadline() <= now else []
 
-    # Opening
-
     def _on_time_opening(self, now: float) -> list[CallerPacket]:
         if now >= self._opening.give_up_at:
             self._finish(FlowState.UNOPENED, now)
@@ -147,8 +143,6 @@
         self._liveness.flow_established(now)
         self._requests.schedule_next(now)
 
-    # Requests
-
     def _handle_answer(self, reply: CallerReply, now: float) -> None:
         pending = self._requests.pending(reply.request_id)
         joined = pending.add_part(reply) if pending else None
@@ -187,29 +181,13 @@
             return
         pending.timing.due = now + reply.retry_after_ms / 1000
 
-    def _note_contradiction(self, reply: CallerReply) -> None:
-        """Record a refusal or an answer that comes after the other for the same request."""
-        if not 1 <= reply.request_id <= len(self.record.requests):
-            return
-        record = self.record.requests[reply.request_id - 1]
-        if reply.kind is CallerReplyKind.REFUSED:
-            record.told_refused = True
-        elif reply.kind is CallerReplyKind.ANSWER and record.told_refused:
-            self.record.answered_after_refusal += 1
-
-    # Feeds, keepalives and the end of the flow
-
     def _handle_push(self, reply: CallerReply, now: float) -> None:
         content = decode_push(reply.payload)
         if content is None or content.flow != self._flow:
             self.record.misrouted += 1
             return
         self._liveness.feed_item_received(now)
-        self.record.feed_items += 1
-        missed = content.sequence - self.record.feed_sequence - 1
-        if missed >= 0:
-            self.record.feed_gaps += missed
-            self.record.feed_sequence = content.sequence
+        self.record.note_feed_item(content.sequence)
         self._note_backend(content.backend, now)
 
     def _handle_alive(self, reply: CallerReply, now: float) -> None:
@@ -228,14 +206,7 @@
             self._break(reason, now)
 
     def _note_backend(self, identity: BackendIdentity | None, now: float) -> None:
-        if identity is None:
-            return
-        if identity.service != self.record.service:
-            self.record.misrouted += 1
-            return
-        if not self.record.backend:
-            self.record.backend = identity.name
-        elif self.record.backend != identity.name:
+        if identity is not None and self.record.note_backend(identity):
             self._break(BreakReason.BACKEND_CHANGED, now)
 
     def _break(self, reason: BreakReason, now: float) -> None:
--- a/sloepond/standins/caller_requests.py
+++ b/sloepond/standins/caller_requests.py
@@ -117,15 +117,12 @@
 
     def end(self, pending: PendingRequest, outcome: RequestOutcome, now: float) -> None:
         """Record how a request ended and set the time of the next one."""
-        record = pending.record
-        record.outcome = outcome
-        record.ended_at = now
-        self._pending.pop(record.request_id, None)
+        pending.record.end(outcome, now)
+        self._pending.pop(pending.record.request_id, None)
         self.schedule_next(now)
 
     def abandon(self, now: float) -> None:
         """End all requests in progress with the flow."""
         for pending in self._pending.values():
-            pending.record.outcome = RequestOutcome.ABANDONED
-            pending.record.ended_at = now
+            pending.record.end(RequestOutcome.ABANDONED, now)
         self._pending.clear()
