--- a/sloepond/demo/__main__.py
+++ b/sloepond/demo/__main__.py
@@ -1,4 +1,8 @@
-"""Runs the demo; the exit code is 1 where a promise broke, 2 where it did not run."""
+"""Runs the demo or one scenario under failure, from the command line.
+
+The exit code is 0 where every promise held, 1 where one broke, 2 where it did not run to its
+end.  Relies on `demo.running` for the run and on the two summaries for what is printed.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/demo/addresses.py
+++ b/sloepond/demo/addresses.py
@@ -10,6 +10,7 @@
 import socket
 
 CLAIM_PORT = 7999
+"""UDP port of `CLAIM_HOST` that is bound for as long as a demo has the network."""
 EDGE_PORT = 7100
 BACKEND_FACING_PORT = 7200
 PEER_PORT = 7300
@@ -28,6 +29,7 @@
 FIRST_BACKEND_HOST = 101
 
 _ATTEMPTS = 100
+"""Networks tried, of some 48,000, before the demo gives up."""
 _FIRST_SECOND_OCTET = 64
 _LAST_OCTET = 254
 
--- a/sloepond/demo/balancer_settings.py
+++ b/sloepond/demo/balancer_settings.py
@@ -1,4 +1,8 @@
-"""Settings files of the demo's balancers."""
+"""Settings files of the demo's balancers.
+
+Draws the key that all balancers share and the token of their API; both last for one demo.
+Relies on `runtime.settings` for the form of the file.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,9 @@
 from sloepond.runtime.settings import ApiSettings, BalancerSettings, KeySettings, PlatformSettings
 
 _KEY_BYTES = 32
+"""Random bytes of the key that balancers share; settings take 16 to 64."""
 _TOKEN_BYTES = 24
+"""Random bytes of the token of the API."""
 
 
 class PlannedBalancer(msgspec.Struct, frozen=True):
--- a/sloepond/demo/operators.py
+++ b/sloepond/demo/operators.py
@@ -1,4 +1,7 @@
-"""Operators' commands, each run as a process of its own against the platform of a demo."""
+"""Operators' commands, each run as a process of its own against the platform of a demo.
+
+Holds no state; the processes belong to the fleet's group.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/demo/probes/crash.py
+++ b/sloepond/demo/probes/crash.py
@@ -8,10 +8,12 @@
 from sloepond.demo.processes import ProcessFailedError
 
 _KILLED = 1
+"""Index of the balancer that is killed."""
 _IN_PROGRESS = 3
 """Requests in progress at the balancer when it is killed."""
 
 _FLOWS_BETWEEN_STEPS = 15
+"""Flows that start between two steps, so that every step meets traffic."""
 
 
 async def crash(fleet: Fleet, load: Load) -> ProbeOutcome:
--- a/sloepond/demo/probes/generation_watch.py
+++ b/sloepond/demo/probes/generation_watch.py
@@ -1,4 +1,7 @@
-"""Generations in force at every balancer, in the order they were seen."""
+"""Generations in force at every balancer, in the order they were seen.
+
+Owns the sequence of each process and relies on the status that balancers give of themselves.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 from sloepond.demo.fleet import Fleet
 
 _INTERVAL_S = 0.1
+"""Seconds between looks at all balancers, short against the life of a generation."""
 
 
 class ProcessKey(msgspec.Struct, frozen=True):
--- a/sloepond/demo/probes/held_reads.py
+++ b/sloepond/demo/probes/held_reads.py
@@ -1,4 +1,7 @@
-"""A way to the platform that holds reads back, so that a writer works from an old one."""
+"""A way to the platform that holds reads back, so that a writer works from an old one.
+
+Owns whether the first read is still held; everything else passes through unchanged.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/demo/probes/malformed_input.py
+++ b/sloepond/demo/probes/malformed_input.py
@@ -1,4 +1,8 @@
-"""Malformed, truncated, oversized and unauthenticated datagrams, at a bounded rate, on loopback."""
+"""Malformed, truncated, oversized and unauthenticated datagrams, at a bounded rate, on loopback.
+
+Relies on the balancers' own counters and on the kernel's drops of each socket to check that
+every datagram was counted.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +34,17 @@
 from sloepond.wire.edge import MAXIMUM_PACKET_BYTES, encode_packet
 
 DATAGRAMS_PER_SOCKET = 1_500
+"""Datagrams each socket of each balancer is sent."""
 DATAGRAMS_PER_BURST = 30
 BURST_PAUSE_S = 0.01
 """At most 3,000 datagrams a second in all."""
 
 COUNT_TIMEOUT_S = 15.0
+"""Seconds until a balancer has counted all datagrams; not measured."""
 SEED = 1
+"""Seed of the bytes sent."""
 _FLOWS_BETWEEN_STEPS = 10
+"""Flows that start between two steps, so that every step meets traffic."""
 _COUNTED = ("input_malformed", "input_oversized", "input_unauthenticated")
 _SOCKETS = Path("/proc/net/udp")
 _OVERSIZED_BYTES = 2 * MAXIMUM_PACKET_BYTES
--- a/sloepond/demo/probes/outcome.py
+++ b/sloepond/demo/probes/outcome.py
@@ -1,4 +1,8 @@
-"""What a scenario showed, and whether each promise was kept."""
+"""What a scenario showed, and whether each promise was kept.
+
+Holds no state; relies on `standins.checking` for the promises and on the counters of the
+balancers.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +15,7 @@
 from sloepond.standins.checking import Departure, Evidence, Promise, check_promises
 
 MAXIMUM_DETAILS = 5
+"""Findings of one promise that are shown."""
 HANDLER_FAILURES = "handler_failures"
 _ENDED_WITHOUT_WORD = (RequestOutcome.SILENT, RequestOutcome.PENDING, RequestOutcome.ABANDONED)
 
--- a/sloepond/demo/probes/pause.py
+++ b/sloepond/demo/probes/pause.py
@@ -16,10 +16,12 @@
 
 DRAINED = "playback-3"
 _PAUSED = 0
+"""Index of the balancer that stands still."""
 _IN_PROGRESS = 3
 """Requests in progress at the balancer when it is stopped."""
 
 _FLOWS_BETWEEN_STEPS = 15
+"""Flows that start between two steps, so that every step meets traffic."""
 
 assert PAUSE_S > NEW_WORK_GRACE_S
 
--- a/sloepond/demo/probes/racing_operators.py
+++ b/sloepond/demo/probes/racing_operators.py
@@ -25,6 +25,7 @@
 from sloepond.standins.checking import Departure
 
 _FLOWS_BETWEEN_STEPS = 10
+"""Flows that start between two steps, so that every step meets traffic."""
 _CONFLICT = "the configuration has changed since generation"
 
 StartCommand = Callable[[str], Awaitable[DemoProcess]]
--- a/sloepond/demo/probes/rolling.py
+++ b/sloepond/demo/probes/rolling.py
@@ -10,6 +10,7 @@
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal
 
 _FLOWS_BETWEEN_STEPS = 10
+"""Flows that start between two steps, so that every step meets traffic."""
 _IN_PROGRESS = 2
 """Requests in progress at a balancer when its stop begins."""
 
--- a/sloepond/demo/probes/running.py
+++ b/sloepond/demo/probes/running.py
@@ -1,4 +1,7 @@
-"""One scenario from start to end: its processes, its load and its checks."""
+"""One scenario from start to end: its processes, its load and its checks.
+
+`Probe` owns the fleet and the load of one run; the table `STEPS` names what each scenario does.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/demo/probes/stale_platform.py
+++ b/sloepond/demo/probes/stale_platform.py
@@ -15,8 +15,11 @@
 
 DRAINED = "archive-1"
 GENERATION = 2
+"""Generation that the drain writes, the newest of the scenario."""
 _STALE_GENERATION = 1
+"""Generation that the platform gives when it comes back."""
 _FLOWS_BETWEEN_STEPS = 5
+"""Flows that start between two steps, so that every step meets traffic."""
 _IN_PROGRESS = 1
 """Requests in progress that show that the fabric knows the balancers."""
 _FROM_PLATFORM = "from the platform"
--- a/sloepond/demo/processes.py
+++ b/sloepond/demo/processes.py
@@ -23,6 +23,7 @@
 """Last lines of a log that are shown with an error."""
 
 _READ_BYTES = 65_536
+"""Bytes taken from a pipe at once: the size of a pipe of Linux."""
 
 
 class ProcessFailedError(Exception):
--- a/sloepond/demo/summary.py
+++ b/sloepond/demo/summary.py
@@ -1,4 +1,7 @@
-"""The table a demo prints."""
+"""The table a demo prints.
+
+Relies on the evidence of callers and back ends alone, as the checks do.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +19,7 @@
 from sloepond.standins.checking import Departure, PromiseBroken, count_duplicates
 
 MAXIMUM_FINDINGS_SHOWN = 20
+"""Findings printed; the number of the others is."""
 
 
 def print_summary(result: DemoResult, findings: Sequence[PromiseBroken], console: Console) -> None:
--- a/sloepond/resources/addresses.py
+++ b/sloepond/resources/addresses.py
@@ -1,4 +1,8 @@
-"""Addresses written as `ip:port`, checked for their one canonical form."""
+"""Addresses written as `ip:port`, checked for their one canonical form.
+
+One address has one spelling, so that two resources with the same address are found by
+comparing text.  Names are never resolved.  Holds no state.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +12,7 @@
 
 MINIMUM_PORT = 1
 MAXIMUM_PORT = 65_535
+"""Ports of UDP; 0 asks for a free one and can be nobody's address."""
 
 
 class AddressFailure(Sentinel):
--- a/sloepond/resources/digest.py
+++ b/sloepond/resources/digest.py
@@ -18,6 +18,7 @@
 from sloepond.resources.slices import Slices, blocks
 
 DIGEST_BYTES = 16
+"""Bytes of a digest: two sets of resources share one by accident with a chance of 2**-128."""
 _MODULUS = 2 ** (8 * DIGEST_BYTES)
 _ENCODER = msgspec.msgpack.Encoder(order="deterministic")
 
--- a/sloepond/resources/field_rules.py
+++ b/sloepond/resources/field_rules.py
@@ -1,4 +1,8 @@
-"""Rules about single fields: names, addresses and ranges of numbers."""
+"""Rules about single fields: names, addresses and ranges of numbers.
+
+Owns the ranges that a declared number must lie in; relies on a `Declaration` whose types have
+been checked.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/resources/loading.py
+++ b/sloepond/resources/loading.py
@@ -1,4 +1,9 @@
-"""Reading resources from files and directories, with all findings together."""
+"""Reading resources from files and directories, with all findings together.
+
+What cannot be read is a finding beside those about the content, so that an operator sees all
+that is wrong at once.  Relies on `resources.documents` for the text and on
+`resources.validation` for the checks.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/resources/ordered.py
+++ b/sloepond/resources/ordered.py
@@ -1,4 +1,7 @@
-"""Edits of sorted tuples that touch only what changes."""
+"""Edits of sorted tuples that touch only what changes.
+
+Holds no state; the tuple that is edited stays as it is.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -1,4 +1,9 @@
-"""Rules about a whole set of declarations: names, references, addresses, reach."""
+"""Rules about a whole set of declarations: names, references, addresses, reach.
+
+Each rule reports what no single document shows: a name used twice, a reference to nothing, an
+address used twice, a service that no flow can reach.  Relies on `resources.declarations` for
+what was understood of each document; one that was not understood hides no other finding.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/resources/validation.py
+++ b/sloepond/resources/validation.py
@@ -1,4 +1,8 @@
-"""Validation of a whole set of resources; nothing is raised, all is reported."""
+"""Validation of a whole set of resources; nothing is raised, all is reported.
+
+Brings the rules about fields and about sets together, for documents, for plain values such as
+a request body, and for typed resources.  Holds no state.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/backend_record.py
+++ b/sloepond/standins/backend_record.py
@@ -1,4 +1,7 @@
-"""What a stand-in back end sends, runs and counts."""
+"""What a stand-in back end sends, runs and counts.
+
+Plain values; `BackendModel` makes them, checkers and the control interface read them.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -1,4 +1,7 @@
-"""How evenly the back ends of each service were loaded."""
+"""How evenly the back ends of each service were loaded.
+
+Relies on the executions that back ends report and on the configuration that was declared.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/caller_record.py
+++ b/sloepond/standins/caller_record.py
@@ -1,4 +1,8 @@
-"""What became of the flows and requests of a stand-in caller."""
+"""What became of the flows and requests of a stand-in caller.
+
+`CallerFlow` owns and fills the records; reports carry them and checkers compare them with the
+executions of back ends.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/caller_report.py
+++ b/sloepond/standins/caller_report.py
@@ -1,4 +1,7 @@
-"""What a stand-in client reports: every flow, and the numbers of outcomes."""
+"""What a stand-in client reports: every flow, and the numbers of outcomes.
+
+Relies on the records of its flows and holds nothing itself.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/client.py
+++ b/sloepond/standins/client.py
@@ -1,4 +1,7 @@
-"""Stand-in client: many callers' flows over one UDP socket, through the fabric."""
+"""Stand-in client: many callers' flows over one UDP socket, through the fabric.
+
+Owns the socket, the flows and when each is next woken; `CallerFlow` decides what a flow sends.
+"""
 
 from __future__ import annotations
 
@@ -29,6 +32,7 @@
 REPORT_PATH = "/report"
 
 _INCARNATION_BITS = 48
+"""Random bits of a flow key: with 300 flows two meet with a chance below 2**-31."""
 
 
 class Client:
--- a/sloepond/standins/content.py
+++ b/sloepond/standins/content.py
@@ -23,6 +23,7 @@
 """Largest answer a back end makes, in bytes."""
 
 _SHORT_BODY_BYTES = 32
+"""Body of an answer to a request that asks for no size."""
 
 
 class BackendIdentity(msgspec.Struct, frozen=True, array_like=True):
--- a/sloepond/standins/fabric_model.py
+++ b/sloepond/standins/fabric_model.py
@@ -1,4 +1,8 @@
-"""The fabric without I/O: each datagram goes to some balancer, with faults."""
+"""The fabric without I/O: each datagram goes to some balancer, with faults.
+
+Owns the list of balancers and which of them are believed to be live.  It keeps no flow at its
+balancer: every datagram is sent to one chosen at random.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/feed_schedule.py
+++ b/sloepond/standins/feed_schedule.py
@@ -1,4 +1,7 @@
-"""When a stand-in back end pushes the next item of each feed."""
+"""When a stand-in back end pushes the next item of each feed.
+
+Owns the subscriptions of one back end; whoever runs it gives the time.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/hosting.py
+++ b/sloepond/standins/hosting.py
@@ -1,4 +1,7 @@
-"""Back ends and services of declared resources, as the stand-ins need them."""
+"""Back ends and services of declared resources, as the stand-ins need them.
+
+Holds no state; relies on the resource types.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/http.py
+++ b/sloepond/standins/http.py
@@ -1,4 +1,8 @@
-"""HTTP service of the stand-ins: hypercorn and starlette on trio, JSON by msgspec."""
+"""HTTP service of the stand-ins: hypercorn and starlette on trio, JSON by msgspec.
+
+Holds no state.  All stand-ins answer `/readyz`, refuse a malformed body with its reason and
+speak JSON in the same way, since they share these functions.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/liveness.py
+++ b/sloepond/standins/liveness.py
@@ -1,4 +1,8 @@
-"""Whether an established flow of a stand-in caller is still served."""
+"""Whether an established flow of a stand-in caller is still served.
+
+Owns the times of keepalives, of silence and of the feed of one flow; relies on `CallerSettings`
+for how long each may take.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/pending_request.py
+++ b/sloepond/standins/pending_request.py
@@ -1,4 +1,7 @@
-"""A request a stand-in caller waits for: retransmissions and parts of the answer."""
+"""A request a stand-in caller waits for: retransmissions and parts of the answer.
+
+Owns the parts received so far, kept apart by attempt so that answers of two runs never mix.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/started.py
+++ b/sloepond/standins/started.py
@@ -1,4 +1,7 @@
-"""The one line a stand-in process prints when it is ready."""
+"""The one line a stand-in process prints when it is ready.
+
+Whoever starts the process waits for this line and needs no port chosen beforehand.
+"""
 
 from __future__ import annotations
 
--- a/sloepond/standins/workload.py
+++ b/sloepond/standins/workload.py
@@ -1,4 +1,7 @@
-"""Plans of the flows a stand-in client opens, drawn from a seeded random source."""
+"""Plans of the flows a stand-in client opens, drawn from a seeded random source.
+
+Holds no state; the same seed and settings give the same plans.
+"""
 
 from __future__ import annotations
 
@@ -12,9 +15,13 @@
 from sloepond.standins.content import FEED_PAYLOAD, download_payload
 
 _NOTE_BYTES = 24
+"""Random bytes of a note, so many that no two notes are equal."""
 _DOWNLOAD_BYTES = (4_000, 40_000)
+"""Smallest and largest download, in bytes: 5 to 41 parts of an answer."""
 _FEED_SHARE = 0.3
+"""Share of flows that subscribe to a feed; chosen so that every kind is common, not measured."""
 _DOWNLOAD_SHARE = 0.3
+"""Share of flows that download; the others send notes."""
 
 
 class WorkloadSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
