--- a/sloepond/demo/probes/running.py
+++ b/sloepond/demo/probes/running.py
@@ -91,7 +91,9 @@
         http: httpx.AsyncClient,
     ) -> None:
         self._settings = settings
-        self._fleet = Fleet(settings.example, settings.faults, settings.seed, network, directory, group, http)
+        self._fleet = Fleet(
+            settings.example, settings.faults, settings.seed, network, directory, group, http, SERVICE_S
+        )
 
     async def run(self) -> ProbeResult:
         """Start everything, go through the steps under load and check what came of it."""
