--- a/sloepond/core/configuration/delta.py
+++ b/sloepond/core/configuration/delta.py
@@ -1,4 +1,7 @@
-"""Differences between generations, and a bounded history of them."""
+"""Differences between generations, and a bounded history of them.
+
+Owns the deltas of the last generations.  Relies on resources sorted by key.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 import msgspec
 
-from sloepond.resources.compiled import ResourceKey, resource_key
+from sloepond.resources.content import ResourceKey, resource_key
 from sloepond.resources.model import Resource
 from sloepond.resources.slices import BLOCK_ITEMS, Slices, blocks, finished
 
--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -3,6 +3,8 @@
 A generation is taken as a change of the present one: it is compared or decoded,
 hashed, checked as a whole and compiled.  Nothing is changed on the way; the
 result is a configuration that may be put in force, or the reason why not.
+
+Holds no state.  Relies on `validation` for the rules and on `resources.compiled` for the result.
 """
 
 from __future__ import annotations
@@ -16,12 +18,8 @@
 from sloepond.core.configuration.encoding import decode_slices
 from sloepond.core.configuration.fetcher import FetchedTransfer
 from sloepond.core.configuration.validation import findings_after_slices
-from sloepond.resources.compiled import (
-    CompiledConfiguration,
-    ResourceKey,
-    resource_key,
-    updated_content_slices,
-)
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.content import ResourceKey, resource_key, updated_content_slices
 from sloepond.resources.model import ConfigurationSnapshot, Resource
 from sloepond.resources.sharing import share_values_slices
 from sloepond.resources.slices import Slices, blocks
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -4,6 +4,8 @@
 resource.  Here the back ends in which it cannot find anything are told apart
 first, at a few microseconds each; it is asked about all the others, together
 with one back end of each service that shows that the service is reachable.
+
+Holds no state.  Relies on `resources.validation` for the findings themselves.
 """
 
 from __future__ import annotations
@@ -13,17 +15,11 @@
 import msgspec
 
 from sloepond.core.configuration.delta import ConfigurationDelta
-from sloepond.resources.compiled import (
-    CompiledBackend,
-    CompiledConfiguration,
-    ResourceKey,
-    find_resource,
-    is_place_permitted,
-    only_backends,
-    resolve_locations,
-    without_backends,
-)
+from sloepond.resources.compiled import CompiledConfiguration
+from sloepond.resources.compiled_items import CompiledBackend, is_place_permitted
+from sloepond.resources.content import ResourceKey, find_resource, only_backends, without_backends
 from sloepond.resources.findings import Finding
+from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     Backend,
     BackendSpec,
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -9,10 +9,9 @@
 import msgspec
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.commands import Command, LogKind
+from sloepond.core.forwarding.commands import Command, LogKind, Outbox
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.local_state import LocalState
-from sloepond.core.forwarding.outbox import Outbox
 from sloepond.core.forwarding.peers.messages import Changes, ChangesRequest
 from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
 
@@ -28,7 +27,7 @@
 class Lag(msgspec.Struct):
     """A subject of which a peer knows more than this balancer.
 
-    :ivar peer: who knows more.
+    :ivar peer: address of the peer that knows more.
     :ivar due: when the next request is sent.
     :ivar known: version or revision known here when the waits began.
     :ivar step: how many of the waits are over.
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -2,7 +2,7 @@
 
 Readers of the store confirm several times over what they know; every balancer passes each confirmation on
 once, to a few random peers, so it reaches all within a few steps whatever the size of the fleet.  It
-carries what has changed lately.  Who has missed more than that requests it from the sender, then from
+carries what has changed lately.  A balancer that has missed more requests it from the sender, then from
 another peer, then from the store.
 
 Owns: which revisions were confirmed last.  Relies on: `ChangeIndex` and `RouteHistory` for what has changed
@@ -26,7 +26,7 @@
 MAXIMUM_BACKENDS = 12
 """Back ends in one message.  Encoded, 12 take 1,268 bytes, so the message stays below 1,500."""
 MAXIMUM_MESSAGES = 8
-"""Messages that answer one request; who lacks more reads the whole list from the store.  Not measured: 96
+"""Messages that answer one request; a peer that lacks more reads the list from the store.  Not measured: 96
 back ends, 10 kB."""
 REPEATS = 2
 """Confirmations of one reader that carry a change of back ends, against lost datagrams.  Measured between
@@ -46,16 +46,6 @@
         self._confirmed: collections.deque[int] = collections.deque(maxlen=REPEATS)
         self._routes_taken_at = 0.0
 
-    @property
-    def routes_version(self) -> int:
-        """Version of the routes in force."""
-        return self._routes.version
-
-    @property
-    def list_checksum(self) -> int:
-        """Anti-entropy checksum of the back ends that are listed."""
-        return self._backends.list_checksum
-
     def routes_taken(self, now: float) -> None:
         """Note that a version of the routes has come into force."""
         self._routes_taken_at = now
@@ -69,10 +59,8 @@
         delta = None
         if now - self._routes_taken_at < REPEAT_ROUTES_S:
             delta = self._routes.history.latest_to(self._routes.version)
-        parts = tuple(self._parts(base, revision, now))
-        if not parts:
-            parts = (self._changes(None, revision, revision, is_all=True),)
-        return (msgspec.structs.replace(parts[0], route_delta=delta), *parts[1:])
+        first, *others = self._parts(base, revision, now)
+        return (msgspec.structs.replace(first, route_delta=delta), *others)
 
     def answer(self, routes_version: int, revision: int, own_revision: int, now: float) -> list[Changes]:
         """Return what a peer lacks, empty where it would be too much.
@@ -115,7 +103,7 @@
         That the sender names no later change proves nothing: a balancer that has started lately never
         received what had left the list before.
         """
-        is_list_alike = changes.list_checksum == self.list_checksum
+        is_list_alike = changes.list_checksum == self._backends.list_checksum
         knows_base = revision >= changes.base_revision or is_list_alike
         return max(revision, changes.revision) if knows_base else revision
 
@@ -126,11 +114,11 @@
         return base
 
     def _parts(self, base: int, revision: int, now: float) -> Iterator[Changes]:
-        """Return all changes between two revisions, in parts that follow each other.
+        """Return all changes between two revisions, in parts that follow each other; at least one.
 
-        Where not all of them are remembered, the later ones: who began with the same list then has all,
-        which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse knows
-        all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
+        Where not all of them are remembered, the later ones: a peer that began with the same list has all
+        then, which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse
+        knows all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
         """
         base = max(base, self._backends.changes.complete_from)
         names = self._backends.changes.since(base) or ()
@@ -162,5 +150,5 @@
         """
         latest = self._backends.changes.latest
         evacuated = self._evacuations.known
-        checksum = self.list_checksum if is_all else NO_CHECKSUM
+        checksum = self._backends.list_checksum if is_all else NO_CHECKSUM
         return Changes(self._routes.version, delta, base, revision, latest, backends, evacuated, checksum)
