--- a/features/steps/interfaces_wire_steps.py
+++ b/features/steps/interfaces_wire_steps.py
@@ -9,14 +9,14 @@
 from behave import given, then
 from interfaces_channel import PEER_IP, ChannelAndPeer
 
-from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.platform.packet_codec import PlatformPacketCodec
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.http_exchange import HttpExchange
 from sloepond.wire import codec, edge
 from sloepond.wire.authentication import Authenticator, Key, KeyRing
 
 GOLDEN = json.loads(pathlib.Path("features/interfaces/wire.json").read_text(encoding="utf-8"))
-PACKETS = EchoPacketCodec(8172)
+PACKETS = PlatformPacketCodec(8172)
 STORE = PlatformStoreCodec()
 STORE_ADDRESS = "10.200.1.7:8169"
 PACKET_DECODERS = {
@@ -110,6 +110,8 @@
 def platform_packets(context):
     caller = golden("platform packets from callers")
     sent = {name: PACKETS.encode(datagram, values.TARGET) for name, datagram in caller.items()}
+    for name, target in values.OTHER_TARGETS.items():
+        sent[name] = PACKETS.encode(caller["opening"], target)
     sent["reset of an opening"] = PACKETS.encode_reset(values.OPENING)
     sent["reset of an open flow"] = PACKETS.encode_reset(values.LAST)
     compare("platform packets", sent)
--- a/sloepond/core/forwarding/assembly.py
+++ b/sloepond/core/forwarding/assembly.py
@@ -14,19 +14,23 @@
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.health.backend_checks import BackendChecks
-from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.outlier_ejection import OutlierEjection
 from sloepond.core.forwarding.health.reachability import Reachability
 from sloepond.core.forwarding.lifecycle.stall_guard import StallGuard
 from sloepond.core.forwarding.lifecycle.stop_procedure import StopProcedure
+from sloepond.core.forwarding.load.flow_observer import FlowObserver
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.dissemination import Dissemination
 from sloepond.core.forwarding.peers.exchange import PeerExchange
 from sloepond.core.forwarding.peers.peer_table import PeerTable
 from sloepond.core.forwarding.peers.reader_election import ReaderElection
+from sloepond.core.forwarding.placement.eligibility import Eligibility
 from sloepond.core.forwarding.placement.evacuations import Evacuations
 from sloepond.core.forwarding.placement.forwarder import Forwarder
+from sloepond.core.forwarding.placement.opening import Openings
 from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
+from sloepond.core.forwarding.placement.selection import Selector
 from sloepond.core.forwarding.placement.slow_start import SlowStart, SlowStartLimit
 from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.core.forwarding.state.route_table import RouteTable
@@ -71,7 +75,7 @@
     local: LocalState
     stall_guard: StallGuard
     slow_start: SlowStart
-    failing: FailingBackends
+    ejection: OutlierEjection
     forwarder: Forwarder
     dissemination: Dissemination
     answers: StoreAnswers
@@ -90,33 +94,29 @@
     stall_guard = StallGuard(local.watchers.values())
     slow_start = SlowStart(options.ip, local.peers, local.routes, options.slow_start_limit)
     waiting = WaitingRequests()
-    failing = FailingBackends(options.ip, local.peers, local.backends, waiting, local.counters, random_source)
-    forwarder = Forwarder(
-        hall,
-        local.routes,
-        local.backends,
-        stall_guard,
-        slow_start,
-        failing,
-        waiting,
-        local.counters,
-        random_source,
+    ejection = OutlierEjection(
+        options.ip, local.peers, local.backends, waiting, local.counters, random_source
     )
+    observer = FlowObserver(waiting)
+    eligibility = Eligibility(local.backends, slow_start, ejection)
+    selector = Selector(hall, random_source)
+    openings = Openings(local.routes, stall_guard, eligibility, selector, observer, local.counters)
+    forwarder = Forwarder(local.backends, observer, openings)
     reachability = Reachability(local.backends, random_source)
     election = ReaderElection(random_source.getrandbits(IDENTITY_BITS), options.capacity, random_source)
     dissemination = Dissemination(local, election, options.change_limit_s or CHANGE_LIMIT_S)
-    exchange = PeerExchange(local, dissemination, reachability, failing)
+    exchange = PeerExchange(local, dissemination, reachability, ejection)
     return NodeParts(
         local,
         stall_guard,
         slow_start,
-        failing,
+        ejection,
         forwarder,
         dissemination,
         StoreAnswers(local, dissemination),
         exchange,
         StopProcedure(local, exchange, options.kill_after_s),
-        BackendChecks(local.backends, forwarder.observer, reachability, exchange, local.counters),
+        BackendChecks(local.backends, observer, reachability, exchange, local.counters),
     )
 
 
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -100,15 +100,17 @@
     """A read or a watch failed.
 
     :ivar was_watch: whether it was a watch, not a read.
+    :ivar detail: what is wrong with an answer that cannot be decoded, for a log line; else empty.
     """
 
     subject: Subject
     reason: StoreFailure
     was_watch: bool
+    detail: str = ""
 
 
-class StorePartReceived(msgspec.Struct, frozen=True):
-    """A part of an answer has come from the store; the rest is on its way."""
+class StorePageReceived(msgspec.Struct, frozen=True):
+    """A page of a list has come from the store, and is not the last one."""
 
 
 class StoreProbed(msgspec.Struct, frozen=True):
@@ -215,7 +217,7 @@
 
 
 StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
-StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePartReceived
+StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePageReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
 PacketEvent = OpeningHeld | UnknownTokenMet | BackendSuspected | BackendChecked
 ProcessEvent = PeersJoined | SettingsChanged | StopRequested
--- a/sloepond/core/forwarding/housekeeping.py
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -36,8 +36,8 @@
         parts.local.backends.forget_departed(now)
         parts.forwarder.observer.forget_resting(now)
         parts.forwarder.observer.expire_requests(now)
-        parts.forwarder.admission.forget_admitted(now)
+        parts.forwarder.openings.forget_released(now)
         parts.slow_start.forget(now)
-        parts.failing.forget(now)
-        parts.forwarder.admission.balancers = parts.exchange.balancers
+        parts.ejection.forget(now)
+        parts.forwarder.openings.admission.balancers = parts.exchange.balancers
         parts.dissemination.forget(now)
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -2,14 +2,14 @@
 
 Owns: the parts that answer peers directly (heartbeats, token lookup, snapshots, gossip about back ends
 that cannot be reached) and the bootstrap of a fresh balancer, which asks peers first.  Relies on:
-`Dissemination` for changes of the store, `FailingBackends` for requests left unanswered.
+`Dissemination` for changes of the store, `OutlierEjection` for requests left unanswered.
 """
 
 from __future__ import annotations
 
 from sloepond.core.forwarding.commands import Command, Outbox
 from sloepond.core.forwarding.events import PeerMessageReceived, SnapshotReceived, UnknownTokenMet
-from sloepond.core.forwarding.health.failing_backends import FailingBackends
+from sloepond.core.forwarding.health.outlier_ejection import OutlierEjection
 from sloepond.core.forwarding.health.reachability import Reachability
 from sloepond.core.forwarding.lifecycle.bootstrap import Bootstrap
 from sloepond.core.forwarding.local_state import LocalState
@@ -38,7 +38,7 @@
     :ivar bootstrap: gets a fresh balancer its first routes and back ends.
     :param dissemination: takes what peers say about changes of the store.
     :param reachability: remembers which back ends peers could not reach.
-    :param failing: takes what peers say about requests left unanswered.
+    :param ejection: takes what peers say about requests left unanswered.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         local: LocalState,
         dissemination: Dissemination,
         reachability: Reachability,
-        failing: FailingBackends,
+        ejection: OutlierEjection,
     ) -> None:
         self._peers = local.peers
         self._counters = local.counters
         self._dissemination = dissemination
-        self._failing = failing
+        self._ejection = ejection
         self._outbox = Outbox(local.counters)
         self._heartbeats = Heartbeats(local, self._outbox)
         self._tokens = TokenLookup(local, self._outbox)
@@ -108,7 +108,7 @@
         elif isinstance(message, BackendUnreachable):
             self._unreachable.received(message.name, now)
         elif isinstance(message, FailureMessage):
-            self._failing.message_received(event.ip, message, now)
+            self._ejection.message_received(event.ip, message, now)
         else:
             self._peers.message_received(event.ip, now)
             self._changes_message_received(event.ip, message, now)
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -1,21 +1,38 @@
-"""The node: one balancer's decisions, without any I/O.
+"""The node: one balancer's decisions on sloepond's own packets, without any I/O.
 
-`Node.handle(event, now)` takes what happened and returns what is to be done.
-The daemon runs it on sockets; the lab runs it on a simulated clock.
+`Node.handle(event, now)` takes what happened and returns commands.  The daemon runs it on
+sockets; the lab runs it on a simulated clock.
+
+Each packet names its back end by the routing token it carries (`CallerPacket.token`), so no
+flow is stored and balancers agree on nothing.  They find each other by the platform's list of
+machines and tell each other the configuration: a starting balancer hears from them which
+generation is in force, whatever the platform answers.
+
+Owns the identity, the counters and the time of a planned stop.  Relies on
+`core.configuration` for the generation in force and on `core.forwarding` for the back end of
+each packet.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
-from sloepond.core.commands import Command, CompleteStop, TransitionKind
+import msgspec
+
+from sloepond.core.caller_packets import backend_packet, caller_reply, refusal_of
+from sloepond.core.commands import (
+    Command,
+    CompleteStop,
+    ReadMachineList,
+    SendToBackend,
+    SendToCaller,
+    TransitionKind,
+)
 from sloepond.core.configuration.store import ConfigurationStore
-from sloepond.core.context import NEVER, NodeContext
+from sloepond.core.context import NodeContext
 from sloepond.core.counters import Counters
+from sloepond.core.deadlines import NEVER
 from sloepond.core.events import (
-    BackendProbed,
     BackendReplyReceived,
     CallerPacketReceived,
     ConfigurationRead,
@@ -27,86 +44,51 @@
     StopRequested,
     TimerFired,
 )
-from sloepond.core.health.monitor import HealthMonitor
-from sloepond.core.membership.membership import HeartbeatContent, Membership, PeerStatus
-from sloepond.core.messages import (
-    CallerPacketForwarded,
-    ConfigurationOffered,
-    ConfigurationPart,
-    ConfigurationRequested,
-    Heartbeat,
-    JoinRequest,
-    Member,
-    ViewAccept,
-    ViewAccepted,
-    ViewAnnounced,
-    ViewDecided,
-    ViewPrepare,
-    ViewPromise,
-    ViewRejected,
-)
-from sloepond.core.routing.flow_table import FlowTable
-from sloepond.core.routing.local_load import LocalBackendLoad
-from sloepond.core.routing.placement import PlacementPolicy
-from sloepond.core.routing.replication import MemberIdentity
-from sloepond.core.routing.router import PacketRouter
-from sloepond.core.routing.state import RoutingState
+from sloepond.core.forwarding.commands import Command as ForwardingCommand
+from sloepond.core.forwarding.commands import ForwardHeld
+from sloepond.core.forwarding.events import BackendsRead, OpeningHeld, RoutesRead
+from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
+from sloepond.core.forwarding.node import ForwardingNode
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
+from sloepond.core.forwarding.state.routes import RouteConfiguration
+from sloepond.core.forwarding_input import place_rules_of, record_of, reply_head_of, route_of, segment_of
+from sloepond.core.messages import ConfigurationOffered, Member
+from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
-from sloepond.core.status import NodeStatus, PeerReport
-
-DIGEST_DIGITS = 8
-"""Hexadecimal digits of a configuration digest carried by heartbeats."""
-
-_STALL_DROP_S = 0.2
-"""Seconds after a stall during which callers' packets are dropped: they have
-waited in the socket for an unknown time."""
-
-_MEMBERSHIP_MESSAGES = (
-    Heartbeat,
-    JoinRequest,
-    ViewPrepare,
-    ViewPromise,
-    ViewAccept,
-    ViewAccepted,
-    ViewRejected,
-    ViewAnnounced,
-    ViewDecided,
-)
-_CONFIGURATION_MESSAGES = (ConfigurationRequested, ConfigurationPart, ConfigurationOffered)
-_CONTROL_MESSAGES = frozenset((*_MEMBERSHIP_MESSAGES, *_CONFIGURATION_MESSAGES))
+from sloepond.core.status import NO_EPOCH, BalancerState, NodeStatus
+from sloepond.resources.compiled import CompiledConfiguration
+
+STOP_AFTER_S = 3.0
+"""How long a stopping balancer forwards on, so that the fabric learns of it, seconds; not
+measured."""
+LIST_AGAIN_S = 1.0
+"""Time between reads of the machine list until a configuration is in force, seconds; not
+measured."""
 
 
 class Node:
     """One balancer.
 
-    :ivar membership: views, leases and failure detection.
-    :ivar configuration: generation in force.
-    :ivar health: load estimates and ejection.
+    :param identity: this process; its location gives the hall it stands in.
+    :param random_source: the only source of randomness.
+    :ivar configuration: generation in force, and how it spreads.
     """
 
     def __init__(self, identity: Member, settings: NodeSettings, random_source: random.Random) -> None:
         self._context = NodeContext(identity, random_source)
-        self._settings = settings
-        local_load = LocalBackendLoad()
-        self.membership = Membership(self._context, settings.membership, self)
-        self.configuration = ConfigurationStore(self._context, settings.configuration, self.membership)
-        self.health = HealthMonitor(self._context, settings.health, self.membership, local_load)
-        self._state = RoutingState(
-            self._context, settings, self.membership, self.configuration, self.health, local_load
-        )
-        self._router = PacketRouter(self._state)
-        self._data_handlers: dict[type, Callable[[Any], None]] = {
-            CallerPacketReceived: self._caller_packet_received,
-            BackendReplyReceived: self._backend_reply_received,
-            PeerMessageReceived: self._peer_message_received,
-        }
+        self._seeds = tuple(seed for seed in settings.membership.seeds if seed != identity.address)
+        self._list_interval_s = settings.membership.machine_list_interval_s
+        self.configuration = ConfigurationStore(self._context, settings.configuration)
+        self._forwarding = ForwardingNode(identity.location.hall, random_source)
         self._generation = 0
-        self._component_deadline = NEVER
-        self._has_stalled = False
-        self._accept_packets_from = 0.0
-        self._stop_deadline = NEVER
-        self._idle_since = NEVER
-        self._is_stopped = False
+        self._listed: tuple[Member, ...] = ()
+        self._next_list = 0.0
+        self._stop_at = NEVER
+
+    @property
+    def identity(self) -> Member:
+        """This balancer."""
+        return self._context.identity
 
     @property
     def counters(self) -> Counters:
@@ -114,42 +96,58 @@
         return self._context.counters
 
     @property
-    def flows(self) -> FlowTable:
-        """Flow entries of this node."""
-        return self._state.table
-
-    def use_policy(self, policy: PlacementPolicy) -> None:
-        """Place new flows by another policy than the one in the settings."""
-        self._router.use_policy(policy)
-
-    @property
-    def identity(self) -> Member:
-        """This balancer with its present incarnation."""
-        return self._context.identity
+    def requests_unanswered(self) -> int:
+        """Requests that were forwarded here and counted as unanswered, since the start."""
+        return self._forwarding.counters.requests_unanswered
 
     @property
-    def in_flight(self) -> int:
-        """Requests without an outcome this balancer is responsible for."""
-        return self._router.requests.pending_count
+    def backends_passed_over(self) -> int:
+        """Back ends that are given no or few new flows for requests they have left unanswered."""
+        return self._forwarding.backends_passed_over
 
-    def heartbeat_content(self) -> HeartbeatContent:
-        """Return what the next heartbeat carries besides membership."""
+    def status(self) -> NodeStatus:
+        """Return what operators are told of this balancer."""
+        identity = self._context.identity
         in_force = self.configuration.in_force
-        return HeartbeatContent(
+        names = {member.name for member in self._listed} | {identity.name}
+        return NodeStatus(
+            name=identity.name,
+            incarnation=identity.incarnation,
+            hall=identity.location.hall,
+            state=self._state(),
+            epoch=NO_EPOCH,
+            members=tuple(sorted(names)),
+            has_lease=False,
             generation=in_force.generation,
-            digest=in_force.digest[:DIGEST_DIGITS],
-            flows=len(self._state.table),
-            loads=self.health.samples_to_share(),
+            digest=in_force.digest,
+            flows=self._forwarding.flows_observed,
+            in_flight=sum(backend.in_flight for backend in self._forwarding.backends),
+            peers=(),
         )
 
+    def _state(self) -> BalancerState:
+        if self._stop_at < NEVER:
+            return BalancerState.LEAVING
+        return BalancerState.ACTIVE if self.configuration.is_ready else BalancerState.JOINING
+
     def start(self, now: float) -> list[Command]:
-        """Start the node; `now` in seconds of a monotonic clock."""
+        """Begin to read the configuration and the list of machines.
+
+        :param now: seconds of a monotonic clock.
+        """
         self._context.now = now
-        self.membership.start()
-        self._router.start()
-        self._update_component_deadline()
-        self._follow_changes()
-        return self._context.take_commands()
+        self._forwarding.start(now)
+        self._next_list = now
+        return self._on_time(now)
+
+    def next_deadline(self) -> float:
+        """Return when to send `TimerFired` next, in seconds of the node's clock."""
+        return min(
+            self._next_list,
+            self._stop_at,
+            self._forwarding.next_deadline(),
+            self.configuration.next_deadline(),
+        )
 
     def handle(self, event: Event, now: float) -> list[Command]:
         """Take one event.
@@ -157,78 +155,34 @@
         :param now: seconds of the same clock as in `start`, never going back.
         :returns: commands to carry out, in order.
         """
-        if now - self._component_deadline > self._settings.stall_s:
-            self._notice_stall(now)
         self._context.now = now
-        handler = self._data_handlers.get(type(event))
-        if handler is not None:
-            handler(event)
-        else:
-            self._handle_rare(event)
-            self._follow_changes()
-        return self._context.take_commands()
-
-    def _caller_packet_received(self, event: CallerPacketReceived) -> None:
-        self._context.counters.caller_packets += 1
-        if self._context.now >= self._accept_packets_from:
-            self._router.caller_packet_received(event.packet)
-
-    def _backend_reply_received(self, event: BackendReplyReceived) -> None:
-        self._context.counters.backend_replies += 1
-        self._router.backend_reply_received(event.backend_address, event.reply)
-
-    def _peer_message_received(self, event: PeerMessageReceived) -> None:
-        self._context.counters.peer_messages += 1
-        self.membership.sign_of_life(event.sender, event.sender_incarnation)
-        if type(event.message) in _CONTROL_MESSAGES:
-            self._control_message_received(event)
-            self._update_component_deadline()
-            self._follow_changes()
-        elif self._is_fresh(event):
-            sender = MemberIdentity(event.sender, event.sender_incarnation)
-            self._router.peer_message_received(sender, event.sender_address, event.message)
-
-    def _is_fresh(self, event: PeerMessageReceived) -> bool:
-        """Return False for a caller's packet that waited while this process slept."""
-        if self._context.now >= self._accept_packets_from:
-            return True
-        return not isinstance(event.message, CallerPacketForwarded)
-
-    def _control_message_received(self, event: PeerMessageReceived) -> None:
-        message = event.message
-        if isinstance(message, _CONFIGURATION_MESSAGES):
-            self.configuration.handle(event.sender_address, message)
-            return
-        self.membership.handle(event.sender, event.sender_incarnation, event.sender_address, message)
-        if isinstance(message, Heartbeat):
-            self.configuration.generation_heard(event.sender_address, message.generation, message.digest)
-            self.health.samples_received(message.loads)
-
-    def _update_component_deadline(self) -> None:
-        """Ask membership, configuration and health for their next deadline.
-
-        Packets of callers and back ends do not change it by more than the time
-        to the next heartbeat, so they do not pay for this.
-        """
-        self._component_deadline = min(
-            self.membership.next_deadline(),
-            self.configuration.next_deadline(),
-            self.health.next_deadline(),
-        )
-
-    def _handle_rare(self, event: Event) -> None:
+        commands = self._take(event, now)
+        self._note_stall()
+        return commands + self._context.take_commands()
+
+    def _note_stall(self) -> None:
+        """Count a sleep of the process, once, and ask for a log line."""
+        stalls = self._forwarding.counters.stalls_detected
+        if stalls > self.counters.stalls_detected:
+            self.counters.stalls_detected = stalls
+            self._context.record_transition(TransitionKind.STALL_DETECTED, self.identity.name, "woke late")
+
+    def _take(self, event: Event, now: float) -> list[Command]:
+        if isinstance(event, CallerPacketReceived):
+            self.counters.caller_packets += 1
+            return self._caller_packet(event.packet, now)
+        if isinstance(event, BackendReplyReceived):
+            return self._backend_reply(event.reply, now)
         if isinstance(event, TimerFired):
-            self._on_time()
-            return
-        if isinstance(event, BackendProbed):
-            self.health.probed(event.backend, event.report, event.healthy)
-        elif isinstance(event, StopRequested):
-            self._request_stop()
-        else:
-            self._platform_answered(event)
-        self._update_component_deadline()
-
-    def _platform_answered(self, event: Event) -> None:
+            return self._on_time(now)
+        if isinstance(event, StopRequested):
+            self._stop_at = now + STOP_AFTER_S
+            return []
+        self._take_control(event)
+        return self._follow_configuration(now)
+
+    def _take_control(self, event: Event) -> None:
+        """Take what the platform or another balancer says."""
         if isinstance(event, ConfigurationRead):
             self.configuration.snapshot_read(event.snapshot)
         elif isinstance(event, ConfigurationReadUnchanged):
@@ -236,114 +190,96 @@
         elif isinstance(event, ConfigurationReadFailed):
             self.configuration.read_failed(event.reason)
         elif isinstance(event, MachineListRead):
-            self.membership.machine_list_read(event.members)
-            self.configuration.foreign_members_known(event.members)
-
-    def _notice_stall(self, now: float) -> None:
-        """Note, once, that the process slept past its timers and knows old things only."""
-        if self._has_stalled:
-            return
-        self._has_stalled = True
-        slept = now - self._context.now
-        self._context.now = now
-        self._context.counters.stalls_detected += 1
-        self._accept_packets_from = now + _STALL_DROP_S
-        name = self._context.identity.name
-        self._context.record_transition(TransitionKind.STALL_DETECTED, name, f"{slept:.1f} s")
-        self.membership.stall_detected()
-        self.health.stall_detected()
-
-    def _on_time(self) -> None:
-        self._has_stalled = False
-        now = self._context.now
-        if self._component_deadline <= now:
-            self._run_components()
-        if self._router.transfer.next_deadline() <= now:
-            self._router.transfer.on_time()
-        self._state.timers.run_due(now)
-
-    def _run_components(self) -> None:
-        for component in (self.membership, self.configuration, self.health):
-            if component.next_deadline() <= self._context.now:
-                component.on_time()
-        self._update_component_deadline()
-
-    def _request_stop(self) -> None:
-        if self._stop_deadline != NEVER:
-            return
-        self._stop_deadline = self._context.now + self._settings.stop.deadline_s
-        self.membership.request_leave()
-        self._schedule_stop_check()
+            self._listed = event.members
+            self.configuration.machines_known(event.members)
+        elif isinstance(event, PeerMessageReceived):
+            self.counters.peer_messages += 1
+            self.configuration.handle(event.sender_address, event.message)
+
+    def _on_time(self, now: float) -> list[Command]:
+        if now >= self._stop_at:
+            return [CompleteStop()]
+        if now >= self._next_list:
+            interval_s = self._list_interval_s if self.configuration.is_ready else LIST_AGAIN_S
+            self._next_list = now + interval_s
+            self._context.emit(ReadMachineList())
+            self._greet_seeds()
+        if now >= self.configuration.next_deadline():
+            self.configuration.on_time()
+        commands = self._carry_out(self._forwarding.handle(ForwardingTimerFired(), now), now)
+        return commands + self._follow_configuration(now)
+
+    def _greet_seeds(self) -> None:
+        """Let seeds answer with what they have in force, also while the platform lists nobody."""
+        if not self.configuration.is_ready:
+            for address in self._seeds:
+                self._context.send_to_peer(address, ConfigurationOffered(0, ""))
+
+    def _follow_configuration(self, now: float) -> list[Command]:
+        """Forward by a generation that has come into force; return the commands so far."""
+        commands = self._context.take_commands()
+        compiled = self.configuration.in_force
+        if compiled.generation == self._generation:
+            return commands
+        self._generation = compiled.generation
+        return commands + self._forward_by(compiled, now)
+
+    def _forward_by(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
+        services = tuple(compiled.services_by_address.values())
+        self._forwarding.backends.places_changed(place_rules_of(services))
+        revision = compiled.generation
+        routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(route_of, services))))
+        records = tuple(record_of(backend, revision) for service in services for backend in service.backends)
+        for record in records:
+            self._take_declared(record)
+        commands = self._forwarding.handle(routes, now) + self._forwarding.handle(
+            BackendsRead(revision, records), now
+        )
+        return self._carry_out(commands, now)
 
-    def _schedule_stop_check(self) -> None:
-        interval = self._settings.stop.idle_s / 4
-        self._state.timers.schedule(self._context.now + interval, self._check_stop)
+    def _take_declared(self, record: BackendRecord) -> None:
+        """Take what only an operator changes of a known back end: its hall, and that it leaves.
 
-    def _check_stop(self, _: object) -> None:
-        """Complete the stop once this balancer is out of the view and idle."""
-        if self._is_stopped:
+        Forwarding keeps both for good, since a back end that says it leaves never comes back on
+        its own and stays where it is.
+        """
+        known = self._forwarding.backends.by_name(record.name)
+        if known is None:
             return
-        now = self._context.now
-        is_busy = not self.membership.has_left() or not self._router.is_idle
-        if is_busy:
-            self._idle_since = NEVER
-        elif self._idle_since == NEVER:
-            self._idle_since = now
-        has_idled = self._idle_since != NEVER and now - self._idle_since >= self._settings.stop.idle_s
-        if has_idled or now >= self._stop_deadline:
-            self._is_stopped = True
-            self._context.emit(CompleteStop())
-        else:
-            self._schedule_stop_check()
-
-    def _follow_changes(self) -> None:
-        """Pass a new view or generation on to the components that depend on it."""
-        if self.membership.view.epoch != self._state.ring.epoch:
-            self._router.view_changed()
-        in_force = self.configuration.in_force
-        if in_force.generation != self._generation:
-            self._generation = in_force.generation
-            self.health.configuration_changed(in_force)
-            self._update_component_deadline()
-
-    def next_deadline(self) -> float:
-        """Return when to send `TimerFired` next, in seconds of the node's clock."""
-        deadline = self._component_deadline
-        timers = self._state.timers.next_deadline()
-        if timers < deadline:
-            deadline = timers
-        transfer = self._router.transfer.next_deadline()
-        return transfer if transfer < deadline else deadline
-
-    def status(self) -> NodeStatus:
-        """Return what operators are told of this balancer."""
-        identity = self._context.identity
-        in_force = self.configuration.in_force
-        view = self.membership.view
-        return NodeStatus(
-            name=identity.name,
-            incarnation=identity.incarnation,
-            hall=identity.location.hall,
-            state=self.membership.state.name.lower(),
-            epoch=view.epoch,
-            members=tuple(member.name for member in view.members),
-            has_lease=self.membership.has_lease(),
-            generation=in_force.generation,
-            digest=in_force.digest,
-            flows=len(self._state.table),
-            in_flight=self.in_flight,
-            peers=tuple(self._report(peer) for peer in self.membership.peer_statuses()),
-        )
-
-    def _report(self, peer: PeerStatus) -> PeerReport:
-        return PeerReport(
-            name=peer.member.name,
-            address=peer.member.address,
-            state=peer.state.name.lower(),
-            epoch=peer.epoch,
-            generation=peer.generation,
-            digest=peer.digest,
-            flows=peer.flows,
-            heard_s_ago=round(self._context.now - peer.last_heard, 3),
-            suspected=peer.suspected,
-        )
+        known.hall = record.hall
+        if record.state is BackendState.READY:
+            known.said_leaving = False
+
+    def _carry_out(self, commands: list[ForwardingCommand], now: float) -> list[Command]:
+        """Decide again on packets that waited; other commands ask the platform in ways this one has not."""
+        waited = [command for command in commands if isinstance(command, ForwardHeld)]
+        results: list[Command] = []
+        for command in waited:
+            for datagram in command.datagrams:
+                results += self._caller_packet(msgspec.msgpack.decode(datagram, type=CallerPacket), now)
+        return results
+
+    def _caller_packet(self, packet: CallerPacket, now: float) -> list[Command]:
+        segment = segment_of(packet)
+        decision = self._forwarding.decide(segment, now)
+        if decision.hold:
+            held = OpeningHeld(segment, msgspec.msgpack.encode(packet))
+            return self._carry_out(self._forwarding.handle(held, now), now)
+        backend = decision.backend
+        if backend is not None:
+            address = f"{backend.endpoint.host}:{backend.endpoint.port}"
+            return [SendToBackend(address, backend_packet(packet, backend.token))]
+        return [SendToCaller(refusal_of(packet))] if decision.reset else []
+
+    def _backend_reply(self, reply: BackendReply, now: float) -> list[Command]:
+        head = reply_head_of(reply)
+        if head is not None:
+            self._forwarding.reply_seen(head, now)
+        return _passed_on(reply)
+
+
+def _passed_on(reply: BackendReply) -> list[Command]:
+    """Return a reply on its way; a back end that does not take a flow is silent."""
+    if reply.kind is BackendReplyKind.REFUSED and reply.request_id == 0:
+        return []
+    return [SendToCaller(caller_reply(reply))]
--- a/sloepond/demo/balancer_settings.py
+++ b/sloepond/demo/balancer_settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sloepond.core.settings import TOKEN_POLICY, MembershipSettings, NodeSettings, RoutingSettings
+from sloepond.core.settings import MembershipSettings, NodeSettings
 from sloepond.demo.addresses import (
     API_PORT,
     BACKEND_FACING_PORT,
@@ -47,10 +47,7 @@
     key = KeySettings(id=1, secret=secrets.token_hex(_KEY_BYTES))
     token = secrets.token_hex(_TOKEN_BYTES)
     hosts = [FIRST_BALANCER_HOST + index for index in range(len(locations))]
-    membership = MembershipSettings(
-        bootstrap=tuple(_name(host) for host in hosts),
-        seeds=tuple(network.address(host, PEER_PORT) for host in hosts),
-    )
+    membership = MembershipSettings(seeds=tuple(network.address(host, PEER_PORT) for host in hosts))
     planned = []
     for host, location in zip(hosts, locations, strict=True):
         settings = BalancerSettings(
@@ -63,7 +60,7 @@
             keys=(key,),
             platform=PlatformSettings(url=platform_url),
             api=ApiSettings(write_tokens=(token,)),
-            node=NodeSettings(membership=membership, routing=RoutingSettings(policy=TOKEN_POLICY)),
+            node=NodeSettings(membership=membership),
         )
         planned.append(_write(settings, directory, settings.name))
     return planned
@@ -93,10 +90,22 @@
 
 def _write(settings: BalancerSettings, directory: Path, stem: str) -> PlannedBalancer:
     file = directory / f"{stem}.toml"
-    file.write_text(_toml_table((), msgspec.to_builtins(settings)), encoding="utf-8")
+    file.write_text(_toml_table((), _without_defaults(settings)), encoding="utf-8")
     return PlannedBalancer(settings, file, f"http://{settings.api_address}")
 
 
+def _without_defaults(settings: msgspec.Struct) -> dict[str, object]:
+    """Return the settings that differ from their defaults, as plain values by name."""
+    values: dict[str, object] = {}
+    for field in msgspec.structs.fields(settings):
+        value = getattr(settings, field.name)
+        if value == field.default:
+            continue
+        is_table = isinstance(value, msgspec.Struct)
+        values[field.name] = _without_defaults(value) if is_table else msgspec.to_builtins(value)
+    return values
+
+
 def _toml_table(path: tuple[str, ...], values: dict[str, object]) -> str:
     """Return the values of a table, then its tables; JSON scalars and lists are TOML too."""
     lines = [f"[{'.'.join(path)}]"] if path else []
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -1,4 +1,7 @@
-"""What the lab needs of a node, so that the core and baselines run alike."""
+"""What the lab needs of a node, so that the real one and the broken ones of tests run alike.
+
+The one place in which the lab names the node that balancers run.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +12,7 @@
 from sloepond.core.commands import Command
 from sloepond.core.events import Event
 from sloepond.core.messages import Member
+from sloepond.core.node import Node
 from sloepond.core.settings import NodeSettings
 from sloepond.resources.compiled import CompiledConfiguration
 
@@ -22,25 +26,28 @@
 
 
 class LabNode(Protocol):
-    """A sans-I/O balancer; `sloepond.core.node.Node` is one."""
+    """A balancer's node without I/O."""
 
     @property
     def identity(self) -> Member:
-        """Name, incarnation and address it has now."""
+        """Name, incarnation and address of its process."""
 
     @property
     def configuration(self) -> InForce:
         """What configuration it uses."""
 
     def start(self, now: float) -> list[Command]:
-        """Begin; called once."""
+        """Return the first commands."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event."""
+        """Take an event and return the commands that follow from it."""
 
     def next_deadline(self) -> float:
-        """Return when a TimerFired event is needed, infinity if never."""
+        """Return when a `TimerFired` is needed next, `NEVER` if not."""
 
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
 """Makes the node of one process."""
+
+BALANCER_NODE: NodeFactory = Node
+"""The node that balancers run."""
--- a/sloepond/lab/reach.py
+++ b/sloepond/lab/reach.py
@@ -1,4 +1,7 @@
-"""Who can reach whom: what the checkers ask about faults."""
+"""Who can reach whom: what the checkers ask about faults.
+
+Owns the time of the last partition.  Relies on the network for what is blocked.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from sloepond.lab.network import Network
 
 NOTICE_S = 2.0
-"""Time after the start of a partition in which balancers may still send into it."""
+"""Time after the start of a partition in which balancers may still send into it, seconds; not measured."""
 
 
 class Reach:
@@ -38,9 +41,9 @@
         return not (network.is_blocked(first, second) or network.is_blocked(second, first))
 
     def is_peer(self, host: BalancerHost, peer: BalancerHost) -> bool:
-        """Return whether `peer` runs, is of the cell of `host` and in touch with it."""
+        """Return whether `peer` runs and datagrams pass between it and `host`."""
         runs = peer.node is not None and not peer.paused
-        return runs and peer.cell == host.cell and self.has_way(host.name, peer.name)
+        return runs and self.has_way(host.name, peer.name)
 
     def can_serve(self, host: BalancerHost, backend: str) -> bool:
         """Return whether `host`, alone or through one other balancer, can reach the back end.
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -1,4 +1,7 @@
-"""The outcome of one run."""
+"""The outcome of one run: measures, broken promises, timeline and series for plots.
+
+Owns the form of `--json` and of result files.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 class Measures(msgspec.Struct, frozen=True):
     """What one run measured; the one JSON object of `--json`.
 
-    The same scenario, seed and policy give the same values but for `wall_seconds`.
+    The same scenario and seed give the same values but for `wall_seconds`.
     """
 
     flows: int
@@ -31,8 +34,6 @@
     configuration_reverts: int
     control_bytes_per_second_max: int
     control_bytes_per_second_mean: float
-    transfer_bytes_per_second_max: int
-    data_overhead_bytes_per_packet: float
     simulated_seconds: float
     wall_seconds: float
     events: int
@@ -53,7 +54,7 @@
 
 
 class TimelineEntry(msgspec.Struct, frozen=True):
-    """Something the scenario did; seconds after the cells have formed."""
+    """Something the scenario did; seconds after the balancers have started."""
 
     at: float
     text: str
@@ -77,14 +78,11 @@
 
     scenario: str
     seed: int
-    policy: str
     measures: Measures
     broken_promises: tuple[BrokenPromise, ...]
     timeline: tuple[TimelineEntry, ...]
     flows_cut: int
     """Flows that faults left no way to their back end; they do not count as broken."""
-    counters: dict[str, int]
-    """Sum of the counters of all balancer processes that ended or ran at the end."""
     series: Series
 
     @property
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -1,14 +1,17 @@
-"""Runs one scenario with one seed and one policy, and judges it."""
+"""Runs one scenario with one seed, and judges it.
+
+Owns one run from its start to its result.  Relies on the world to simulate, and on the scenario's
+expectations for what is broken.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-from sloepond.lab.checkers.violations import Promise, Violation
+from sloepond.lab.checkers.violations import COUNTED, Promise, Violation
 from sloepond.lab.director import Director
-from sloepond.lab.hosting import NodeFactory
-from sloepond.lab.nodes import factory_for
+from sloepond.lab.hosting import BALANCER_NODE, NodeFactory
 from sloepond.lab.random_faults import draw_faults
 from sloepond.lab.result import BrokenPromise, LabResult, Measures, Series
 from sloepond.lab.sampler import Sampler, load_end
@@ -16,7 +19,9 @@
 from sloepond.lab.world import World
 
 PROGRESS_STEP_S = 0.5
+"""Simulated time between reports of progress, seconds."""
 _DECIMALS = 4
+"""Decimals of the measures."""
 
 Progress = Callable[[float, float], None]
 """Called with the simulated seconds done and those in all."""
@@ -25,21 +30,18 @@
 def run_scenario(
     scenario: Scenario,
     seed: int = 1,
-    policy: str = "",
     progress: Progress | None = None,
-    factory: NodeFactory | None = None,
+    factory: NodeFactory = BALANCER_NODE,
+    ordered_flows: bool = True,
 ) -> LabResult:
     """Run a scenario to its end.
 
-    :param policy: name of a placement policy, `token`, `stateless`, `omniscient` or
-        empty for the default of the settings.
-    :param factory: makes the nodes; None takes what `policy` asks for.
-    :raises ValueError: where the policy is not known.
+    :param factory: makes the nodes.
+    :param ordered_flows: whether flows are streams, in which a back end answers a copy of a request
+        without running it.
+    :raises ValueError: where the scenario's resources or settings are not valid.
     """
-    started = time.perf_counter()
-    run = LabRun(scenario, seed, policy, factory)
-    run.run(progress)
-    return run.result(time.perf_counter() - started)
+    return LabRun(scenario, seed, factory, ordered_flows).run(progress)
 
 
 class LabRun:
@@ -48,22 +50,24 @@
     :ivar world: the simulated machines, for tests and tools to look at.
     """
 
-    def __init__(self, scenario: Scenario, seed: int, policy: str, factory: NodeFactory | None) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        factory: NodeFactory = BALANCER_NODE,
+        ordered_flows: bool = True,
+    ) -> None:
         self.scenario = scenario
         self.seed = seed
-        self.policy = policy
-        chosen = factory_for(policy)
-        self.world = World(scenario, seed, factory or chosen.factory, chosen.settings_policy)
-        if chosen.ordered_flows:
-            self.world.order_flows()
-        chosen.connect(self.world)
+        self.world = World(scenario, seed, factory, ordered_flows)
         self._sampler = Sampler(self.world)
         timeline = (*scenario.faults, *draw_faults(scenario, self.world.streams.stream("faults")))
         Director(self.world).schedule(timeline)
         self._end = load_end(scenario) + scenario.timing.settle_s
 
-    def run(self, progress: Progress | None = None) -> None:
-        """Simulate until the end."""
+    def run(self, progress: Progress | None = None) -> LabResult:
+        """Simulate until the end; return what was measured and which promises broke."""
+        started = time.perf_counter()
         self.world.start()
         self._sampler.start()
         queue = self.world.queue
@@ -71,20 +75,17 @@
             queue.run_until(min(self._end, queue.now + PROGRESS_STEP_S))
             if progress is not None:
                 progress(queue.now, self._end)
-        self.world.fleet.collect_all_counters()
+        return self._result(time.perf_counter() - started)
 
-    def result(self, wall_seconds: float) -> LabResult:
-        """Return what was measured and which promises broke."""
+    def _result(self, wall_seconds: float) -> LabResult:
         measures = self._measures(wall_seconds)
         return LabResult(
             scenario=self.scenario.name,
             seed=self.seed,
-            policy=self.policy,
             measures=measures,
             broken_promises=tuple(self._broken_promises(measures)),
             timeline=tuple(self.world.timeline),
             flows_cut=self.world.flow_checker.cut,
-            counters=self.world.fleet.counters,
             series=Series(
                 in_flight=self._sampler.in_flight,
                 control_bytes=self._sampler.traffic.control_by_second,
@@ -94,31 +95,19 @@
 
     def _measures(self, wall_seconds: float) -> Measures:
         world = self.world
-        counts = {promise.value: count for promise, count in world.log.counts.items()}
+        counts = {promise.value: world.log.counts[promise] for promise in COUNTED}
         traffic = self._sampler.traffic
         balance = self._sampler.balance
-        packets = world.fleet.counters.get("caller_packets", 0)
         return Measures(
+            **counts,
             flows=world.callers.started,
             flows_open_peak=world.flow_checker.open_peak,
-            broken_flows=counts[Promise.BROKEN_FLOWS],
-            misrouted_packets=counts[Promise.MISROUTED_PACKETS],
-            place_violations=counts[Promise.PLACE_VIOLATIONS],
-            answers_crossed=counts[Promise.ANSWERS_CROSSED],
-            answers_incomplete=counts[Promise.ANSWERS_INCOMPLETE],
-            duplicate_executions=counts[Promise.DUPLICATE_EXECUTIONS],
-            false_not_run=counts[Promise.FALSE_NOT_RUN],
-            outcome_unknown=counts[Promise.OUTCOME_UNKNOWN],
-            refused=counts[Promise.REFUSED],
             imbalance_p50=_rounded(balance.percentile(0.5)),
             imbalance_p99=_rounded(balance.percentile(0.99)),
             new_work_after_drain_seconds=_rounded(world.place_checker.last_new_work_s),
             configuration_in_force_seconds_max=_rounded(world.configuration_checker.in_force_seconds),
-            configuration_reverts=counts[Promise.CONFIGURATION_REVERTS],
             control_bytes_per_second_max=traffic.control_maximum,
             control_bytes_per_second_mean=_rounded(traffic.control_mean),
-            transfer_bytes_per_second_max=traffic.transfer_maximum,
-            data_overhead_bytes_per_packet=_rounded(traffic.data_bytes / packets if packets else 0.0),
             simulated_seconds=self._end,
             wall_seconds=round(wall_seconds, 3),
             events=world.queue.processed,
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -1,27 +1,36 @@
-"""The simulated world: builds machines from a scenario and carries datagrams between them."""
+"""The simulated world: builds machines from a scenario and carries datagrams between them.
+
+Owns all machines, the network, the platform and the checkers of one run.  Relies on nothing outside
+the run: the same scenario and seed give the same course.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-from sloepond.core.events import ConfigurationRead, ConfigurationReadFailed, MachineListRead
+from sloepond.core.events import (
+    BackendReplyReceived,
+    ConfigurationRead,
+    ConfigurationReadFailed,
+    MachineListRead,
+)
 from sloepond.core.packets import BackendPacket, CallerReply
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.backend import BackendHost
-from sloepond.lab.balancer import BalancerHost, PeerDatagram
+from sloepond.lab.balancer import BalancerHost
 from sloepond.lab.callers import CallerPopulation, ServiceEntrance
 from sloepond.lab.checkers.configuration import ConfigurationChecker
 from sloepond.lab.checkers.flows import FlowChecker
 from sloepond.lab.checkers.places import PlaceChecker
 from sloepond.lab.checkers.requests import RequestChecker
 from sloepond.lab.checkers.violations import ViolationLog
+from sloepond.lab.datagrams import BackendDatagram, PeerDatagram, ProcessResult
 from sloepond.lab.declaration import Declaration
 from sloepond.lab.engine import EventQueue, RandomStreams
 from sloepond.lab.fleet import Fleet, FleetMedium
 from sloepond.lab.hosting import NodeFactory
 from sloepond.lab.network import Network
 from sloepond.lab.platform import Platform
-from sloepond.lab.probing import Probing
 from sloepond.lab.reach import Reach
 from sloepond.lab.result import TimelineEntry
 from sloepond.lab.scenario import Scenario, ServiceModel
@@ -30,13 +39,13 @@
 from sloepond.standins.content import BackendIdentity
 
 READ_TIMEOUT_S = 1.0
-"""Time after which a read of a configuration service that is down fails."""
+"""Time after which a read of a configuration service that is down fails, seconds; not measured."""
 
 
 class World:
     """All machines of one run; see the module."""
 
-    def __init__(self, scenario: Scenario, seed: int, factory: NodeFactory, policy: str) -> None:
+    def __init__(self, scenario: Scenario, seed: int, factory: NodeFactory, ordered_flows: bool) -> None:
         self.scenario = scenario
         self.streams = RandomStreams(seed)
         self.queue = EventQueue()
@@ -50,13 +59,12 @@
         self.place_checker = PlaceChecker(self.log)
         self.configuration_checker = ConfigurationChecker(self.log)
         self._callers_endpoint = self.network.endpoint("callers", None)
-        settings = node_settings(scenario, policy)
+        settings = msgspec.convert(scenario.settings, NodeSettings)
         medium = FleetMedium(self.queue, self.network, self.platform, self.streams, self._callers_endpoint)
-        self._probing = Probing(self.queue, self.network, settings.health.probe_timeout_s)
         self.backends: dict[str, BackendHost] = {}
         self._backends_by_address: dict[str, BackendHost] = {}
-        self._build_backends()
-        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.places, self)
+        self._build_backends(ordered_flows)
+        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.halls, self)
         self.reach = Reach(self.queue, self.network, self.fleet.balancers, self.backends)
         self.flow_checker = FlowChecker(self.log, self.reach, scenario.callers.patience_s)
         self.callers = CallerPopulation(
@@ -69,35 +77,27 @@
 
     # Building
 
-    def _build_backends(self) -> None:
+    def _build_backends(self, ordered_flows: bool) -> None:
         for model in self.scenario.services:
-            for index in range(model.backends):
-                self._add_backend(model, f"{model.name}-{index + 1}")
+            settings = backend_settings(model, self.scenario, ordered_flows)
+            for name in model.backend_names():
+                self._add_backend(model, name, settings)
 
-    def _add_backend(self, model: ServiceModel, name: str) -> None:
+    def _add_backend(self, model: ServiceModel, name: str, settings: BackendSettings) -> None:
         resource = self.declaration.backends[name]
         location = self.compiled.backends_by_name[name].location
         host = BackendHost(
             endpoint=self.network.endpoint(name, location),
             identity=BackendIdentity(name, model.name),
             address=resource.spec.address,
-            settings=backend_settings(model, self.scenario),
+            settings=settings,
             queue=self.queue,
             random_source=self.streams.stream(f"backend/{name}"),
+            observer=self,
         )
-        host.on_output = self._backend_output
-        host.on_execution = self._backend_execution
-        host.on_packet = self._backend_packet
-        host.on_accepted = self._flow_accepted
         self.backends[name] = host
         self._backends_by_address[host.address] = host
 
-    def order_flows(self) -> None:
-        """Make every flow a stream of bytes, in which no request comes twice."""
-        for host in self.backends.values():
-            host.settings = msgspec.structs.replace(host.settings, ordered_flows=True)
-            host.start()
-
     def start(self) -> None:
         """Publish the first generation, start all balancers and announce the callers."""
         self._publish_compiled()
@@ -113,15 +113,8 @@
             )
 
     def _entrance(self, service: str) -> ServiceEntrance:
-        names = [model.name for model in self.scenario.services]
-        topology = self.scenario.topology
-        region = names.index(service) % topology.regions
-        fabrics = [
-            self.fleet.fabrics[cell]
-            for cell, zone in self.fleet.cell_zones.items()
-            if zone // topology.zones_per_region == region
-        ]
-        return ServiceEntrance(service, self.declaration.services[service].spec.address, list(fabrics))
+        address = self.declaration.services[service].spec.address
+        return ServiceEntrance(service, address, (self.fleet.fabric,))
 
     # Datagrams of balancers
 
@@ -133,8 +126,8 @@
         """Send a packet to a back end; the network makes no copies on this link."""
         target = self._backends_by_address.get(address)
         if target is not None:
-            argument = (host.address, packet)
-            self.network.transmit(host.endpoint, target.endpoint, target.receive, argument, False)
+            datagram = BackendDatagram(host.address, packet)
+            self.network.transmit(host.endpoint, target.endpoint, target.receive, datagram, False)
 
     def balancer_to_peer(self, host: BalancerHost, address: str, datagram: PeerDatagram) -> None:
         """Send a message to another balancer."""
@@ -142,54 +135,58 @@
         if target is not None:
             self.network.transmit(host.endpoint, target.endpoint, target.receive_from_peer, datagram)
 
-    def _backend_output(self, backend: BackendHost, outputs: list[BackendOutput]) -> None:
+    # Back ends
+
+    def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
+        """Send the replies of a back end to the balancers they answer."""
         for output in outputs:
             target = self.fleet.by_address.get(output.destination)
             if target is not None:
-                argument = (backend.address, output.reply)
+                datagram = BackendReplyReceived(host.address, output.reply)
                 self.network.transmit(
-                    backend.endpoint, target.endpoint, target.receive_from_backend, argument, False
+                    host.endpoint, target.endpoint, target.receive_from_backend, datagram, False
                 )
 
-    def _backend_packet(self, backend: BackendHost, packet: BackendPacket, opens: bool) -> None:
-        self.place_checker.packet_arrived(backend.name, packet, opens, self.queue.now)
+    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
+        """Have the place of a back end that got a packet checked."""
+        self.place_checker.packet_arrived(host.name, packet, opens, self.queue.now)
 
-    def _flow_accepted(self, backend: BackendHost, packet: BackendPacket) -> None:
-        self.flow_checker.flow_accepted(packet.flow, backend.name, self.queue.now)
+    def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
+        """Note which back end holds a flow."""
+        self.flow_checker.flow_accepted(packet.flow, host.name, self.queue.now)
 
-    def _backend_execution(self, execution: Execution) -> None:
+    def backend_executed(self, execution: Execution) -> None:
+        """Have a request that was started checked."""
         now = self.queue.now
         self.request_checker.executed(execution, now)
         self.flow_checker.executed(execution, now)
 
-    # Reads, probes and ends of balancers
+    # Reads and ends of balancers
 
-    def read_configuration(self, host: BalancerHost, known_generation: int) -> None:
+    def read_configuration(self, host: BalancerHost) -> None:
         """Answer a read of the configuration after its latency."""
-        snapshot = self.platform.read(host.name)
+        snapshot = None if host.configuration_blocks else self.platform.read()
         delay = self.scenario.platform.read_latency_ms / 1000
         if snapshot is None:
             event = ConfigurationReadFailed("configuration service does not answer")
             delay = READ_TIMEOUT_S
-            self.queue.schedule(self.queue.now + delay, host.receive_result, (host.process, event))
+            self.queue.schedule(
+                self.queue.now + delay, host.receive_result, ProcessResult(host.process, event)
+            )
             return
-        result = (host.process, ConfigurationRead(snapshot))
+        result = ProcessResult(host.process, ConfigurationRead(snapshot))
         self.queue.schedule(self.queue.now + delay, host.receive_result, result)
 
     def read_machine_list(self, host: BalancerHost) -> None:
         """Answer a read of the list of machines."""
         delay = self.scenario.platform.read_latency_ms / 1000
         event = MachineListRead(self.platform.machines(self.queue.now))
-        self.queue.schedule(self.queue.now + delay, host.receive_result, (host.process, event))
-
-    def probe(self, host: BalancerHost, backend: str, address: str) -> None:
-        """Probe a back end; the balancer hears of it in any case."""
-        self._probing.start(host, backend, self._backends_by_address.get(address))
+        self.queue.schedule(self.queue.now + delay, host.receive_result, ProcessResult(host.process, event))
 
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
         self.note(f"{host.name} has stopped")
-        self.fleet.stopped(host)
+        self.fleet.ended(host)
 
     # The operator
 
@@ -237,7 +234,7 @@
     return CompiledConfiguration(snapshot)
 
 
-def backend_settings(model: ServiceModel, scenario: Scenario) -> BackendSettings:
+def backend_settings(model: ServiceModel, scenario: Scenario, ordered_flows: bool) -> BackendSettings:
     """Return the settings of the back ends of a service."""
     intervals = [load.push_interval_s for load in scenario.load if load.service == model.name]
     return BackendSettings(
@@ -248,16 +245,5 @@
         push_interval_s=min(intervals, default=2.0),
         cold_s=model.cold_start_s,
         cold_factor=model.cold_factor,
+        ordered_flows=ordered_flows,
     )
-
-
-def node_settings(scenario: Scenario, policy: str) -> NodeSettings:
-    """Return the settings of the scenario with the placement policy put in.
-
-    :raises msgspec.ValidationError: where the scenario's settings are none of the core.
-    """
-    settings = msgspec.convert(scenario.settings, NodeSettings)
-    if not policy:
-        return settings
-    routing = msgspec.structs.replace(settings.routing, policy=policy)
-    return msgspec.structs.replace(settings, routing=routing)
--- a/sloepond/platform/__main__.py
+++ b/sloepond/platform/__main__.py
@@ -1,4 +1,8 @@
-"""Start of a balancer on the platform: bind first, so that nothing is lost, then load the rest."""
+"""Starts a balancer on the platform: binds its sockets, then loads the rest.
+
+What callers send meanwhile waits in the sockets' buffers.  Owns the signals of the process; relies on
+`binding` and `settings` to load next to nothing.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,8 @@
 def main() -> None:
     """Run a balancer until SIGTERM has stopped it."""
     signals = _receive_signals()
-    from sloepond.platform.binding import bind_sockets
     from sloepond.platform.settings import read_settings
+    from sloepond.runtime.forwarding.binding import bind_sockets
 
     settings = read_settings()
     descriptors = bind_sockets(settings)
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -8,15 +8,15 @@
 
 from sloepond.core.commands import Command, SendToBackend
 from sloepond.core.events import Event
+from sloepond.core.node import Node
 from sloepond.runtime.activity import ACTIVE_S, RENEWAL_S, is_routine
-from sloepond.runtime.balancer_node import BalancerNode
 from sloepond.runtime.command_writer import CommandWriters
 
 MAXIMUM_HANDLING_S = 0.5
 """Time after which packets to back ends are stale and dropped, in seconds.
 
-A process that was paused between deciding and sending has lost its lease
-meanwhile; what it decided is recorded, so the drop counts as a lost packet.
+A process that was paused between deciding and sending may send to a back end that has left
+meanwhile; the caller sends again.  Not measured.
 """
 
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        node: BalancerNode,
+        node: Node,
         clock: Callable[[], float],
         writers: CommandWriters,
         logger: logbook.Logger,
--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -1,8 +1,8 @@
 """A small event loop: coroutines and callbacks of one thread on a selector.
 
-It stands in for trio in the process that runs on the platform, where loading trio takes
-most of a start on a small machine; docs/adr/0011-lean-event-loop.md has the figures.
-Every wait has a deadline, so no coroutine is ever cancelled from outside.
+It stands in for trio, whose loading takes two thirds of a start on a small machine
+(docs/adr/0011-lean-event-loop.md).  Owns the selector, the running tasks and their timers; relies
+on a monotonic clock.  Every wait has a deadline, so no coroutine is ever cancelled from outside.
 """
 
 from __future__ import annotations
@@ -10,57 +10,62 @@
 import heapq
 import itertools
 import selectors
-import socket
 import types
 from collections import deque
 from collections.abc import Callable, Coroutine, Generator
 
 from sloepond.core.deadlines import NEVER
 from sloepond.runtime.clock import monotonic_seconds
+from sloepond.runtime.forwarding.sockets import Socket
 
 LONGEST_SELECT_S = 60.0
-"""Longest single wait for sockets; a wait without any deadline is cut into these."""
+"""Longest single wait for sockets, in seconds; a wait without any deadline is cut into these.
+
+Not measured: `epoll_wait` takes a bounded number of milliseconds, and one wake-up a minute costs nothing.
+"""
 FOR_READING = selectors.EVENT_READ
+"""Event of a wait: there are bytes, a datagram or a connection, or the other end has closed."""
 FOR_WRITING = selectors.EVENT_WRITE
+"""Event of a wait: there is room to write, or a connection is made or refused."""
 
 Routine = Coroutine["Wait", None, None]
-"""A coroutine that the loop runs; it waits by the functions of this module."""
+"""A coroutine that the loop runs; it waits by `readable`, `writable` and `sleep_until` only."""
 
 
 class Wait:
     """What a coroutine waits for.
 
     :ivar deadline: seconds of the loop's clock, `NEVER` for none.
-    :ivar stream: socket to become ready, None where only the time counts.
+    :ivar stream: socket to become ready, None if only the time counts.
     :ivar events: `FOR_READING` or `FOR_WRITING`.
     """
 
     __slots__ = ("deadline", "stream", "events")
 
-    def __init__(self, deadline: float, stream: socket.socket | None = None, events: int = 0) -> None:
+    def __init__(self, deadline: float, stream: Socket | None = None, events: int = 0) -> None:
         self.deadline = deadline
         self.stream = stream
         self.events = events
 
 
-async def readable(stream: socket.socket, deadline: float) -> None:
+async def readable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be read from or accepted on.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_READING))
 
 
-async def writable(stream: socket.socket, deadline: float) -> None:
+async def writable(stream: Socket, deadline: float) -> None:
     """Wait until a socket can be written to, or until its connection is made or refused.
 
-    :raises TimeoutError: where the deadline passes first.
+    :raises TimeoutError: if the deadline passes first.
     """
     await _wait(Wait(deadline, stream, FOR_WRITING))
 
 
 async def sleep_until(time: float) -> None:
-    """Wait until a moment of the loop's clock."""
+    """Wait until a time of the loop's clock, in seconds."""
     await _wait(Wait(time))
 
 
@@ -107,23 +112,23 @@
         self._is_stopped = False
 
     def start(self, routine: Routine) -> None:
-        """Run a coroutine beside the others, from the next step on."""
+        """Run a coroutine beside the others; its first step comes after the step under way."""
         task = Task(routine)
         self._tasks.add(task)
         self._due.append(task)
 
-    def watch(self, stream: socket.socket, on_readable: Callable[[], None]) -> None:
+    def watch(self, stream: Socket, on_readable: Callable[[], None]) -> None:
         """Call a function each time a socket can be read from or accepted on."""
         self._selector.register(stream, FOR_READING, on_readable)
 
-    def unwatch(self, stream: socket.socket) -> None:
+    def unwatch(self, stream: Socket) -> None:
         """Call the function of a socket no longer."""
         self._selector.unregister(stream)
 
     def follow_deadline(self, next_deadline: Callable[[], float], on_time: Callable[[], None]) -> None:
-        """Call a function whenever a deadline that may move has passed.
+        """Call a function whenever a deadline that may move has passed; there is one of these.
 
-        :param next_deadline: asked before each wait.
+        :param next_deadline: returns the deadline in seconds of the loop's clock; called before each wait.
         """
         self._next_deadline = next_deadline
         self._on_time = on_time
@@ -141,7 +146,7 @@
             self._close()
 
     def run_once(self) -> None:
-        """Wait for what comes next and handle all that has come."""
+        """Wait for the next socket or deadline; handle sockets first, then deadlines, then due tasks."""
         for key, _ in self._selector.select(self._time_to_wait()):
             if isinstance(key.data, Task):
                 self._resume(key.data)
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -1,25 +1,38 @@
-"""Structured log lines on standard output: bounded in volume, never blocking.
+"""Structured log lines on standard output: bounded in rate, never blocking.
 
-Each line is one JSON object.  A line that finds no room is dropped and counted.
+Each line is one JSON object; docs/OPERATIONS.md lists the kinds.  A line beyond the rate, or for which
+the pipe has no room, is dropped and counted.  Owns the rate limits.  Relies on the steady clock and
+on nothing that decides: what is logged is passed in.
 """
 
 from __future__ import annotations
 
 import os
-from typing import Protocol
 
 import msgspec
 
 from sloepond.core.forwarding.commands import LogKind, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
+from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import PORT_BITS, Refusal, Segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.runtime.clock import monotonic_seconds
 
 LINES_PER_S = 200.0
-"""Lines written a second over a longer time."""
+"""Lines a second that may be written in the long run.
+
+Not measured: at about 300 bytes a line it bounds the log to 60 kB a second.
+"""
 BURST_LINES = 400
+"""Lines that may be written at once.  Not measured: two seconds of `LINES_PER_S`."""
+FAILURE_INTERVAL_S = 10.0
+"""Time between two lines about the same lasting failure, in seconds.
+
+Not measured: short enough to show whoever follows the log that the failure goes on, and few
+beside `LINES_PER_S`.  A counter gives the rate.
+"""
 STANDARD_OUTPUT = 1
+"""File descriptor."""
 PORT_MASK = (1 << PORT_BITS) - 1
 
 
@@ -27,6 +40,9 @@
     """One line.
 
     :ivar at: seconds since the start of the process, by the steady clock.
+    :ivar kind: a value of `LogKind`.
+    :ivar subject: what the line is about, such as the name of a back end.
+    :ivar detail: `name=value` pairs: what decided, with age or version.
     """
 
     at: float
@@ -35,17 +51,13 @@
     detail: str = ""
 
 
-class KnowledgeVersions(Protocol):
-    """What tells how old the knowledge behind a decision is."""
-
-    def snapshot(self, now: float) -> str:
-        """Return versions and ages, for a log line."""
-
-
 class LogWriter:
     """Writes lines of the data path and of the node.
 
+    Lines about decisions end with the versions and ages of the routes and back ends behind them.
+
     :param counters: counts lines that were dropped.
+    :param descriptor: file descriptor to write to; made non-blocking.
     """
 
     def __init__(self, counters: ForwardingCounters, descriptor: int = STANDARD_OUTPUT) -> None:
@@ -55,13 +67,27 @@
         self._allowed = float(BURST_LINES)
         self._refilled_at = self._started
         self._encoder = msgspec.json.Encoder()
+        self._failures: dict[tuple[LogKind, str], float] = {}
         os.set_blocking(descriptor, False)
 
     def write(self, command: WriteLog) -> None:
         """Write a line about the node."""
         self._write(command.kind, command.subject, command.detail)
 
-    def flow_placed(self, segment: Segment, backend: ForwardingBackend, node: KnowledgeVersions) -> None:
+    def failure(self, kind: LogKind, subject: str, reason: Exception | str) -> None:
+        """Write a line about a failure that may repeat, at most one in `FAILURE_INTERVAL_S`.
+
+        :param subject: one of a fixed few, such as the name of a socket: each is remembered.
+        """
+        now = monotonic_seconds()
+        written_at = self._failures.get((kind, subject))
+        if written_at is not None and now - written_at < FAILURE_INTERVAL_S:
+            return
+        self._failures[kind, subject] = now
+        text = f"{type(reason).__name__}: {reason}" if isinstance(reason, Exception) else reason
+        self._write(kind, subject, f"reason={text}")
+
+    def flow_placed(self, segment: Segment, backend: ForwardingBackend, node: ForwardingNode) -> None:
         """Write a line about a new flow and its back end."""
         if self._may_write():
             now = monotonic_seconds()
@@ -83,14 +109,14 @@
             )
             self._put(LogKind.REQUEST_SEEN, request_id, detail)
 
-    def packet_waits(self, segment: Segment, node: KnowledgeVersions) -> None:
-        """Write a line about a new flow that waits for room."""
+    def packet_waits(self, segment: Segment, node: ForwardingNode) -> None:
+        """Write a line about a new flow that waits for room at the back ends."""
         if self._may_write():
             detail = f"copy={segment.acknowledgement} {node.snapshot(monotonic_seconds())}"
             self._put(LogKind.FLOW_WAITS, flow_name(segment), detail)
 
-    def packet_refused(self, segment: Segment, refusal: Refusal, node: KnowledgeVersions) -> None:
-        """Write a line about a packet that goes nowhere."""
+    def packet_refused(self, segment: Segment, refusal: Refusal, node: ForwardingNode) -> None:
+        """Write a line about a packet that is not forwarded, and why."""
         if self._may_write():
             detail = f"reason={refusal.value} token={segment.token:08x} {node.snapshot(monotonic_seconds())}"
             self._put(LogKind.PACKET_REFUSED, flow_name(segment), detail)
@@ -119,7 +145,7 @@
 
 
 def flow_name(segment: Segment) -> str:
-    """Return the flow's endpoints as text: caller, then where it sends to."""
+    """Return the flow's endpoints as text: `caller:port>route:port`."""
     caller = f"{dotted(segment.source)}:{segment.source_port}"
     return f"{caller}>{dotted(segment.destination)}:{segment.destination_port}"
 
