--- a/sloepond/cli/standin.py
+++ b/sloepond/cli/standin.py
@@ -18,7 +18,7 @@
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import Resource
 from sloepond.standins.backend import BackendHost
-from sloepond.standins.backend_model import BackendSettings
+from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.caller_plan import CallerSettings
 from sloepond.standins.client import Client
 from sloepond.standins.fabric import Fabric, FabricStarted
@@ -211,7 +211,7 @@
     try:
         trio.run(run)  # type: ignore[arg-type]
     except* KeyboardInterrupt:
-        pass
+        pass  # An interrupt is how a stand-in is ended.
 
 
 STANDIN_COMMANDS: list[Callable[..., None]] = [platform, fabric, backend, client]
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -40,6 +40,7 @@
     ) -> None:
         self.election = election
         self.staleness = Staleness(local.watchers)
+        self._routes = local.routes
         self._watchers = local.watchers
         self._outbox = Outbox(local.counters)
         self._gossip = ChangeGossip(local.routes, local.backends, local.evacuations)
@@ -91,6 +92,15 @@
             return []
         return [call for watcher in self._watchers.values() for call in watcher.on_time(now)]
 
+    def describe(self, now: float) -> str:
+        """Return versions and ages of routes and back ends, for a log line."""
+        routes_age_s = self.staleness.of(Subject.ROUTES, now)
+        backends_age_s = self.staleness.of(Subject.BACKENDS, now)
+        return (
+            f"routes={self._routes.version} routes_age_s={routes_age_s:.2f} "
+            f"backends_rev={self._watchers[Subject.BACKENDS].revision} backends_age_s={backends_age_s:.2f}"
+        )
+
     @property
     def _store_call_at(self) -> float:
         if not self._probing.may_read:
