--- a/sloepond/core/forwarding/state/list_checksum.py
+++ b/sloepond/core/forwarding/state/list_checksum.py
@@ -19,10 +19,12 @@
 EMPTY_CHECKSUM = 0x6A09E667F3BCC908
 """Checksum of an empty list: any number but `NO_CHECKSUM`."""
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
+"""Odd factor of the splitmix64 generator (Steele, Lea, Flood, 2014): its increment."""
 _REVISION_FACTOR = 0xBF58476D1CE4E5B9
+"""Its first mixing factor.  With the shifts in `_mixed`, each bit of an identity or a revision changes about
+half of the bits of the result."""
 _MIXING_FACTOR = 0x94D049BB133111EB
-"""Factors and shifts of the splitmix64 generator (Steele, Lea, Flood, 2014): each bit of an
-identity or a revision changes about half of the bits of the result."""
+"""Its second mixing factor."""
 
 
 class ListedEntry(msgspec.Struct, frozen=True, gc=False):
