--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -109,8 +109,8 @@
     detail: str = ""
 
 
-class StorePartReceived(msgspec.Struct, frozen=True):
-    """A part of an answer has come from the store; the rest is on its way."""
+class StorePageReceived(msgspec.Struct, frozen=True):
+    """A page of a list has come from the store, and is not the last one."""
 
 
 class StoreProbed(msgspec.Struct, frozen=True):
@@ -217,7 +217,7 @@
 
 
 StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
-StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePartReceived
+StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePageReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
 PacketEvent = OpeningHeld | UnknownTokenMet | BackendSuspected | BackendChecked
 ProcessEvent = PeersJoined | SettingsChanged | StopRequested
