--- a/features/steps/standins_checking_steps.py
+++ b/features/steps/standins_checking_steps.py
@@ -18,7 +18,7 @@
     Zone,
     ZoneSpec,
 )
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.balance import measure_balance
 from sloepond.standins.caller_plan import RequestPlan
 from sloepond.standins.caller_record import BreakReason, FlowRecord, FlowState, RequestOutcome, RequestRecord
--- a/sloepond/demo/__main__.py
+++ b/sloepond/demo/__main__.py
@@ -1,4 +1,8 @@
-"""Runs the demo; the exit code is 1 where a promise broke, 2 where it did not run."""
+"""Runs the demo or one scenario under failure, from the command line.
+
+The exit code is 0 where every promise held, 1 where one broke, 2 where it did not run to its
+end.  Relies on `demo.running` for the run and on the two summaries for what is printed.
+"""
 
 from __future__ import annotations
 
@@ -57,27 +61,12 @@
     :param seed: seed of the workload and of the fabric.
     :param scenario: failure to show.
     """
+    workload = WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s)
+    faults = FabricSettings(loss=loss, duplication=duplication, reordering=reordering)
     if scenario is not None:
-        probe = ProbeSettings(
-            scenario,
-            example,
-            WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s),
-            FabricSettings(loss=loss, duplication=duplication, reordering=reordering),
-            seed,
-        )
+        probe = ProbeSettings(scenario, example, workload, faults, seed)
         return trio.run(_run_interruptible, functools.partial(_run_probe, probe), Console())
-    settings = DemoSettings(
-        example=example,
-        drained=drained,
-        flows=flows,
-        opening_s=opening_s,
-        lifetime_s=lifetime_s,
-        pause_s=pause_s,
-        loss=loss,
-        duplication=duplication,
-        reordering=reordering,
-        seed=seed,
-    )
+    settings = DemoSettings(example, drained, workload, faults, seed)
     return trio.run(_run_interruptible, functools.partial(_run_checked, settings), Console())
 
 
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -1,6 +1,8 @@
 """The processes of one demo: stand-ins and balancers, started and waited for.
 
-Every wait is for what the processes say of themselves, not for a time.
+`Fleet` owns the list of the balancers that are meant to run; the processes belong to the
+`ProcessGroup` it is given.  Every wait is for what the processes say of themselves, not for a
+time, so that a busy machine makes a run slower and not wrong.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
 from sloepond.demo.fleet_access import FleetAccess, is_serving, member_of, wait_until
 from sloepond.demo.processes import DemoProcess, ProcessFailedError, ProcessGroup
 from sloepond.resources.model import Location
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.fabric_model import Balancer, FabricSettings
 from sloepond.standins.workload import WorkloadSettings
@@ -38,8 +40,11 @@
 STANDIN_MODULE = "sloepond.cli.standin"
 
 START_TIMEOUT_S = 30.0
+"""Seconds all balancers may take to start or to take a generation; not measured."""
 BUSY_TIMEOUT_S = 60.0
+"""Seconds until so many requests are in progress at a balancer; not measured."""
 BUSY_INTERVAL_S = 0.03
+"""Seconds between looks at the requests in progress, far below the time that one runs."""
 
 
 class RunningBalancer(msgspec.Struct, frozen=True):
@@ -101,7 +106,7 @@
         return self.network.address(FABRIC_HOST, FABRIC_PORT)
 
     async def start(self) -> tuple[Member, ...]:
-        """Start everything but clients; return the members of the cell."""
+        """Start everything but clients; return the balancers as the platform lists them."""
         locations = _halls(self.declaration)
         planned = plan_balancers(locations, self.network, self.platform_url, self.directory)
         self._hosts_used = len(planned)
--- a/sloepond/demo/fleet_access.py
+++ b/sloepond/demo/fleet_access.py
@@ -1,4 +1,8 @@
-"""Asking the demo's processes over HTTP, and waiting for what they say."""
+"""Asking the demo's processes over HTTP, and waiting for what they say.
+
+Holds no state but the HTTP client.  Relies on the operators' API of the balancers and on the
+control interfaces of the stand-ins.
+"""
 
 from __future__ import annotations
 
@@ -30,6 +34,9 @@
 )
 
 POLL_INTERVAL_S = 0.2
+"""Seconds between two looks at a condition that is waited for."""
+STEP_TIMEOUT_S = 60.0
+"""Seconds one step of a demo or scenario may take on a busy machine; not measured."""
 METRICS_PATH = "/metrics"
 
 _COUNTER = re.compile(r"^sloepond_(\w+)_total (\S+)$", re.MULTILINE)
--- a/sloepond/demo/probes/crash.py
+++ b/sloepond/demo/probes/crash.py
@@ -8,14 +8,16 @@
 from sloepond.demo.processes import ProcessFailedError
 
 _KILLED = 1
+"""Index of the balancer that is killed."""
 _IN_PROGRESS = 3
 """Requests in progress at the balancer when it is killed."""
 
 _FLOWS_BETWEEN_STEPS = 15
+"""Flows that start between two steps, so that every step meets traffic."""
 
 
 async def crash(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Kill a balancer, wait for its eviction and start a replacement on new addresses."""
+    """Kill a balancer, wait until the others serve and start a replacement on new addresses."""
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     killed = fleet.balancers.pop(_KILLED)
     status = await fleet.access.status(killed.planned)
--- a/sloepond/demo/probes/stale_platform.py
+++ b/sloepond/demo/probes/stale_platform.py
@@ -4,19 +4,22 @@
 
 import trio
 
+from sloepond.demo import operators
 from sloepond.demo.fleet import Fleet, RunningBalancer
-from sloepond.demo.fleet_access import wait_until
-from sloepond.demo.probes import operators
+from sloepond.demo.fleet_access import STEP_TIMEOUT_S, wait_until
 from sloepond.demo.probes.generation_watch import GenerationWatch
-from sloepond.demo.probes.load import STEP_TIMEOUT_S, Load
+from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal, expect_some
 from sloepond.demo.probes.rolling import stop
 from sloepond.standins.platform import ModeRequest, PlatformMode
 
 DRAINED = "archive-1"
 GENERATION = 2
+"""Generation that the drain writes, the newest of the scenario."""
 _STALE_GENERATION = 1
+"""Generation that the platform gives when it comes back."""
 _FLOWS_BETWEEN_STEPS = 5
+"""Flows that start between two steps, so that every step meets traffic."""
 _IN_PROGRESS = 1
 """Requests in progress that show that the fabric knows the balancers."""
 _FROM_PLATFORM = "from the platform"
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -35,7 +35,7 @@
 from sloepond.lab.result import TimelineEntry
 from sloepond.lab.scenario import Scenario, ServiceModel
 from sloepond.resources.compiled import CompiledConfiguration
-from sloepond.standins.backend_model import BackendOutput, Execution
+from sloepond.standins.backend_record import BackendOutput, Execution
 from sloepond.standins.backend_settings import BackendSettings
 from sloepond.standins.content import BackendIdentity
 
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -12,8 +12,6 @@
 
 from collections.abc import Mapping, Sequence
 
-import msgspec
-
 from sloepond.resources.compiled_items import (
     CompiledBackend,
     CompiledService,
@@ -27,10 +25,9 @@
     content_of,
     make_snapshot,
     only_backends,
-    updated_content_slices,
     without_backends,
 )
-from sloepond.resources.index_update import IndexUpdate, RemovedNames
+from sloepond.resources.index_update import IndexUpdate, removed_names
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
@@ -51,18 +48,6 @@
 INDEXED_PER_UNIT = 2
 """Back ends put into the indexes for about the cost of compiling one."""
 _PLACE_KINDS = frozenset((Kind.REGION.value, Kind.ZONE.value, Kind.HALL.value))
-_BACKEND_KIND = Kind.BACKEND.value
-
-
-class ConfigurationChange(msgspec.Struct, frozen=True):
-    """Which back ends differ from an earlier generation.
-
-    :ivar base_generation: the earlier generation.
-    :ivar backends: names of back ends added, changed or removed.
-    """
-
-    base_generation: int
-    backends: tuple[str, ...]
 
 
 class CompiledConfiguration:
@@ -70,8 +55,6 @@
 
     :ivar content: all resources.
     :ivar generation: 0 where nothing is in force yet.
-    :ivar change: what differs from the generation it was updated from; None
-        where it was compiled from the start.
     :ivar services_by_address: virtual address `ip:port` -> service.
     :ivar backends_by_name: name -> back end, of all services.
     :ivar backends_by_address: data address `ip:port` -> back end.
@@ -81,7 +64,6 @@
         "_locations",
         "backends_by_address",
         "backends_by_name",
-        "change",
         "content",
         "digest",
         "generation",
@@ -105,7 +87,6 @@
         self.content = content
         self.generation = content.generation
         self.digest = content.digest
-        self.change: ConfigurationChange | None = None
 
     @property
     def snapshot(self) -> ConfigurationSnapshot:
@@ -144,30 +125,14 @@
                 by_name.update((backend.name, backend) for backend in block)
                 by_address.update((backend.address, backend) for backend in block)
                 yield len(block) // INDEXED_PER_UNIT
-        self.backends_by_name: Mapping[str, CompiledBackend] = LayeredMapping(by_name)
-        self.backends_by_address: Mapping[str, CompiledBackend] = LayeredMapping(by_address)
+        self.backends_by_name: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_name)
+        self.backends_by_address: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_address)
 
     @property
     def locations(self) -> Mapping[str, Location]:
         """Return the location of each hall that has one, by its name."""
         return self._locations
 
-    def updated(
-        self, generation: int, changed: Sequence[Resource], removed: Sequence[ResourceKey]
-    ) -> CompiledConfiguration:
-        """Return the configuration after a change, without touching this one.
-
-        A change of a few back ends costs no encoding, hashing or compiling of
-        the others; any other change compiles all from the start.
-
-        :param generation: number of the new generation.
-        :param changed: resources that are new or differ; at most one of a key.
-        :param removed: keys of resources that are gone; unknown ones are ignored.
-        :raises KeyError: if a back end names a hall that is not declared.
-        """
-        content = finished(updated_content_slices(self.content, generation, changed, removed))
-        return finished(self.updated_to_slices(content, changed, removed))
-
     def updated_to_slices(
         self,
         content: GenerationContent,
@@ -205,37 +170,19 @@
     def _take_update(self, base: CompiledConfiguration, update: IndexUpdate) -> Slices[None]:
         self.services_by_name = update.services
         self.services_by_address = {item.address: item for item in update.services.values()}
-        self.change = ConfigurationChange(base.generation, tuple(update.names))
         if len(update.gone) + len(update.present) > INCREMENTAL_LIMIT:
             yield from self._index_backends(list(update.services.values()))
             return
-        self.backends_by_name = _edited(
-            base.backends_by_name,
+        self.backends_by_name = base.backends_by_name.edited(
             [backend.name for backend in update.gone],
             {backend.name: backend for backend in update.present},
         )
-        self.backends_by_address = _edited(
-            base.backends_by_address,
+        self.backends_by_address = base.backends_by_address.edited(
             [backend.address for backend in update.gone],
             {backend.address: backend for backend in update.present},
         )
         yield len(update.gone) + len(update.present)
 
 
-def _edited(
-    index: Mapping[str, CompiledBackend], removed: Sequence[str], added: dict[str, CompiledBackend]
-) -> Mapping[str, CompiledBackend]:
-    layered = index if isinstance(index, LayeredMapping) else LayeredMapping(dict(index))
-    return layered.edited(removed, added)
-
-
-def removed_names(removed: Sequence[ResourceKey]) -> RemovedNames:
-    """Return the names of back ends and services among removed keys."""
-    return RemovedNames(
-        backends=tuple(key.name for key in removed if key.kind == _BACKEND_KIND),
-        services=tuple(key.name for key in removed if key.kind == Kind.SERVICE.value),
-    )
-
-
 EMPTY_CONFIGURATION = CompiledConfiguration(make_snapshot(0, []))
 """What is in force before any generation has been read."""
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -1,4 +1,7 @@
-"""How evenly the back ends of each service were loaded."""
+"""How evenly the back ends of each service were loaded.
+
+Relies on the executions that back ends report and on the configuration that was declared.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from sloepond.resources.compiled import CompiledConfiguration
 from sloepond.resources.compiled_items import CompiledService
-from sloepond.standins.backend_model import Execution
+from sloepond.standins.backend_record import Execution
 
 
 class ServiceBalance(msgspec.Struct, frozen=True):
