--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -78,6 +78,7 @@
 
     :ivar receives_failed: errors of the system on receiving a datagram.
     :ivar accepts_failed: errors of the system on accepting a connection.
+    :ivar check_connections_failed: errors of the system on opening a connection for a check.
     :ivar connections_turned_away: connections closed at once because too many were open.
     :ivar connections_broken: connections that ended in an error.
     :ivar requests_malformed: requests to the metrics page that could not be read.
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -28,7 +28,7 @@
     SnapshotReceived,
     StoreCallFailed,
     StoreEvent,
-    StorePartReceived,
+    StorePageReceived,
     StoreProbed,
     Subject,
     TimerFired,
@@ -64,7 +64,6 @@
         self.routes = parts.local.routes
         self.backends = parts.local.backends
         self.evacuations = parts.local.evacuations
-        self._watchers = parts.local.watchers
         self._stall_guard = parts.stall_guard
         self._slow_start = parts.slow_start
         self._ejection = parts.ejection
@@ -139,11 +138,7 @@
 
     def snapshot(self, now: float) -> str:
         """Return versions and ages of routes and back ends, for a log line."""
-        return (
-            f"routes={self.routes.version} routes_age_s={self.routes_age(now):.2f} "
-            f"backends_rev={self._watchers[Subject.BACKENDS].revision} "
-            f"backends_age_s={self.backends_age(now):.2f}"
-        )
+        return self._dissemination.describe(now)
 
     def peer_snapshot(self, now: float) -> Snapshot | None:
         """Return routes and back ends for a peer that has just started, None before they are known."""
@@ -228,7 +223,7 @@
         """Take an answer, a part of one, or the failure of a call."""
         if isinstance(event, StoreProbed):
             self._dissemination.probe_ended(event, self._now)
-        elif isinstance(event, StorePartReceived):
+        elif isinstance(event, StorePageReceived):
             self._exchange.bootstrap.store_answering(self._now)
         else:
             self._answers.take(event, self._now)
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -30,7 +30,7 @@
     Event,
     PeersJoined,
     StopRequested,
-    StorePartReceived,
+    StorePageReceived,
     TimerFired,
 )
 from sloepond.core.forwarding.node import ForwardingNode
@@ -153,7 +153,7 @@
         self.dispatch(TimerFired())
 
     def _store_page_received(self) -> None:
-        self.dispatch(StorePartReceived())
+        self.dispatch(StorePageReceived())
 
     def _check_backend(self, command: CheckBackend) -> None:
         def report(result: CheckResult) -> None:
