--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -22,7 +22,7 @@
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
-from sloepond.platform.packet_codec import FLAG_ACK, FLAG_SYN, HEAD, EchoPacketCodec
+from sloepond.platform.packet_codec import FLAG_ACK, FLAG_SYN, HEAD, PlatformPacketCodec
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.log_writer import LogWriter
@@ -106,7 +106,7 @@
         node.handle(RoutesRead(1, RouteConfiguration(1, (route,))), now)
         node.handle(BackendsRead(1, records), now)
         logs = LogWriter(node.counters, os.open(os.devnull, os.O_WRONLY))
-        self.path = DataPath(self.edge, EchoPacketCodec(1), node, logs)
+        self.path = DataPath(self.edge, PlatformPacketCodec(1), node, logs)
 
     def datagram(self, number: int) -> bytes:
         """Return one client's packet."""
--- a/features/steps/forwarding_client_steps.py
+++ b/features/steps/forwarding_client_steps.py
@@ -18,11 +18,11 @@
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import RoutesRead, StoreCallFailed, StoreFailure, Subject
 from sloepond.core.forwarding.state.backend_records import Endpoint
-from sloepond.platform.store import PlatformStoreCodec, quote
+from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.event_loop import EventLoop
 from sloepond.runtime.forwarding.http_client import LONGEST_CALL_S, HttpClient, HttpConnection
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
-from sloepond.runtime.forwarding.http_message import BodyReader, HttpSyntaxError, take_head
+from sloepond.runtime.forwarding.http_message import BodyReader, HttpSyntaxError, quote, take_head
 from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.store_client import StoreClient
 
--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -17,7 +17,7 @@
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.state.backend_records import Endpoint
-from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.platform.packet_codec import PlatformPacketCodec
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.http_client import HttpClient, HttpConnection
@@ -77,7 +77,7 @@
     node = context.harness.node
     context.counters = node.counters
     context.logs = LogPipe(context, node.counters)
-    context.data_path = DataPath(FailingSocket(error), EchoPacketCodec(1), node, context.logs.writer)
+    context.data_path = DataPath(FailingSocket(error), PlatformPacketCodec(1), node, context.logs.writer)
 
 
 @given('forwarding on a callers\' socket whose receives fail with "{reason}"')
--- a/features/steps/forwarding_platform_steps.py
+++ b/features/steps/forwarding_platform_steps.py
@@ -27,7 +27,7 @@
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
 from sloepond.core.forwarding.state.routes import ColdStart, Share
-from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.platform.packet_codec import PlatformPacketCodec
 from sloepond.platform.settings import parse_settings
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
@@ -67,7 +67,7 @@
     b'{"service":"a","addr":"10.128.0.9:8080","zone":"osu-hall","version":"v1","slots":2,'
     b'"state":"draining","cold_left_ms":1500,"seq":4}'
 )
-CODEC = EchoPacketCodec(8172)
+CODEC = PlatformPacketCodec(8172)
 STORE = PlatformStoreCodec()
 ADAPTER_WORDS = re.compile(
     r"sloepond\.platform|fleetbench|SLOEPOND_NODE_FILE|kv-(key|range|watch)|op/config|datagram_addr|"
--- a/features/steps/interfaces_wire_steps.py
+++ b/features/steps/interfaces_wire_steps.py
@@ -9,14 +9,14 @@
 from behave import given, then
 from interfaces_channel import PEER_IP, ChannelAndPeer
 
-from sloepond.platform.packet_codec import EchoPacketCodec
+from sloepond.platform.packet_codec import PlatformPacketCodec
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.http_exchange import HttpExchange
 from sloepond.wire import codec, edge
 from sloepond.wire.authentication import Authenticator, Key, KeyRing
 
 GOLDEN = json.loads(pathlib.Path("features/interfaces/wire.json").read_text(encoding="utf-8"))
-PACKETS = EchoPacketCodec(8172)
+PACKETS = PlatformPacketCodec(8172)
 STORE = PlatformStoreCodec()
 STORE_ADDRESS = "10.200.1.7:8169"
 PACKET_DECODERS = {
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -1,4 +1,10 @@
-"""The platform's documents: the operator's configuration and the targets' entries."""
+"""Decodes the documents in the platform's store: the operators' configuration and targets' entries.
+
+Fields have names of our own that say what they hold; where the platform's name misleads it stands
+in `name=` and a comment says why.  Owns nothing.  Relies on the platform's page of its store and
+of its packets for the forms; whatever doesn't have them raises an error, and fields that aren't
+listed here are skipped.
+"""
 
 from __future__ import annotations
 
@@ -12,147 +18,158 @@
 from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, Share
 
 STATE_READY = "ready"
+"""State of a target that takes flows; any other means that it is leaving."""
 KIND_UNSAFE = "unsafe"
-IDENTITY_DIGITS = frozenset("0123456789abcdefABCDEF")
+"""Kind of requests that must not be repeated once they may have run; any other may be."""
+HEXADECIMAL_DIGITS = frozenset("0123456789abcdefABCDEF")
+IDENTITY_BITS = 64
+"""Width of a target's identity in a packet."""
+MS_PER_S = 1000.0
 
 
 class SplitPart(msgspec.Struct):
     """One service of a split."""
 
     service: str
-    weight: float = 1.0
+    weight: float = 1.0  # Relative to the other parts, of any sum.
 
 
 class RouteDocument(msgspec.Struct):
     """One route of the configuration."""
 
     name: str
-    host: str
-    path_prefix: str
-    service: str = ""
+    destination: str = msgspec.field(name="host")  # IPv4 address, no host name.
+    port_path: str = msgspec.field(name="path_prefix")  # Destination port as "/8443/", no path.
+    service: str = ""  # Where new flows go, unless there is a split.
     split: tuple[SplitPart, ...] = ()
     kind: str = ""
-    timeout_ms: float = 2000.0
-    priority: int = 0
-    allowed_regions: tuple[str, ...] | str | None = ()
+    request_timeout_ms: float = msgspec.field(default=2000.0, name="timeout_ms")  # Of a request, not a flow.
+    priority: int = 0  # 0 is the highest.
+    allowed_regions: tuple[str, ...] | str | None = ()  # One, several, or none for anywhere.
 
 
 class ServiceDocument(msgspec.Struct):
     """One service of the configuration."""
 
     name: str
-    cold_start_s: float | None = 0.0
-    cold_per_s: float | None = 0.0
+    # How long each target of the service stays slow after its start, in seconds; 0 or null: not at all.
+    slow_for_s: float | None = msgspec.field(default=0.0, name="cold_start_s")
+    # New flows a second that one target bears while it is slow.
+    slow_flows_per_s: float | None = msgspec.field(default=0.0, name="cold_per_s")
 
 
-class Limits(msgspec.Struct):
-    """Limits of the configuration that mean something here."""
+class LimitsDocument(msgspec.Struct):
+    """Limits of the configuration; the platform says that the others mean nothing for packets."""
 
-    idle_timeout_ms: float = 15_000.0
+    # Rest after which a flow may be forgotten.  No connection is closed by it.
+    flow_idle_ms: float = msgspec.field(default=15_000.0, name="idle_timeout_ms")
 
 
 class ConfigurationDocument(msgspec.Struct):
     """The whole configuration."""
 
-    version: int
+    version: int  # Of the content, not of the format.
     routes: tuple[RouteDocument, ...] = ()
     services: tuple[ServiceDocument, ...] = ()
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: LimitsDocument = msgspec.field(default_factory=LimitsDocument)
 
 
-class ServerDocument(msgspec.Struct):
-    """A target's entry."""
+class TargetDocument(msgspec.Struct):
+    """A target's entry; the platform's target is a back end here."""
 
     service: str
-    addr: str
-    zone: str = ""
-    slots: int = 1
+    address: str = msgspec.field(name="addr")  # `ip:port`, for packets and health checks.
+    hall: str = msgspec.field(default="", name="zone")  # The platform's zone is a hall here.
+    slots: int = 1  # Requests it works on at once; not flows.
     state: str = STATE_READY
-    cold_left_ms: float = 0.0
+    slow_left_ms: float = msgspec.field(default=0.0, name="cold_left_ms")  # When the entry was written.
 
 
-class Item(msgspec.Struct):
-    """One item of the store; `gone` in a watch's event only."""
+class StoreItem(msgspec.Struct):
+    """One item of the store, or what a watch says of one."""
 
     key: str
-    rev: int
-    value: str = ""
-    gone: bool = False
+    revision: int = msgspec.field(name="rev")  # Of its last change.
+    value: str = ""  # Base64 of JSON; empty if deleted.
+    is_deleted: bool = msgspec.field(default=False, name="gone")  # In a watch only.
 
 
-class RangeAnswer(msgspec.Struct):
-    """Answer to a read of a prefix."""
+class PageAnswer(msgspec.Struct):
+    """Answer to a read of a prefix: one page, of the items as they are when it is read."""
 
-    items: tuple[Item, ...]
-    more: bool
-    at: int
+    items: tuple[StoreItem, ...]
+    has_more: bool = msgspec.field(name="more")
+    revision: int = msgspec.field(name="at")  # Of the store at the answer.
 
 
 class WatchAnswer(msgspec.Struct):
     """Answer to a watch."""
 
-    events: tuple[Item, ...]
-    at: int
+    changes: tuple[StoreItem, ...] = msgspec.field(name="events")  # Oldest first.
+    revision: int = msgspec.field(name="at")  # Up to which changes are complete.
 
 
 _CONFIGURATION = msgspec.json.Decoder(ConfigurationDocument)
-_SERVER = msgspec.json.Decoder(ServerDocument)
+_TARGET = msgspec.json.Decoder(TargetDocument)
 
 
 def decode_configuration(value: str) -> RouteConfiguration:
     """Return the routes in a value of the store.
 
-    :raises msgspec.MsgspecError, ValueError, OSError: where it is none.
+    :raises msgspec.MsgspecError: if it is no such JSON.
+    :raises ValueError: if it is no base64, or a port is no number.
+    :raises OSError: if a destination is no IPv4 address.
     """
     document = _CONFIGURATION.decode(binascii.a2b_base64(value))
     return RouteConfiguration(
         document.version,
         tuple(_route(route) for route in document.routes),
-        document.limits.idle_timeout_ms / 1000.0,
-        tuple(_cold_start(each) for each in document.services if each.cold_start_s),
+        document.limits.flow_idle_ms / MS_PER_S,
+        tuple(_cold_start(each) for each in document.services if each.slow_for_s),
     )
 
 
-def decode_server(key: str, value: str, revision: int) -> BackendRecord:
-    """Return the target in an item of the store.
+def decode_target(key: str, value: str, revision: int) -> BackendRecord:
+    """Return the back end in an item of the store.
 
-    :raises msgspec.MsgspecError, ValueError: where it is none.
+    :raises msgspec.MsgspecError: if the value is no such JSON.
+    :raises ValueError: if it is no base64, or the address has no port.
     """
-    document = _SERVER.decode(binascii.a2b_base64(value))
+    document = _TARGET.decode(binascii.a2b_base64(value))
     name = backend_name(key)
-    host, _, port = document.addr.rpartition(":")
+    host, _, port = document.address.rpartition(":")
     return BackendRecord(
         name=name,
         number=identity_number(name),
         service=document.service,
         host=host,
         port=int(port),
-        hall=document.zone,
+        hall=document.hall,
         slots=document.slots,
         state=BackendState.READY if document.state == STATE_READY else BackendState.LEAVING,
-        cold_s=document.cold_left_ms / 1000.0,
+        cold_s=document.slow_left_ms / MS_PER_S,
         revision=revision,
     )
 
 
 def backend_name(key: str) -> str:
-    """Return the target's id in a key of the store."""
+    """Return the id of a back end, the last part of its key in the store."""
     return key.rpartition("/")[2]
 
 
 def identity_number(name: str) -> int:
-    """Return the hex digits of an id, after its dash, as a number of 64 bits."""
-    digits = "".join(digit for digit in name.rpartition("-")[2] if digit in IDENTITY_DIGITS)
-    return int(digits or "0", 16) & (1 << 64) - 1
+    """Return the hex digits of an id, after its last dash, as a number; of longer ones the last 64 bits."""
+    digits = "".join(digit for digit in name.rpartition("-")[2] if digit in HEXADECIMAL_DIGITS)
+    return int(digits or "0", 16) & (1 << IDENTITY_BITS) - 1
 
 
 def _cold_start(document: ServiceDocument) -> ColdStart:
-    return ColdStart(document.name, document.cold_start_s or 0.0, document.cold_per_s or 0.0)
+    return ColdStart(document.name, document.slow_for_s or 0.0, document.slow_flows_per_s or 0.0)
 
 
 def _route(document: RouteDocument) -> Route:
-    address = int.from_bytes(socket.inet_aton(document.host), "big")
-    key = address << PORT_BITS | int(document.path_prefix.strip("/"))
+    address = int.from_bytes(socket.inet_aton(document.destination), "big")
+    key = address << PORT_BITS | int(document.port_path.strip("/"))
     regions = document.allowed_regions or ()
     parts = document.split or (SplitPart(document.service),)
     return Route(
@@ -160,7 +177,7 @@
         key=key,
         shares=tuple(Share(part.service, part.weight) for part in parts),
         repeatable=document.kind != KIND_UNSAFE,
-        timeout_s=document.timeout_ms / 1000.0,
+        timeout_s=document.request_timeout_ms / MS_PER_S,
         priority=document.priority,
         regions=(regions,) if isinstance(regions, str) else regions,
     )
--- a/sloepond/platform/packet_codec.py
+++ b/sloepond/platform/packet_codec.py
@@ -21,7 +21,7 @@
 FLAG_RST = 128
 
 
-class EchoPacketCodec(PacketCodec):
+class PlatformPacketCodec(PacketCodec):
     """Packets whose routing token stands in the field `echo`.
 
     :param reply_port: port callers take packets at.
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -1,4 +1,8 @@
-"""Names and formats of the platform's store: one key, a prefix in pages, a watch."""
+"""Names and formats of the platform's store: keys, targets of GET requests, answers.
+
+Owns no state.  Relies on `documents` for the bodies; the calls are made by
+`runtime.forwarding.store_client`.  An answer that cannot be decoded becomes an event with the reason.
+"""
 
 from __future__ import annotations
 
@@ -19,26 +23,31 @@
 from sloepond.core.forwarding.state.backend_records import BackendRecord
 from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
 from sloepond.platform.documents import (
-    Item,
-    RangeAnswer,
+    PageAnswer,
+    StoreItem,
     WatchAnswer,
     backend_name,
     decode_configuration,
-    decode_server,
+    decode_target,
 )
 from sloepond.runtime.forwarding.drivers import ReadPage, StoreCodec
+from sloepond.runtime.forwarding.http_message import quote
 
 CONFIGURATION_KEY = "op/config"
+"""The operators' configuration: all routes and services."""
 EVACUATED_PREFIX = "op/evacuate/"
+"""Followed by the name of a hall; the item's value says nothing."""
 OPERATOR_PREFIX = "op/"
-SERVERS_PREFIX = "servers/"
-NOTHING_PREFIX = "op/config/"
-_PREFIXES = {Subject.ROUTES: OPERATOR_PREFIX, Subject.BACKENDS: SERVERS_PREFIX}
-UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~/")
-"""Bytes that stand for themselves in a query: those of RFC 3986, and the slash."""
+"""All that operators write: one read or watch brings routes and evacuated halls together."""
+TARGETS_PREFIX = "servers/"
+"""Followed by the id of a target."""
+EMPTY_PREFIX = "op/config/"
+"""Nothing stands below it: a read is as cheap as an answer can be."""
+_PREFIXES = {Subject.ROUTES: OPERATOR_PREFIX, Subject.BACKENDS: TARGETS_PREFIX}
+MS_PER_S = 1000
 _DECODE_ERRORS = (msgspec.MsgspecError, ValueError, OSError)
 """What decoding raises: JSON of another form, base64 or a number that is none, an address that is none."""
-_RANGE = msgspec.json.Decoder(RangeAnswer)
+_PAGE = msgspec.json.Decoder(PageAnswer)
 _WATCH = msgspec.json.Decoder(WatchAnswer)
 
 
@@ -52,19 +61,19 @@
         return f"/api/kv-range?path_prefix={quote(_PREFIXES[command.subject])}{after}{stale}"
 
     def probe_target(self) -> str:
-        """Return the target of a stale read of a prefix under which nothing stands."""
-        return f"/api/kv-range?path_prefix={quote(NOTHING_PREFIX)}&stale=1"
+        """Return the target of a stale read of a prefix with no items: it costs a tenth of a call."""
+        return f"/api/kv-range?path_prefix={quote(EMPTY_PREFIX)}&stale=1"
 
     def watch_target(self, command: WatchSubject) -> str:
         """Return the target of a GET that waits for changes."""
         prefix = quote(_PREFIXES[command.subject])
-        wait_ms = int(command.wait_s * 1000)
+        wait_ms = int(command.wait_s * MS_PER_S)
         return f"/api/kv-watch?path_prefix={prefix}&after={command.after}&wait_ms={wait_ms}"
 
     def decode_page(self, subject: Subject, body: bytes) -> ReadPage:
         """Return what a read has brought."""
         try:
-            return _read_routes(body) if subject is Subject.ROUTES else _read_servers(body)
+            return _read_routes(body) if subject is Subject.ROUTES else _read_backends(body)
         except _DECODE_ERRORS as error:
             return ReadPage(StoreCallFailed(subject, StoreFailure.MALFORMED, False, _reason(error)))
 
@@ -74,53 +83,50 @@
             answer = _WATCH.decode(body)
             if command.subject is Subject.ROUTES:
                 return _changed_routes(answer)
-            return BackendsChanged(answer.at, tuple(_change(item) for item in answer.events))
+            return BackendsChanged(answer.revision, tuple(_change(item) for item in answer.changes))
         except _DECODE_ERRORS as error:
             return StoreCallFailed(command.subject, StoreFailure.MALFORMED, True, _reason(error))
 
 
-def quote(text: str) -> str:
-    """Return a text as it stands in a query; `urllib.parse` takes long to load."""
-    return "".join(chr(byte) if byte in UNRESERVED else f"%{byte:02X}" for byte in text.encode())
-
-
 def _reason(error: Exception) -> str:
     return f"{type(error).__name__}: {error}"
 
 
 def _read_routes(body: bytes) -> ReadPage:
-    answer = _RANGE.decode(body)
+    answer = _PAGE.decode(body)
     written = [item for item in answer.items if item.key == CONFIGURATION_KEY]
     configuration = decode_configuration(written[0].value) if written else None
-    zones = (item.key.removeprefix(EVACUATED_PREFIX) for item in answer.items if _is_evacuation(item))
-    return ReadPage(RoutesRead(answer.at, configuration, tuple(zones)), _next_page(answer))
+    halls = (item.key.removeprefix(EVACUATED_PREFIX) for item in answer.items if _is_evacuation(item))
+    return ReadPage(RoutesRead(answer.revision, configuration, tuple(halls)), _next_page(answer))
 
 
-def _read_servers(body: bytes) -> ReadPage:
-    answer = _RANGE.decode(body)
-    records = tuple(decode_server(item.key, item.value, item.rev) for item in answer.items)
-    return ReadPage(BackendsRead(answer.at, records), _next_page(answer))
+def _read_backends(body: bytes) -> ReadPage:
+    answer = _PAGE.decode(body)
+    records = tuple(decode_target(item.key, item.value, item.revision) for item in answer.items)
+    return ReadPage(BackendsRead(answer.revision, records), _next_page(answer))
 
 
-def _next_page(answer: RangeAnswer) -> str:
-    return answer.items[-1].key if answer.more and answer.items else ""
+def _next_page(answer: PageAnswer) -> str:
+    return answer.items[-1].key if answer.has_more and answer.items else ""
 
 
-def _is_evacuation(item: Item) -> bool:
+def _is_evacuation(item: StoreItem) -> bool:
     return item.key.startswith(EVACUATED_PREFIX)
 
 
 def _changed_routes(answer: WatchAnswer) -> RoutesChanged:
-    written = (item for item in answer.events if item.key == CONFIGURATION_KEY and item.value)
-    zones = (
-        EvacuationChange(item.key.removeprefix(EVACUATED_PREFIX), item.rev, not item.gone)
-        for item in answer.events
+    written = (item for item in answer.changes if item.key == CONFIGURATION_KEY and item.value)
+    halls = (
+        EvacuationChange(item.key.removeprefix(EVACUATED_PREFIX), item.revision, not item.is_deleted)
+        for item in answer.changes
         if _is_evacuation(item)
     )
-    return RoutesChanged(answer.at, tuple(decode_configuration(item.value) for item in written), tuple(zones))
+    return RoutesChanged(
+        answer.revision, tuple(decode_configuration(item.value) for item in written), tuple(halls)
+    )
 
 
-def _change(item: Item) -> BackendRecord | DepartedBackend:
-    if item.gone:
-        return DepartedBackend(backend_name(item.key), item.rev)
-    return decode_server(item.key, item.value, item.rev)
+def _change(item: StoreItem) -> BackendRecord | DepartedBackend:
+    if item.is_deleted:
+        return DepartedBackend(backend_name(item.key), item.revision)
+    return decode_target(item.key, item.value, item.revision)
--- /dev/null
+++ b/sloepond/runtime/forwarding/assembly.py
@@ -0,0 +1,74 @@
+"""Builds a forwarding balancer from its settings, its sockets and a platform's formats.
+
+Owns nothing: each part belongs to the service that is returned.  Relies on sockets that are
+bound already (`binding`) and on the adapter of a platform for packets, store and settings file.
+"""
+
+from __future__ import annotations
+
+import random
+
+from sloepond.core.forwarding.commands import LogKind, WriteLog
+from sloepond.core.forwarding.node import ForwardingNode
+from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.placement.slow_start import SlowStartLimit
+from sloepond.runtime.forwarding.data_path import DataPath
+from sloepond.runtime.forwarding.drivers import PlatformDrivers
+from sloepond.runtime.forwarding.event_loop import EventLoop
+from sloepond.runtime.forwarding.log_writer import LogWriter
+from sloepond.runtime.forwarding.process import (
+    BoundDescriptors,
+    BoundSockets,
+    ForwardingSettings,
+    NotBound,
+)
+from sloepond.runtime.forwarding.reloading import SettingsReloader
+from sloepond.runtime.forwarding.service import ForwardingService
+from sloepond.runtime.forwarding.store_client import StoreClient
+
+
+def assemble_service(
+    settings: ForwardingSettings, descriptors: BoundDescriptors, signals: int, drivers: PlatformDrivers
+) -> ForwardingService:
+    """Return a balancer that is ready to run, and log its start.
+
+    :param signals: descriptor that receives the number of each signal as a byte.
+    """
+    node = _node(settings)
+    logs = LogWriter(node.counters)
+    _log_start(settings, descriptors, logs)
+    reloader = SettingsReloader(drivers.read_settings, settings, logs, drivers.file_names)
+    reloader.log_ignored(settings)
+    loop = EventLoop()
+    sockets = BoundSockets(descriptors, signals)
+    data_path = DataPath(sockets.edge, drivers.packets, node, logs)
+    store = StoreClient(loop, settings.store, drivers.store, logs)
+    return ForwardingService(loop, sockets, data_path, store, node, logs, reloader)
+
+
+def _node(settings: ForwardingSettings) -> ForwardingNode:
+    return ForwardingNode(
+        settings.hall,
+        random.Random(),
+        settings.ip,
+        settings.seeds,
+        PlaceRules(regions=settings.regions),
+        settings.capacity,
+        _slow_start_limit(settings),
+        settings.kill_after_s,
+        settings.change_limit_s,
+    )
+
+
+def _slow_start_limit(settings: ForwardingSettings) -> SlowStartLimit | None:
+    """Return the limit of flows to back ends that have just started, None if the settings name none."""
+    if settings.cold_slack_per_s is None:
+        return None
+    return SlowStartLimit(settings.cold_factor, settings.cold_slack_per_s)
+
+
+def _log_start(settings: ForwardingSettings, descriptors: BoundDescriptors, logs: LogWriter) -> None:
+    logs.write(WriteLog(LogKind.STARTED, settings.name, f"zone={settings.hall} store={settings.store}"))
+    if isinstance(descriptors.metrics, NotBound):
+        reason = f"reason={descriptors.metrics.reason}"
+        logs.write(WriteLog(LogKind.METRICS_NOT_SERVED, settings.metrics, reason))
--- a/sloepond/runtime/forwarding/drivers.py
+++ b/sloepond/runtime/forwarding/drivers.py
@@ -1,8 +1,13 @@
-"""What a platform's adapter provides: formats and calls, nothing that decides."""
+"""What a platform's adapter provides: formats of packets, store and settings; nothing that decides.
+
+Owns only these interfaces and the types they return.  Relies on the core's packets, commands and
+events; the adapter of a platform relies on this module.
+"""
 
 from __future__ import annotations
 
 import abc
+from collections.abc import Callable, Mapping
 
 import msgspec
 
@@ -10,14 +15,15 @@
 from sloepond.core.forwarding.events import StoreEvent, Subject
 from sloepond.core.forwarding.packets import Segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
+from sloepond.runtime.forwarding.process import ForwardingSettings
 
 
 class PacketCodec(abc.ABC):
-    """Format of packets."""
+    """Format of packets: bytes of datagrams in, heads and datagrams out."""
 
     @abc.abstractmethod
     def decode(self, datagram: bytes) -> Segment | None:
-        """Return the head of a caller's packet, None where it is none."""
+        """Return the head of a caller's packet, None if the datagram holds no packet."""
 
     @abc.abstractmethod
     def encode(self, datagram: bytes, backend: ForwardingBackend) -> bytes:
@@ -25,24 +31,22 @@
 
     @abc.abstractmethod
     def encode_reset(self, segment: Segment) -> bytes:
-        """Return a packet that tells the caller that its flow was not opened."""
+        """Return a packet that resets the flow of a caller's packet."""
 
     @abc.abstractmethod
     def request_id(self, datagram: bytes) -> str:
-        """Return the id of the request that begins in a packet, empty where none does.
-
-        For log lines only: nothing is decided by it.
-        """
+        """Return the id of the request that begins in a packet, empty if none does; for log lines only."""
 
     @abc.abstractmethod
     def caller_endpoint(self, segment: Segment) -> tuple[str, int]:
-        """Return where packets for the caller are sent."""
+        """Return IP address and port that packets for the caller are sent to."""
 
 
 class ReadPage(msgspec.Struct, frozen=True):
     """One page of a read.
 
-    :ivar next_page: where the next page begins, empty where this is the last.
+    :ivar event: what it holds, or why it cannot be decoded.
+    :ivar next_page: where the next page begins, empty if this is the last.
     """
 
     event: StoreEvent
@@ -50,7 +54,10 @@
 
 
 class StoreCodec(abc.ABC):
-    """Names and formats of the platform's store; what it cannot decode is an event too."""
+    """Keys and formats of the platform's store.
+
+    An answer that cannot be decoded is returned as `StoreCallFailed` with a detail.
+    """
 
     @abc.abstractmethod
     def read_target(self, command: ReadSubject, page: str) -> str:
@@ -62,12 +69,25 @@
 
     @abc.abstractmethod
     def probe_target(self) -> str:
-        """Return the target of a GET that brings next to nothing."""
+        """Return the target of the cheapest GET, which only shows that the store answers."""
 
     @abc.abstractmethod
     def decode_page(self, subject: Subject, body: bytes) -> ReadPage:
-        """Return what a read has brought."""
+        """Return what a page holds."""
 
     @abc.abstractmethod
     def decode_watch(self, command: WatchSubject, body: bytes) -> StoreEvent:
-        """Return what a watch has brought."""
+        """Return the changes in a watch's answer."""
+
+
+class PlatformDrivers(msgspec.Struct, frozen=True):
+    """All that a balancer needs of a platform.
+
+    :ivar read_settings: reads the settings file; raises OSError, KeyError or ValueError.
+    :ivar file_names: name in the settings file of each setting that has another name in there.
+    """
+
+    packets: PacketCodec
+    store: StoreCodec
+    read_settings: Callable[[], ForwardingSettings]
+    file_names: Mapping[str, str]
--- a/sloepond/runtime/forwarding/http_message.py
+++ b/sloepond/runtime/forwarding/http_message.py
@@ -15,6 +15,9 @@
 """Longest line that tells the size of a chunk, extensions included."""
 HEXADECIMAL = frozenset(b"0123456789abcdefABCDEF")
 
+UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~/")
+"""Bytes that stand for themselves in a query: those of RFC 3986, and the slash."""
+
 
 class HttpSyntaxError(Exception):
     """What came is not HTTP/1.1, or it breaks off."""
@@ -182,3 +185,8 @@
     line = bytes(buffer[:end])
     del buffer[: end + len(END_OF_LINE)]
     return line
+
+
+def quote(text: str) -> str:
+    """Return a text as it stands in a query; `urllib.parse` takes long to load."""
+    return "".join(chr(byte) if byte in UNRESERVED else f"%{byte:02X}" for byte in text.encode())
