--- a/benchmarks/attainable.py
+++ b/benchmarks/attainable.py
@@ -5,7 +5,7 @@
 A report is what the bench writes with `run SITE DAY --report FILE`.  The first columns of
 its table are prices, the others the credit of requests and the share served at all (nines),
 with the weights of the site's goal.  Per window of two seconds: what `outage_model` loses
-with balancers that forward from the moment the platform starts them; what it loses more
+with balancers that forward as soon as the platform starts them; what it loses more
 with `--start-s` until they do; then what back ends that were disturbed then can have cost,
 then what disturbed balancers can, and the rest.  Only the first two are computed; what is
 left in a window with disturbances is put down to them whole, though some of it may be ours.
@@ -24,7 +24,9 @@
 from outage_model import Outage, OutageModel, RequestKind
 
 WINDOW_S = 2.0
+"""Length of the report's windows, in seconds."""
 SEED = 1
+"""Seed of the model's draws: the same report gives the same table."""
 START_S = 0.13
 """From the start of a process to its first forwarded packet, if not told: the interpreter,
 imports and two reads of the store, as logs of fcht-lb's trouble-1 show it."""
@@ -32,14 +34,15 @@
 """Name of the part of the goal that counts requests served at all."""
 FIXED_PRICES = frozenset({"machine-seconds", "new connections to servers"})
 """Prices that follow from the number of machines and what callers do."""
+# What the kinds of disturbances begin with that hit back ends, balancers, and balancers' processes.
 BACKEND_KINDS = ("srv_", "replace_with_reuse")
 BALANCER_KINDS = ("node_", "core_cut", "herd_kill", "after_ack_kill", "lossy")
 STOPPING_KINDS = ("node_kill", "herd_kill", "after_ack_kill", "closing")
-"""Disturbances that end processes; the others leave them running."""
+"""The other kinds leave processes running."""
 AFTERMATH_S = 2.0
-"""How long after its end a disturbance may still explain a loss."""
+"""How long after its end a disturbance may still explain a loss, in seconds.  Not measured: one window."""
 LEAST_LOSS = 0.5
-"""Requests below which a window's loss is not looked at."""
+"""Requests below which a window's loss counts as the rest.  Not measured: less than one request."""
 
 
 class Split(msgspec.Struct):
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,6 +1,7 @@
-"""What election and gossip cost a balancer at rest, by the size of the fleet.
+"""What reader election and gossip cost each balancer without traffic, by the size of the fleet.
 
-Runs fleets of real nodes on the simulated network of the features, without losses:
+Prints for each size: readers, calls to the store, and per balancer datagrams, bytes and processor
+time a second.  Runs fleets of real nodes on the simulated network of the features, without losses:
 
     PYTHONPATH=features/steps python benchmarks/gossip.py
 
@@ -16,8 +17,11 @@
 from forwarding_fleet import Fleet
 
 SIZES = (20, 40, 120, 300)
+"""Balancers of each fleet."""
 SETTLE_S = 12.0
+"""Simulated time before measuring, in seconds: readers are elected and all lists are read."""
 MEASURE_S = 5.0
+"""Simulated time measured, in seconds."""
 HEADER_BYTES = 28
 """IPv4 and UDP headers of a datagram."""
 
