--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -103,7 +103,7 @@
 
     def _wake(self, address):
         if self.processes[address].store.next_deadline() <= self.now:
-            self.act(address, lambda store: store.on_time())
+            self.act(address, lambda store: store.on_timer())
 
     def _send(self, address, action, delay=LATENCY_S):
         if self.random.random() >= self.loss:
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -115,7 +115,7 @@
         now, reading, watching, trusted, revision = 0.0, False, False, False, 0
         for action, failure in steps:
             now = max(now + 0.01, min(watcher.next_deadline(), now + 0.7))
-            for call in watcher.on_time(now):
+            for call in watcher.on_timer(now):
                 if isinstance(call, ReadSubject):
                     assert not reading
                     reading = True
@@ -152,7 +152,7 @@
         watcher.begin_watching(0.0)
         now, calls = 0.0, 0
         while now < 20.0:
-            for call in watcher.on_time(now):
+            for call in watcher.on_timer(now):
                 calls += 1
                 watcher.failed(failure, isinstance(call, WatchSubject), now)
             now = max(now + 0.001, watcher.next_deadline())
--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -159,7 +159,7 @@
     def run_backends(self):
         self.now += STEP_S
         for address, model in self.models.items():
-            for output in model.on_time(self.now):
+            for output in model.on_timer(self.now):
                 self.keep(int(output.destination.rpartition("-")[2]), address, [output])
         for number, node in enumerate(self.nodes):
             if node.next_deadline() <= self.now:
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -68,7 +68,7 @@
     outputs = []
     while model.in_flight:
         now = model.next_deadline()
-        outputs += model.on_time(now)
+        outputs += model.on_timer(now)
     return outputs
 
 
@@ -85,7 +85,7 @@
     for attempt, (pause, request_id, timeout_ms, cancels) in enumerate(stream):
         now += pause
         while model.next_deadline() <= now:
-            outputs += model.on_time(model.next_deadline())
+            outputs += model.on_timer(model.next_deadline())
         kind = CallerPacketKind.CANCEL if cancels else CallerPacketKind.REQUEST
         packet = BackendPacket(kind, FLOW, request_id, attempt, timeout_ms, download_payload(300))
         outputs += model.handle(packet, SOURCE, now)
@@ -171,10 +171,10 @@
     model.handle(request(1, FEED_PAYLOAD), SOURCE, 0.0)
     context.items = []
     for _ in range(10):
-        context.items += model.on_time(model.next_deadline())
+        context.items += model.on_timer(model.next_deadline())
     moved_at = model.next_deadline() - 0.01
     model.handle(BackendPacket(CallerPacketKind.KEEPALIVE, FLOW), NEW_SOURCE, moved_at)
-    context.moved_items = [item for _ in range(10) for item in model.on_time(model.next_deadline())]
+    context.moved_items = [item for _ in range(10) for item in model.on_timer(model.next_deadline())]
 
 
 @then("the standins feed goes on at the new address without a gap")
@@ -231,14 +231,14 @@
         arrived = [item for due, item in self.underway if due <= now]
         self.underway = [entry for entry in self.underway if entry[0] > now]
         packets = []
-        outputs = self.model.on_time(now)
+        outputs = self.model.on_timer(now)
         for item in arrived:
             if isinstance(item, CallerReply):
                 packets += self.caller.handle(item, now)
             elif item not in self.handed_over:
                 self.handed_over.add(item)
                 outputs += self.model.handle(to_back_end(item), SOURCE, now)
-        packets += self.caller.on_time(now)
+        packets += self.caller.on_timer(now)
         for item in packets + [to_caller(output.reply) for output in outputs]:
             self.put(item, now)
 
@@ -268,7 +268,7 @@
     caller = CallerFlow(FLOW, SERVICE, plan, PATIENCE)
     caller.start(0.0)
     caller.handle(CallerReply(CallerReplyKind.OPENED, FLOW, payload=encode_content(IDENTITY)), 0.0)
-    caller.on_time(0.2)
+    caller.on_timer(0.2)
     return caller
 
 
@@ -325,7 +325,7 @@
 def silence_is_broken(_):
     caller = established()
     while not caller.is_finished:
-        caller.on_time(caller.next_deadline())
+        caller.on_timer(caller.next_deadline())
     assert caller.record.break_reason is BreakReason.SILENT
     assert caller.record.requests[0].outcome is RequestOutcome.SILENT
 
--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -82,7 +82,7 @@
             return self._context.now
         return min(self._round_due, self._exchange_due)
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Send the offers that are due."""
         self._offer_if_due()
         now = self._context.now
--- a/sloepond/core/configuration/fetcher.py
+++ b/sloepond/core/configuration/fetcher.py
@@ -157,7 +157,7 @@
         """Return when the present request times out."""
         return self._attempt.deadline if self._attempt else NEVER
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Repeat a request that timed out, or ask another source."""
         attempt = self._attempt
         if attempt is None or self._context.now < attempt.deadline:
--- a/sloepond/core/configuration/read_schedule.py
+++ b/sloepond/core/configuration/read_schedule.py
@@ -1,6 +1,6 @@
 """When this balancer reads the platform's configuration.
 
-Owns the time of the last read.  Relies on `ConfigurationStore` to call `on_time` and to take
+Owns the time of the last read.  Relies on `ConfigurationStore` to call `on_timer` and to take
 what the read gave.
 """
 
@@ -31,7 +31,7 @@
         """Return when to check next whether a read is due; at once at first."""
         return self._context.now if self._next_check is None else self._next_check
 
-    def on_time(self, known_generation: int) -> None:
+    def on_timer(self, known_generation: int) -> None:
         """Ask for a read if one is due.
 
         :param known_generation: highest generation read or in force here.
--- a/sloepond/core/configuration/sender.py
+++ b/sloepond/core/configuration/sender.py
@@ -121,9 +121,9 @@
         """Return when the encoding under way is to go on."""
         return self._encoding.next_deadline()
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Go on with the encoding under way."""
-        self._encoding.on_time()
+        self._encoding.on_timer()
 
     def _remember(self, transfer: Transfer) -> Transfer:
         self._transfers[(transfer.base_generation, transfer.generation)] = transfer
--- a/sloepond/core/configuration/sliced_work.py
+++ b/sloepond/core/configuration/sliced_work.py
@@ -3,7 +3,7 @@
 A balancer that is busy for long with one call forwards no packets meanwhile.  Short work
 ends within the call that starts it.
 
-Owns the piece of work under way.  Relies on `ConfigurationStore` to call `on_time`.
+Owns the piece of work under way.  Relies on `ConfigurationStore` to call `on_timer`.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         """Return when the next slice is due."""
         return self._due
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Do the next slice if it is due."""
         if self._work is not None and self._done is not None and self._context.now >= self._due:
             self._run_slice(self._work, self._done)
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -62,7 +62,7 @@
 class ConfigurationStore:
     """Reads, checks, keeps and spreads the configuration.
 
-    One generation is judged at a time; a large one takes many calls of `on_time`.
+    One generation is judged at a time; a large one takes many calls of `on_timer`.
 
     :ivar in_force: what is in force; generation 0 at first.
     :param slice_units: work done in one call (see `resources.slices`).
@@ -255,7 +255,7 @@
         self._judge(candidate, judge_transfer(self.in_force, transfer))
 
     def next_deadline(self) -> float:
-        """Return when `on_time` is to be called next."""
+        """Return when `on_timer` is to be called next."""
         fetcher_deadline = NEVER if self._work.is_busy else self._fetcher.next_deadline()
         return min(
             self._work.next_deadline(),
@@ -266,16 +266,16 @@
             self._hold.next_deadline(),
         )
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Do what is due: reads, requests, offers, and a slice of work under way."""
         self._hold.start()
-        self._schedule.on_time(self._known_generation())
+        self._schedule.on_timer(self._known_generation())
         self._judge_held()
-        self._work.on_time()
+        self._work.on_timer()
         if not self._work.is_busy:
-            self._fetcher.on_time()
-        self._sender.on_time()
-        self._announcer.on_time()
+            self._fetcher.on_timer()
+        self._sender.on_timer()
+        self._announcer.on_timer()
 
     def _known_generation(self) -> int:
         """Return the highest generation read, judged or in force here."""
--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -60,7 +60,7 @@
         oldest = self._observer.oldest_unanswered_opening()
         return min(self._flow_resets.next_deadline(), oldest + OPENING_SILENCE_S)
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Check back ends that left an opening packet unanswered for longer than that takes."""
         for backend in self._observer.take_unanswered_openings(now - OPENING_SILENCE_S):
             self._counters.openings_unanswered += 1
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -95,7 +95,7 @@
             return backends
         return kept
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Report requests that have waited too long, unless most back ends seem to fail."""
         for backend in self._waiting.take_unanswered(now):
             self._counters.requests_unanswered += 1
--- a/sloepond/core/forwarding/housekeeping.py
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -24,10 +24,10 @@
         self._due_at = now + HOUSEKEEPING_S
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._due_at
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Forget what has expired, if a round is due."""
         if now < self._due_at:
             return
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -85,10 +85,10 @@
         return commands
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._ask_at
 
-    def on_time(self, now: float) -> tuple[str, ...]:
+    def on_timer(self, now: float) -> tuple[str, ...]:
         """Ask a peer if nothing else has brought anything; return some to send a heartbeat to.
 
         Those that know something answer, and are asked then.
--- a/sloepond/core/forwarding/lifecycle/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -36,7 +36,7 @@
         self.may_place = True
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._resume_at
 
     def stalled(self, now: float) -> None:
@@ -47,7 +47,7 @@
         for watcher in self._watchers:
             watcher.slept(now)
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Place flows again where reading everything takes too long."""
         if now >= self._resume_at:
             self._resume()
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -56,7 +56,7 @@
             self._counters.packets_while_stopping += 1
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._stop.next_deadline()
 
     def request(self, is_configured: bool, now: float) -> None:
@@ -69,7 +69,7 @@
         detail = f"forwards_on_s={LEAST_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
         self._outbox.log(LogKind.STOPPING, "process", detail)
 
-    def on_time(self, is_configured: bool, now: float) -> None:
+    def on_timer(self, is_configured: bool, now: float) -> None:
         """End where routers send no packets here any more, or too little time is left."""
         hall = self.hall_balancers(is_configured, now)
         reason = self._stop.review(hall, now)
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -245,16 +245,16 @@
         """Let each part do what is due."""
         now = self._now
         if now >= self._stop.next_deadline():
-            self._stop.on_time(self.is_configured, now)
-        self._checks.on_time(now)
-        self._ejection.on_time(now)
-        self._stall_guard.on_time(now)
-        self._exchange.on_time(now)
-        self._dissemination.on_time(now)
+            self._stop.on_timer(self.is_configured, now)
+        self._checks.on_timer(now)
+        self._ejection.on_timer(now)
+        self._stall_guard.on_timer(now)
+        self._exchange.on_timer(now)
+        self._dissemination.on_timer(now)
         released = self._openings.release(now)
         if released:
             self._commands.append(ForwardHeld(tuple(released)))
-        self._housekeeping.on_time(now)
+        self._housekeeping.on_timer(now)
 
     def _finish(self) -> list[Command]:
         """Call the store if it is time, set the next deadline, and return the commands of all parts."""
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -53,10 +53,10 @@
         return self._outbox.take()
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return min((lag.due for lag in self._lags.values()), default=NEVER)
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Send the requests that are due."""
         for subject, lag in list(self._lags.items()):
             if now >= lag.due:
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -50,12 +50,12 @@
         return self._change_logs.take()
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._catch_up.next_deadline()
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Request what is still missing."""
-        self._catch_up.on_time(now)
+        self._catch_up.on_timer(now)
 
     @property
     def knows_of_later_backends(self) -> bool:
--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -58,10 +58,10 @@
         self._pull_at = now
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return min(self._confirm_at, self._pull_at)
 
-    def on_time(self, now: float, store_answered_at: float) -> None:
+    def on_timer(self, now: float, store_answered_at: float) -> None:
         """Confirm or pull, if it is time.
 
         :param store_answered_at: when the store last answered any call of this balancer.
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -64,7 +64,7 @@
         return [*self._outbox.take(), *self.intake.take_commands()]
 
     def next_deadline(self) -> float:
-        """Return when `on_time` or `store_calls` has something to do."""
+        """Return when `on_timer` or `store_calls` has something to do."""
         return min(
             self._store_call_at,
             self.election.next_deadline(),
@@ -73,13 +73,13 @@
             self.intake.next_deadline(),
         )
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Let each part do what is due."""
         has_peer_contact = now - self._peer_message_at < PEER_CONTACT_S
-        self._role.on_time(now, has_peer_contact)
-        self._probing.on_time(now)
-        self._confirmations.on_time(now, self._probing.answered_at)
-        self.intake.on_time(now)
+        self._role.on_timer(now, has_peer_contact)
+        self._probing.on_timer(now)
+        self._confirmations.on_timer(now, self._probing.answered_at)
+        self.intake.on_timer(now)
 
     def forget(self, now: float) -> None:
         """Forget readers that are gone."""
@@ -90,7 +90,7 @@
         """Return the reads and watches that are due; none where the store must answer a probe first."""
         if not self._probing.may_read:
             return []
-        return [call for watcher in self._watchers.values() for call in watcher.on_time(now)]
+        return [call for watcher in self._watchers.values() for call in watcher.on_timer(now)]
 
     def describe(self, now: float) -> str:
         """Return versions and ages of routes and back ends, for a log line."""
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -78,18 +78,18 @@
         return [*self._outbox.take(), *self.bootstrap.take_commands()]
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return min(
             self._heartbeats.next_deadline(),
             self._tokens.next_deadline(),
             self.bootstrap.next_deadline(),
         )
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Let each part do what is due."""
-        self._heartbeats.on_time(now)
-        self._tokens.on_time(now)
-        self._heartbeats.introduce(self.bootstrap.on_time(now), now)
+        self._heartbeats.on_timer(now)
+        self._tokens.on_timer(now)
+        self._heartbeats.introduce(self.bootstrap.on_timer(now), now)
 
     def leave(self, now: float) -> None:
         """Say to peers that this balancer stops."""
--- a/sloepond/core/forwarding/peers/heartbeats.py
+++ b/sloepond/core/forwarding/peers/heartbeats.py
@@ -36,10 +36,10 @@
         self._due_at = now
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._due_at
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Send heartbeats if it is time."""
         if now < self._due_at:
             return
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -97,7 +97,7 @@
         return self.role is Role.READER
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return min(self._check_at, self._candidate_at)
 
     def message_received(self, message: Confirmation, now: float) -> bool:
@@ -132,7 +132,7 @@
         """Whether the last call to the store has failed."""
         return self._failing_since is not None
 
-    def on_time(self, now: float, is_fresh: bool, has_peer_contact: bool, peers: int) -> None:
+    def on_timer(self, now: float, is_fresh: bool, has_peer_contact: bool, peers: int) -> None:
         """Change the role if it is time.
 
         :param is_fresh: whether what is known was confirmed lately.
--- a/sloepond/core/forwarding/peers/reader_role.py
+++ b/sloepond/core/forwarding/peers/reader_role.py
@@ -34,7 +34,7 @@
         self._confirmations = confirmations
         self._outbox = outbox
 
-    def on_time(self, now: float, has_peer_contact: bool) -> None:
+    def on_timer(self, now: float, has_peer_contact: bool) -> None:
         """Review the staleness and the role.
 
         :param has_peer_contact: whether any message of a peer came lately.
@@ -43,7 +43,7 @@
         is_fresh = self._staleness.is_fresh(now)
         if self._staleness.review(now):
             self._log_stale(now)
-        self._election.on_time(now, is_fresh, has_peer_contact, len(self._local.peers))
+        self._election.on_timer(now, is_fresh, has_peer_contact, len(self._local.peers))
         role = self._election.role
         if role is before:
             return
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -24,10 +24,10 @@
         self._expire_at = NEVER
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return self._expire_at
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Drop packets for whose token no peer has replied."""
         if now >= self._expire_at:
             self._local.counters.held_packets_dropped += self._held.expire(now)
--- a/sloepond/core/forwarding/store/probing.py
+++ b/sloepond/core/forwarding/store/probing.py
@@ -62,16 +62,16 @@
         self._contact.end()
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         return min(self._contact.next_deadline(self._is_read_due), self._bound_reached_at)
 
-    def on_time(self, now: float) -> None:
+    def on_timer(self, now: float) -> None:
         """Probe the store, if it is time."""
         if now >= self._bound_reached_at and self._bound.is_due(
             self._staleness.confirmed_at, len(self._local.peers), now
         ):
             self._contact.request_probe(now)
-        if self._contact.on_time(now, self._is_read_due):
+        if self._contact.on_timer(now, self._is_read_due):
             self._outbox.add(ProbeStore())
 
     def store_answered(self, now: float) -> None:
--- a/sloepond/core/forwarding/store/store_contact.py
+++ b/sloepond/core/forwarding/store/store_contact.py
@@ -56,14 +56,14 @@
         self._is_reader = False
 
     def next_deadline(self, is_read_due: bool) -> float:
-        """Return when `on_time` has something to do.
+        """Return when `on_timer` has something to do.
 
         :param is_read_due: whether something is to be read.
         """
         is_needed = self._is_reader or self._is_requested or (is_read_due and not self.may_read)
         return self._probe_at if is_needed and not self._is_probing else NEVER
 
-    def on_time(self, now: float, is_read_due: bool) -> bool:
+    def on_timer(self, now: float, is_read_due: bool) -> bool:
         """Return whether a probe is due; it counts as sent."""
         if now < self.next_deadline(is_read_due):
             return False
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -119,7 +119,7 @@
         return self._revision if revision < self._revision else 0
 
     def next_deadline(self) -> float:
-        """Return when `on_time` has something to do."""
+        """Return when `on_timer` has something to do."""
         read_at = NEVER if self._is_reading else max(self._read_at, self._next_call_at)
         watch_at = self._next_call_at if self._may_watch else NEVER
         return min(read_at, watch_at)
@@ -177,7 +177,7 @@
         """Whether this balancer reads for itself, whatever peers send."""
         return self.is_watcher or self._is_read_required or self.unconfirmed_since < NEVER
 
-    def on_time(self, now: float) -> list[StoreCall]:
+    def on_timer(self, now: float) -> list[StoreCall]:
         """Return the calls that are due."""
         calls: list[StoreCall] = []
         if now < self._next_call_at:
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -205,7 +205,7 @@
             self._context.emit(ReadMachineList())
             self._greet_seeds()
         if now >= self.configuration.next_deadline():
-            self.configuration.on_time()
+            self.configuration.on_timer()
         commands = self._carry_out(self._forwarding.handle(ForwardingTimerFired(), now), now)
         return commands + self._follow_configuration(now)
 
--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -105,7 +105,7 @@
         if model is not self.model or self._timer_at > self._queue.now:
             return
         self._timer_at = NEVER
-        self._act(model, model.on_time(self._queue.now))
+        self._act(model, model.on_timer(self._queue.now))
 
     def _act(self, model: BackendModel, outputs: list[BackendOutput]) -> None:
         executions = model.executions
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -172,7 +172,7 @@
         if caller.finished or caller.timer_at > now:
             return
         caller.timer_at = NEVER
-        self._after(caller, caller.flow.on_time(now))
+        self._after(caller, caller.flow.on_timer(now))
 
     def _after(self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None) -> None:
         """Send the packets, report changes to the checkers and set the timer."""
--- a/sloepond/runtime/daemon.py
+++ b/sloepond/runtime/daemon.py
@@ -49,7 +49,7 @@
         self._deadlines = DeadlineTask(
             monotonic_seconds,
             self.pipeline.next_deadline,
-            self.pipeline.on_time,
+            self.pipeline.on_timer,
             self.pipeline.dispatcher.is_idle,
         )
         self._exit_code = ExitCode.STOPPED
--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -125,13 +125,13 @@
         """Call the function of a socket no longer."""
         self._selector.unregister(stream)
 
-    def follow_deadline(self, next_deadline: Callable[[], float], on_time: Callable[[], None]) -> None:
+    def follow_deadline(self, next_deadline: Callable[[], float], on_timer: Callable[[], None]) -> None:
         """Call a function whenever a deadline that may move has passed; there is one of these.
 
         :param next_deadline: returns the deadline in seconds of the loop's clock; called before each wait.
         """
         self._next_deadline = next_deadline
-        self._on_time = on_time
+        self._on_time = on_timer
 
     def stop(self) -> None:
         """End `run` after the step under way."""
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -95,10 +95,10 @@
         return count
 
     def next_deadline(self) -> float:
-        """Return when `on_time` is next needed, in seconds of the monotonic clock."""
+        """Return when `on_timer` is next needed, in seconds of the monotonic clock."""
         return self.node.next_deadline()
 
-    def on_time(self) -> None:
+    def on_timer(self) -> None:
         """Do what is due."""
         now = monotonic_seconds()
         self.traffic.sample(now)
--- a/sloepond/standins/backend.py
+++ b/sloepond/standins/backend.py
@@ -105,7 +105,7 @@
                 await bound.wait_readable()
             for datagram, source in bound.receive_batch():
                 self._send(self._take(model, datagram, source), bound)
-            self._send(model.on_time(monotonic_seconds()), bound)
+            self._send(model.on_timer(monotonic_seconds()), bound)
 
     def _take(self, model: BackendModel, datagram: bytes, source: SocketAddress) -> list[BackendOutput]:
         packet = decode_backend_packet(datagram)
--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -90,11 +90,11 @@
         return flow in self._flows
 
     def next_deadline(self) -> float:
-        """Return when `on_time` is next needed, infinity if never."""
+        """Return when `on_timer` is next needed, infinity if never."""
         finish = self._running[0][0] if self._running else NEVER
         return min(finish, self._feeds.next_deadline())
 
-    def on_time(self, now: float) -> list[BackendOutput]:
+    def on_timer(self, now: float) -> list[BackendOutput]:
         """Finish requests, start waiting ones and push feeds that are due."""
         outputs: list[BackendOutput] = []
         while self._running and self._running[0][0] <= now:
@@ -113,7 +113,7 @@
         if self._started_at is None:
             self._started_at = now
         self.counters.packets += 1
-        outputs = self.on_time(now)
+        outputs = self.on_timer(now)
         if packet.kind is CallerPacketKind.OPEN:
             self._open(packet, source, now, outputs)
         elif packet.flow in self._flows:
--- a/sloepond/standins/caller_model.py
+++ b/sloepond/standins/caller_model.py
@@ -75,21 +75,21 @@
         return [CallerPacket(kind=CallerPacketKind.CLOSE, flow=self._flow, token=self._token)]
 
     def next_deadline(self) -> float:
-        """Return when `on_time` is next needed, infinity if never."""
+        """Return when `on_timer` is next needed, infinity if never."""
         if self.is_finished:
             return NEVER
         if self.record.state is FlowState.OPENING:
             return min(self._opening.due, self._opening.give_up_at)
         return min(self._requests.next_deadline(), self._liveness.next_deadline())
 
-    def on_time(self, now: float) -> list[CallerPacket]:
+    def on_timer(self, now: float) -> list[CallerPacket]:
         """Do all that is due: retransmit, give up, send, keep alive, close."""
         if self.is_finished:
             return []
         if self.record.state is FlowState.OPENING:
             return self._on_time_opening(now)
         self._check_liveness(now)
-        due = self._requests.on_time(now, self._token)
+        due = self._requests.on_timer(now, self._token)
         if due.went_silent:
             self._break(BreakReason.SILENT, now)
         return due.packets + self._on_time_established(now)
@@ -122,7 +122,7 @@
         handler = self._HANDLERS.get(reply.kind)
         if handler is not None:
             handler(self, reply, now)
-        return self.on_time(now) if self.next_deadline() <= now else []
+        return self.on_timer(now) if self.next_deadline() <= now else []
 
     def _on_time_opening(self, now: float) -> list[CallerPacket]:
         if now >= self._opening.give_up_at:
--- a/sloepond/standins/caller_requests.py
+++ b/sloepond/standins/caller_requests.py
@@ -50,7 +50,7 @@
         return now >= self._close_at and not self._pending
 
     def next_deadline(self) -> float:
-        """Return when `on_time` or `send_due` is next needed, infinity if never."""
+        """Return when `on_timer` or `send_due` is next needed, infinity if never."""
         deadlines = [pending.next_deadline() for pending in self._pending.values()]
         if self._may_send():
             deadlines.append(self._next_request_at)
@@ -86,7 +86,7 @@
         self._pending[record.request_id] = pending
         return pending.packet(self._record.flow, now, token)
 
-    def on_time(self, now: float, token: int) -> DueRequests:
+    def on_timer(self, now: float, token: int) -> DueRequests:
         """Retransmit, cancel and give up what is due; stops at the first request that went silent.
 
         :param token: routing token of the flow, 0 for none.
--- a/sloepond/standins/client.py
+++ b/sloepond/standins/client.py
@@ -114,7 +114,7 @@
         if self._scheduled.get(flow.record.flow) != due:
             return []
         del self._scheduled[flow.record.flow]
-        packets = flow.on_time(now)
+        packets = flow.on_timer(now)
         self._schedule(flow)
         return packets
 
