--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -117,7 +117,7 @@
         generation = process.store.in_force.generation
         if not process.generations or process.generations[-1][0] != generation:
             process.generations.append((generation, self.now))
-        for command in process.context.take_commands():
+        for command in process.context.drain_commands():
             self._carry_out(address, process, command)
 
     def _carry_out(self, address, process, command):
--- a/sloepond/core/context.py
+++ b/sloepond/core/context.py
@@ -45,7 +45,7 @@
         """Ask for one log line about a change of state."""
         self.commands.append(RecordTransition(kind, subject, detail))
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the collected commands and start a new list."""
         commands = self.commands
         self.commands = []
--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -46,7 +46,7 @@
         self._flow_resets = FlowResets(observer)
         self._commands: list[Command] = []
 
-    def take_commands(self, now: float) -> list[Command]:
+    def drain_commands(self, now: float) -> list[Command]:
         """Return the commands since the last call, with the next flows to be reset."""
         segments = self._flow_resets.take(now)
         if segments:
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -73,7 +73,7 @@
         self._unanswered_at: dict[str, float] = {}
         self._reports = TokenBucket(REPORTS_PER_S, REPORTS_PER_S)
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands since the last call."""
         commands, self._commands = self._commands, []
         return commands
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -79,7 +79,7 @@
         self._ask_at = max(now + JOIN_S, self._started_at + ASK_PEERS_AFTER_S)
         self._ask_anywhere_at = self._started_at + ASK_ANYWHERE_AFTER_S
 
-    def take_commands(self) -> list[FetchSnapshot]:
+    def drain_commands(self) -> list[FetchSnapshot]:
         """Return the requests issued since the last call, and forget them."""
         commands, self._commands = self._commands, []
         return commands
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -45,7 +45,7 @@
             return is_configured
         return is_configured and self._stop.stays_ready(self.hall_balancers(is_configured, now), now)
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
         return self._outbox.take()
 
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -266,16 +266,16 @@
 
     def _collect(self) -> None:
         """Append the parts' commands in a fixed order."""
-        self._commands.extend(self._dissemination.intake.take_change_logs())
+        self._commands.extend(self._dissemination.intake.drain_change_logs())
         released = self._openings.take_early(self._now)
         if released:
             self._commands.append(ForwardHeld(released))
-        self._commands.extend(self._checks.take_commands(self._now))
-        self._commands.extend(self._stop.take_commands())
-        self._commands.extend(self._ejection.take_commands())
-        self._commands.extend(self._answers.take_commands())
-        self._commands.extend(self._exchange.take_commands())
-        self._commands.extend(self._dissemination.take_commands())
+        self._commands.extend(self._checks.drain_commands(self._now))
+        self._commands.extend(self._stop.drain_commands())
+        self._commands.extend(self._ejection.drain_commands())
+        self._commands.extend(self._answers.drain_commands())
+        self._commands.extend(self._exchange.drain_commands())
+        self._commands.extend(self._dissemination.drain_commands())
 
     def _earliest_deadline(self) -> float:
         return min(
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -48,7 +48,7 @@
         self._peers_know = dict.fromkeys(Subject, 0)
         self._lags: dict[Subject, Lag] = {}
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
         return self._outbox.take()
 
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -38,11 +38,11 @@
         self._fetch_again_at = -NEVER
         self._change_logs = Outbox(local.counters)
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self._catch_up.take_commands()]
+        return [*self._outbox.take(), *self._catch_up.drain_commands()]
 
-    def take_change_logs(self) -> list[Command]:
+    def drain_change_logs(self) -> list[Command]:
         """Return a log line for each back end that peers have changed, and forget them.
 
         They are collected before other commands, so that a change stands in the log before what follows.
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -59,9 +59,9 @@
         self.election.start(now)
         self._confirmations.start(now)
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self.intake.take_commands()]
+        return [*self._outbox.take(), *self.intake.drain_commands()]
 
     def next_deadline(self) -> float:
         """Return when `on_timer` or `store_calls` has something to do."""
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -73,9 +73,9 @@
         self._heartbeats.start(now)
         self.bootstrap.join(now)
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self.bootstrap.take_commands()]
+        return [*self._outbox.take(), *self.bootstrap.drain_commands()]
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -45,7 +45,7 @@
         self._unreadable_lines = TokenBucket(UNREADABLE_LINES_PER_S, UNREADABLE_LINES)
         self._now = 0.0
 
-    def take_commands(self) -> list[Command]:
+    def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
         return self._outbox.take()
 
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -158,7 +158,7 @@
         self._context.now = now
         commands = self._take(event, now)
         self._note_stall()
-        return commands + self._context.take_commands()
+        return commands + self._context.drain_commands()
 
     def _note_stall(self) -> None:
         """Count a sleep of the process, once, and ask for a log line."""
@@ -217,7 +217,7 @@
 
     def _follow_configuration(self, now: float) -> list[Command]:
         """Forward by a generation that has come into force; return the commands so far."""
-        commands = self._context.take_commands()
+        commands = self._context.drain_commands()
         compiled = self.configuration.in_force
         if compiled.generation == self._generation:
             return commands
