--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -185,7 +185,7 @@
         """Write a log line; see `WriteLog`."""
         self._commands.append(WriteLog(kind, subject, detail))
 
-    def take(self) -> list[Command]:
+    def drain(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
         commands, self._commands = self._commands, []
         return commands
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -47,7 +47,7 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def packet_seen(self, now: float) -> None:
         """Note a caller's packet."""
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -50,7 +50,7 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -40,14 +40,14 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self._catch_up.drain_commands()]
+        return [*self._outbox.drain(), *self._catch_up.drain_commands()]
 
     def drain_change_logs(self) -> list[Command]:
         """Return a log line for each back end that peers have changed, and forget them.
 
         They are collected before other commands, so that a change stands in the log before what follows.
         """
-        return self._change_logs.take()
+        return self._change_logs.drain()
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -61,7 +61,7 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self.intake.drain_commands()]
+        return [*self._outbox.drain(), *self.intake.drain_commands()]
 
     def next_deadline(self) -> float:
         """Return when `on_timer` or `store_calls` has something to do."""
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -75,7 +75,7 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return [*self._outbox.take(), *self.bootstrap.drain_commands()]
+        return [*self._outbox.drain(), *self.bootstrap.drain_commands()]
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -47,7 +47,7 @@
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
-        return self._outbox.take()
+        return self._outbox.drain()
 
     def take(self, event: StoreAnswer | StoreCallFailed, now: float) -> None:
         """Take the answer to a call, or its failure."""
