--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -226,7 +226,7 @@
         elif isinstance(event, StorePageReceived):
             self._exchange.bootstrap.store_answering(self._now)
         else:
-            self._answers.take(event, self._now)
+            self._answers.apply(event, self._now)
             self._stall_guard.store_answered()
             if isinstance(event, StoreCallFailed):
                 self._exchange.bootstrap.store_failed(event.reason, self._now)
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -49,7 +49,7 @@
         """Return the commands issued since the last call, and forget them."""
         return self._outbox.drain()
 
-    def take(self, event: StoreAnswer | StoreCallFailed, now: float) -> None:
+    def apply(self, event: StoreAnswer | StoreCallFailed, now: float) -> None:
         """Take the answer to a call, or its failure."""
         self._now = now
         if isinstance(event, StoreCallFailed):
