--- a/sloepond/core/forwarding/lifecycle/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -45,7 +45,7 @@
         self._stalled_at = now
         self._resume_at = now + STALL_TRUST_S
         for watcher in self._watchers:
-            watcher.slept(now)
+            watcher.process_stalled(now)
 
     def on_timer(self, now: float) -> None:
         """Place flows again where reading everything takes too long."""
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -286,7 +286,7 @@
         if self.is_watcher:
             self._is_valid = False
 
-    def slept(self, now: float) -> None:
+    def process_stalled(self, now: float) -> None:
         """Read everything as soon as possible after a sleep; answers to earlier reads confirm nothing."""
         self._woke_at = now
         self.invalidate(now)
