--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -21,7 +21,7 @@
     :ivar packets_while_stopping: packets that came after the request to stop.
     :ivar sends_failed: datagrams of any kind that the system refused to send.
     :ivar flows_placed: new flows given a back end.
-    :ivar flows_placed_unconfirmed: those of them placed while routes or back ends were stale (`FRESH_S`).
+    :ivar flows_placed_unconfirmed: those of them placed while routes or back ends were stale (`STALE_AFTER_S`).
     :ivar second_choices: opening packets that came again and were given another back end.
     :ivar flows_held: opening packets that waited for room.
     :ivar flows_diverted: flows given another service of their route, for lack of room.
@@ -58,7 +58,7 @@
     :ivar backend_changes: changes of back ends taken, from the store or a peer.
     :ivar backends_unreadable: entries of the list, as they are taken, that name no back end to use.
     :ivar knowledge_taken: snapshots taken from a peer.
-    :ivar knowledge_old: times that routes or back ends became stale (`FRESH_S`).
+    :ivar knowledge_old: times that routes or back ends became stale (`STALE_AFTER_S`).
     :ivar behind_peers: reads of the store because no peer sent what another one knows.
     :ivar lists_differing: reads because the readers hold another list of back ends.
     :ivar changes_missed: reads because a probe showed a change that no watch had brought.
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -18,7 +18,7 @@
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.messages import Heartbeat, Snapshot
 from sloepond.core.forwarding.peers.peer_table import FANOUT
-from sloepond.core.forwarding.store.staleness import FRESH_S
+from sloepond.core.forwarding.store.staleness import STALE_AFTER_S
 
 PEERS_FIRST_S = 0.08
 """Seconds for which a peer may be found before the store is read whole.  Not measured: two round trips
@@ -137,7 +137,7 @@
 
     def snapshot_taken(self, snapshot: Snapshot, now: float) -> None:
         """Read the store all the same where what the peer sent is stale."""
-        if max(snapshot.routes_age_s, snapshot.backends_age_s) < FRESH_S:
+        if max(snapshot.routes_age_s, snapshot.backends_age_s) < STALE_AFTER_S:
             return
         if now < self._reads_at:
             self._read_store_at(now)
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -17,7 +17,7 @@
 from sloepond.core.forwarding.peers.messages import Changes, KnownBackend
 from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
 from sloepond.core.forwarding.state.route_delta import RouteDelta
-from sloepond.core.forwarding.store.staleness import FRESH_S, Staleness
+from sloepond.core.forwarding.store.staleness import STALE_AFTER_S, Staleness
 
 FETCH_INTERVAL_S = 0.5
 """Seconds that a peer has to send large differences of the routes before another one is asked.  Not
@@ -91,7 +91,7 @@
         for subject in Subject:
             if not self._catch_up.is_behind(subject):
                 self._staleness.confirmed(subject, now - age_s)
-        if age_s < FRESH_S and self._holds_list_of(changes):
+        if age_s < STALE_AFTER_S and self._holds_list_of(changes):
             watcher.peer_confirmed()
         return are_routes_new or bool(changed)
 
--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -23,7 +23,7 @@
 interval of the readers' confirmations."""
 PULL_INTERVAL_S = 0.25
 """Seconds until it pulls from other peers.  Not measured: twice within the time from `PULL_AFTER_S` until
-the staleness counts as too great (`FRESH_S`)."""
+the staleness counts as too great (`STALE_AFTER_S`)."""
 GATHER_S = 0.02
 """Seconds for which a reader gathers changes before it confirms them.  Not measured: longer than the
 answers of one call take to be read, a tenth of the brief gathering of a watch."""
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from sloepond.core.forwarding.peers.messages import Changes, Confirmation
-from sloepond.core.forwarding.store.staleness import FRESH_S
+from sloepond.core.forwarding.store.staleness import STALE_AFTER_S
 
 
 class RecentConfirmation(msgspec.Struct, frozen=True):
@@ -37,13 +37,13 @@
         recent: list[Confirmation] = []
         for received in self._by_reader.values():
             age_s = received.message.age_s + now - received.at
-            if age_s < FRESH_S:
+            if age_s < STALE_AFTER_S:
                 recent.append(msgspec.structs.replace(without_changes(received.message), age_s=age_s))
         return recent
 
     def forget(self, now: float) -> None:
         """Forget those that are no longer fresh."""
-        old = [reader for reader, received in self._by_reader.items() if now - received.at > FRESH_S]
+        old = [reader for reader, received in self._by_reader.items() if now - received.at > STALE_AFTER_S]
         for reader in old:
             del self._by_reader[reader]
 
--- a/sloepond/core/forwarding/store/probing.py
+++ b/sloepond/core/forwarding/store/probing.py
@@ -15,7 +15,7 @@
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.reader_election import ReaderElection
 from sloepond.core.forwarding.store.missed_changes import KnownState, MissedChanges
-from sloepond.core.forwarding.store.staleness import FRESH_S, Staleness
+from sloepond.core.forwarding.store.staleness import STALE_AFTER_S, Staleness
 from sloepond.core.forwarding.store.staleness_bound import StalenessBound
 from sloepond.core.forwarding.store.store_contact import StoreContact
 
@@ -118,7 +118,7 @@
     def _read_what_is_stale(self, now: float) -> None:
         """Read what no reader has confirmed lately: the store answers this balancer."""
         for subject, watcher in self._local.watchers.items():
-            if not self._election.is_reader and self._staleness.of(subject, now) >= FRESH_S:
+            if not self._election.is_reader and self._staleness.of(subject, now) >= STALE_AFTER_S:
                 self._local.counters.own_reads += 1
                 watcher.invalidate(now)
 
--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -11,7 +11,7 @@
 from sloepond.core.forwarding.events import Subject
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
-FRESH_S = 1.5
+STALE_AFTER_S = 1.5
 """Staleness in seconds above which a reader is needed at once.  Not measured: readers confirm each 0.9 s, so
 one confirmation may be missed; a change must be in force within 3 s."""
 
@@ -20,7 +20,7 @@
     """When each subject was confirmed last.
 
     :param watchers: own reads of the store confirm too.
-    :ivar is_stale: whether a subject was unconfirmed for longer than `FRESH_S` when last reviewed.
+    :ivar is_stale: whether a subject was unconfirmed for longer than `STALE_AFTER_S` when last reviewed.
     """
 
     def __init__(self, watchers: Mapping[Subject, StoreWatcher]) -> None:
@@ -49,10 +49,10 @@
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether all subjects were confirmed lately."""
-        return self.oldest(now) < FRESH_S
+        return self.oldest(now) < STALE_AFTER_S
 
     def review(self, now: float) -> bool:
-        """Compare the staleness with `FRESH_S`; return whether it has exceeded it since the last review."""
+        """Compare the staleness with `STALE_AFTER_S`; return whether it has exceeded it since the last review."""
         was_stale = self.is_stale
         self.is_stale = not self.is_fresh(now)
         return self.is_stale and not was_stale
