--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -27,7 +27,7 @@
     StoreProbed,
     TimerFired,
 )
-from sloepond.core.forwarding.lifecycle.planned_stop import LEAST_FORWARD_S
+from sloepond.core.forwarding.lifecycle.planned_stop import MINIMUM_FORWARD_S
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_TRUST_S
 from sloepond.core.forwarding.packets import Refusal
 from sloepond.core.forwarding.peers.reader_election import Role
@@ -47,7 +47,7 @@
 def stops(context):
     harness = context.harness
     assert not harness.node.is_ready
-    harness.run_to(harness.now + LEAST_FORWARD_S - 0.01, TimerFired())
+    harness.run_to(harness.now + MINIMUM_FORWARD_S - 0.01, TimerFired())
     assert harness.node.decide(segment(token=1), harness.now).backend.number == 1
     assert harness.node.decide(segment(STREAM, opening=True), harness.now).backend is not None
     assert harness.all(CompleteStop) == []
--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -12,8 +12,8 @@
 from sloepond.core.forwarding.commands import CompleteStop
 from sloepond.core.forwarding.events import StopRequested, TimerFired
 from sloepond.core.forwarding.lifecycle.planned_stop import (
-    LEAST_FORWARD_S,
-    LONGEST_READY_S,
+    MAXIMUM_READY_S,
+    MINIMUM_FORWARD_S,
     QUIET_S,
     STOP_MARGIN_S,
     HallBalancers,
@@ -176,7 +176,7 @@
     fleet = context.fleet
     fleet.route(seconds)
     took = {ip: fleet.ended[ip] - at for ip, at in fleet.asked.items()}
-    assert all(LEAST_FORWARD_S <= took_s <= seconds for took_s in took.values()), took
+    assert all(MINIMUM_FORWARD_S <= took_s <= seconds for took_s in took.values()), took
 
 
 @then("none has ended while routers sent packets to it, but at the end of its time")
@@ -248,20 +248,20 @@
     def holds(kill_after_s, course):
         stop, now, last_packet = PlannedStop(kill_after_s), 50.0, 0.0
         stop.request(now)
-        longest_s = max(LEAST_FORWARD_S, kill_after_s - STOP_MARGIN_S)
+        longest_s = max(MINIMUM_FORWARD_S, kill_after_s - STOP_MARGIN_S)
         for pause_s, has_packet, zone in course:
             now = min(now + pause_s, stop.next_deadline()) if pause_s > 0.3 else now + pause_s
             if has_packet:
                 stop.packet_seen(now)
                 last_packet = now
             if stop.stays_ready(zone, now):
-                assert zone.all_are_used and now - 50.0 < LONGEST_READY_S
+                assert zone.all_are_used and now - 50.0 < MAXIMUM_READY_S
             reason = stop.review(zone, now)
             elapsed_s = now - 50.0
             if reason is StopReason.TIME_LIMIT:
                 assert elapsed_s >= longest_s - 1e-9
             elif reason is StopReason.QUIET:
-                assert elapsed_s >= LEAST_FORWARD_S - 1e-9 and now - last_packet >= QUIET_S - 1e-9
+                assert elapsed_s >= MINIMUM_FORWARD_S - 1e-9 and now - last_packet >= QUIET_S - 1e-9
                 assert not zone.all_are_used
             else:
                 assert elapsed_s < longest_s + 1e-9
--- a/sloepond/core/forwarding/lifecycle/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -17,7 +17,7 @@
 
 from sloepond.core.deadlines import NEVER
 
-LEAST_FORWARD_S = 1.8
+MINIMUM_FORWARD_S = 1.8
 """Seconds for which a stopping balancer keeps forwarding in any case.  Not measured: routers check readiness
 twice a second, drop it after two answers that it is not ready, and packets are on their way meanwhile."""
 QUIET_S = 0.5
@@ -26,7 +26,7 @@
 STOP_MARGIN_S = 1.0
 """Seconds before it would be killed at which a stopping process ends at the latest.  Measured with 0.6 s:
 some processes on machines 5.5 times slower than usual were killed before they had ended."""
-LONGEST_READY_S = 2.4
+MAXIMUM_READY_S = 2.4
 """Most seconds for which a stopping balancer says that it is ready.  Routers must have dropped it 4 s after
 the request to stop; they take up to 1.0 s for that, more on a slow machine.  Measured with 3.2 s: 9
 requests not served in place of 25, but routers still counted it as ready after the 4 s."""
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, kill_after_s: float) -> None:
-        self._longest_s = max(LEAST_FORWARD_S, kill_after_s - STOP_MARGIN_S)
+        self._longest_s = max(MINIMUM_FORWARD_S, kill_after_s - STOP_MARGIN_S)
         self._requested_at = NEVER
         self._last_packet_at = -NEVER
         self._review_at = NEVER
@@ -81,7 +81,7 @@
         """Begin; a second request changes nothing."""
         if not self.is_requested:
             self._requested_at = now
-            self._review_at = now + LEAST_FORWARD_S
+            self._review_at = now + MINIMUM_FORWARD_S
 
     def packet_seen(self, now: float) -> None:
         """Note a caller's packet: routers still send to this balancer."""
@@ -94,7 +94,7 @@
         It does while too few of its hall are ready without it, so that routers go on using
         the ready ones only, and none of those that have ended.
         """
-        longest_s = min(LONGEST_READY_S, self._longest_s - LEAST_FORWARD_S)
+        longest_s = min(MAXIMUM_READY_S, self._longest_s - MINIMUM_FORWARD_S)
         return now < self._requested_at + longest_s and hall.all_are_used
 
     def next_deadline(self) -> float:
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from sloepond.core.forwarding.commands import Command, CompleteStop, LogKind, Outbox
-from sloepond.core.forwarding.lifecycle.planned_stop import LEAST_FORWARD_S, HallBalancers, PlannedStop
+from sloepond.core.forwarding.lifecycle.planned_stop import MINIMUM_FORWARD_S, HallBalancers, PlannedStop
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.exchange import PeerExchange
 
@@ -66,7 +66,7 @@
         self._stop.request(now)
         self._exchange.leave(now)
         hall = self.hall_balancers(is_configured, now)
-        detail = f"forwards_on_s={LEAST_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
+        detail = f"forwards_on_s={MINIMUM_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
         self._outbox.log(LogKind.STOPPING, "process", detail)
 
     def on_timer(self, is_configured: bool, now: float) -> None:
