--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -28,7 +28,7 @@
     TimerFired,
 )
 from sloepond.core.forwarding.lifecycle.planned_stop import MINIMUM_FORWARD_S
-from sloepond.core.forwarding.lifecycle.stall_guard import STALL_TRUST_S
+from sloepond.core.forwarding.lifecycle.stall_guard import STALL_HOLD_S
 from sloepond.core.forwarding.packets import Refusal
 from sloepond.core.forwarding.peers.reader_election import Role
 
@@ -109,7 +109,7 @@
 @then("forwarding places again after a second without the store")
 def places_without_store(context):
     harness = context.harness
-    harness.run_to(harness.now + STALL_TRUST_S + 0.01, TimerFired())
+    harness.run_to(harness.now + STALL_HOLD_S + 0.01, TimerFired())
     assert harness.node.decide(segment(STREAM, opening=True), harness.now).backend is not None
 
 
--- a/sloepond/core/forwarding/lifecycle/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -17,7 +17,7 @@
 STALL_S = 0.6
 """Seconds by which a timer must be late for the process to count as having slept.  Not measured: longer than
 any step of a process on a small machine may take, see docs/adr/0011."""
-STALL_TRUST_S = 1.0
+STALL_HOLD_S = 1.0
 """Seconds after a stall for which new flows wait for a read of the store to be answered.  Not measured: a
 third of the shortest time within which a change must be in force (3.0 s)."""
 
@@ -43,7 +43,7 @@
         """Note that the process has slept until now."""
         self.may_place = False
         self._stalled_at = now
-        self._resume_at = now + STALL_TRUST_S
+        self._resume_at = now + STALL_HOLD_S
         for watcher in self._watchers:
             watcher.process_stalled(now)
 
