--- a/features/steps/node_answer_steps.py
+++ b/features/steps/node_answer_steps.py
@@ -66,7 +66,7 @@
     end = context.network.now + seconds
     while context.network.now < end:
         context.network.run(min(0.1, end - context.network.now))
-        context.most_passed_over = max(context.most_passed_over, context.node.backends_passed_over)
+        context.most_passed_over = max(context.most_passed_over, context.node.backends_ejected)
 
 
 def flows_of(context, count, total):
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -124,7 +124,7 @@
         return {"opening_seconds": observer.opening_latency, "request_seconds": observer.request_latency}
 
     @property
-    def backends_passed_over(self) -> int:
+    def backends_ejected(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
         return self._ejection.ejected(self._now)
 
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -101,9 +101,9 @@
         return self._forwarding.counters.requests_unanswered
 
     @property
-    def backends_passed_over(self) -> int:
+    def backends_ejected(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
-        return self._forwarding.backends_passed_over
+        return self._forwarding.backends_ejected
 
     def status(self) -> NodeStatus:
         """Return what operators are told of this balancer."""
