--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -81,7 +81,7 @@
         """Ask all balancers of the zone whether they are ready."""
         for ip in self.hall:
             node = self.nodes.get(ip)
-            is_ready = node is not None and node.says_ready(self.now)
+            is_ready = node is not None and node.reports_ready(self.now)
             self.misses[ip] = 0 if is_ready else self.misses.get(ip, 0) + 1
 
     def used(self):
@@ -130,7 +130,7 @@
     context.last = [ip for ip in fleet.hall if ip not in fleet.asked][:count]
     for ip in context.last:
         fleet.stop(ip)
-    context.were_ready = [fleet.nodes[ip].says_ready(fleet.now) for ip in context.last]
+    context.were_ready = [fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last]
 
 
 @when("{count:d} balancers of a zone are killed")
@@ -145,7 +145,7 @@
     (ip,) = context.last
     ends_at = fleet.now + GRACE_S
     while ip in fleet.nodes and fleet.now < ends_at:
-        assert not fleet.nodes[ip].says_ready(fleet.now)
+        assert not fleet.nodes[ip].reports_ready(fleet.now)
         fleet.route(STEP_S)
     assert least <= fleet.ended[ip] - fleet.asked[ip] <= most, fleet.ended[ip] - fleet.asked[ip]
 
@@ -161,14 +161,14 @@
     fleet = context.fleet
     assert context.were_ready == [True] * count
     fleet.route(seconds)
-    assert not any(fleet.nodes[ip].says_ready(fleet.now) for ip in context.last if ip in fleet.nodes)
+    assert not any(fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last if ip in fleet.nodes)
 
 
 @then("none of the zone is called ready after {seconds:g} seconds")
 def none_ready(context, seconds):
     fleet = context.fleet
     fleet.route(seconds)
-    assert not any(fleet.nodes[ip].says_ready(fleet.now) for ip in fleet.hall if ip in fleet.nodes)
+    assert not any(fleet.nodes[ip].reports_ready(fleet.now) for ip in fleet.hall if ip in fleet.nodes)
 
 
 @then("all that were asked have ended within {seconds:g} seconds of that")
@@ -218,7 +218,7 @@
 def never_ready(context):
     harness = context.harness
     while not harness.all(CompleteStop) and harness.now < context.stopped_at + GRACE_S:
-        assert not harness.node.says_ready(harness.now)
+        assert not harness.node.reports_ready(harness.now)
         harness.run_to(harness.now + STEP_S, TimerFired())
     assert harness.now - context.stopped_at <= GRACE_S - STOP_MARGIN_S + STEP_S
 
@@ -254,7 +254,7 @@
             if has_packet:
                 stop.packet_seen(now)
                 last_packet = now
-            if stop.stays_ready(zone, now):
+            if stop.keeps_reporting_ready(zone, now):
                 assert zone.all_are_used and now - 50.0 < MAXIMUM_READY_S
             reason = stop.review(zone, now)
             elapsed_s = now - 50.0
--- a/sloepond/core/forwarding/lifecycle/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -88,7 +88,7 @@
         self.packets += 1
         self._last_packet_at = now
 
-    def stays_ready(self, hall: HallBalancers, now: float) -> bool:
+    def keeps_reporting_ready(self, hall: HallBalancers, now: float) -> bool:
         """Tell whether a stopping balancer still says that it is ready.
 
         It does while too few of its hall are ready without it, so that routers go on using
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -39,11 +39,11 @@
         is_ready = is_configured and not self.is_requested
         return HallBalancers(peers.ready + is_ready, peers.others + (not is_ready))
 
-    def says_ready(self, is_configured: bool, now: float) -> bool:
+    def reports_ready(self, is_configured: bool, now: float) -> bool:
         """Return the answer to the routers' readiness check."""
         if not self.is_requested:
             return is_configured
-        return is_configured and self._stop.stays_ready(self.hall_balancers(is_configured, now), now)
+        return is_configured and self._stop.keeps_reporting_ready(self.hall_balancers(is_configured, now), now)
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -99,9 +99,9 @@
         """Whether routers should send packets here."""
         return self.is_configured and not self.is_stopping
 
-    def says_ready(self, now: float) -> bool:
+    def reports_ready(self, now: float) -> bool:
         """Return the answer to the routers' readiness check."""
-        return self._stop.says_ready(self.is_configured, now)
+        return self._stop.reports_ready(self.is_configured, now)
 
     def hall_balancers(self, now: float) -> HallBalancers:
         """Return how many balancers of the hall are ready, this one included."""
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -207,7 +207,7 @@
             self._reload()
 
     def _readiness_page(self, target: str) -> Page:
-        return Page(200 if self._node.says_ready(self._loop.clock()) else 503)
+        return Page(200 if self._node.reports_ready(self._loop.clock()) else 503)
 
     def _metrics_page(self, target: str) -> Page:
         return metrics_page(self._node, self._loop.clock())
