--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -34,7 +34,7 @@
     BackendChecked,
     BackendSuspected,
     CheckResult,
-    OpeningHeld,
+    OpeningQueued,
     StopRequested,
     Subject,
     TimerFired,
@@ -151,7 +151,7 @@
         self.note(ip, (head, decision))
         datagram = msgspec.msgpack.encode(head)
         if decision.hold:
-            self.carry_out(ip, node, node.handle(OpeningHeld(head, datagram), self.now))
+            self.carry_out(ip, node, node.handle(OpeningQueued(head, datagram), self.now))
         elif decision.lookup and not is_held:
             self.carry_out(ip, node, node.handle(UnknownTokenMet(head.token, datagram), self.now))
         elif decision.suspect:
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -20,7 +20,7 @@
 )
 from sloepond.core.forwarding.events import (
     BackendsRead,
-    OpeningHeld,
+    OpeningQueued,
     RoutesRead,
     StopRequested,
     StoreFailure,
@@ -140,7 +140,7 @@
         opening = segment(STREAM, 6000 + port, opening=True)
         decision = harness.node.decide(opening, harness.now)
         assert decision.hold and decision.backend is None and not decision.reset
-        harness.handle(OpeningHeld(opening, bytes([port])))
+        harness.handle(OpeningQueued(opening, bytes([port])))
 
 
 @then("forwarding holds 3 new flows and places them once the routes are read")
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -30,7 +30,7 @@
     BackendsChanged,
     BackendsRead,
     DepartedBackend,
-    OpeningHeld,
+    OpeningQueued,
     RoutesRead,
     TimerFired,
 )
@@ -211,7 +211,7 @@
     else:
         assert decision.hold and not decision.reset
         context.held += 1
-        harness.handle(OpeningHeld(opening, str(opening.source_port).encode()))
+        harness.handle(OpeningQueued(opening, str(opening.source_port).encode()))
 
 
 @then("forwarding lets the rest wait and places all of them within 0.6 seconds")
@@ -238,9 +238,9 @@
         if decision.hold:
             break
         context.opened.append((port, decision.backend))
-    harness.handle(OpeningHeld(segment(PATIENT, 201, opening=True), b"patient"))
+    harness.handle(OpeningQueued(segment(PATIENT, 201, opening=True), b"patient"))
     harness.run_to(harness.now + 0.01, TimerFired())
-    harness.handle(OpeningHeld(segment(EXPORT, 202, opening=True), b"export"))
+    harness.handle(OpeningQueued(segment(EXPORT, 202, opening=True), b"export"))
     port, backend = context.opened[0]
     harness.node.decide(segment(EXPORT, port, backend.token, acknowledgement=5), harness.now)
     harness.node.decide(segment(EXPORT, port, backend.token, length=9, acknowledgement=5), harness.now)
--- a/features/steps/forwarding_unconfirmed_steps.py
+++ b/features/steps/forwarding_unconfirmed_steps.py
@@ -9,7 +9,7 @@
 from sloepond.core.forwarding.commands import ForwardHeld
 from sloepond.core.forwarding.events import (
     BackendsRead,
-    OpeningHeld,
+    OpeningQueued,
     PeerMessageReceived,
     RoutesRead,
     SnapshotReceived,
@@ -50,7 +50,7 @@
     opening = segment(STREAM, port, opening=True)
     decision = harness.node.decide(opening, harness.now)
     if decision.hold:
-        harness.handle(OpeningHeld(opening, b"opening"))
+        harness.handle(OpeningQueued(opening, b"opening"))
     return decision
 
 
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -208,7 +208,7 @@
     deltas: tuple[RouteDelta, ...]
 
 
-class OpeningHeld(msgspec.Struct, frozen=True):
+class OpeningQueued(msgspec.Struct, frozen=True):
     """There is no room for a new flow: its opening packet waits."""
 
     segment: Segment
@@ -247,6 +247,6 @@
 StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
 StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePageReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
-PacketEvent = OpeningHeld | UnknownTokenMet | BackendSuspected | BackendChecked
+PacketEvent = OpeningQueued | UnknownTokenMet | BackendSuspected | BackendChecked
 ProcessEvent = PeersJoined | SettingsChanged | StopRequested
 Event = StoreEvent | PeerEvent | PacketEvent | ProcessEvent | TimerFired
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -17,7 +17,7 @@
 from sloepond.core.forwarding.events import (
     BackendSuspected,
     Event,
-    OpeningHeld,
+    OpeningQueued,
     PacketEvent,
     PeerEvent,
     PeerMessageReceived,
@@ -210,7 +210,7 @@
 
     def _take_from_data_path(self, event: PacketEvent) -> None:
         """Take what `decide` has asked the runtime to report, and what a check has shown."""
-        if isinstance(event, OpeningHeld):
+        if isinstance(event, OpeningQueued):
             self._openings.hold(event.segment, event.datagram, self._now)
         elif isinstance(event, UnknownTokenMet):
             self._exchange.unknown_token(event, self._now)
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -46,7 +46,7 @@
 )
 from sloepond.core.forwarding.commands import Command as ForwardingCommand
 from sloepond.core.forwarding.commands import ForwardHeld
-from sloepond.core.forwarding.events import BackendsRead, OpeningHeld, RoutesRead
+from sloepond.core.forwarding.events import BackendsRead, OpeningQueued, RoutesRead
 from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
@@ -263,7 +263,7 @@
         segment = segment_of(packet)
         decision = self._forwarding.decide(segment, now)
         if decision.hold:
-            held = OpeningHeld(segment, msgspec.msgpack.encode(packet))
+            held = OpeningQueued(segment, msgspec.msgpack.encode(packet))
             return self._carry_out(self._forwarding.handle(held, now), now)
         backend = decision.backend
         if backend is not None:
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterable
 
-from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningHeld, UnknownTokenMet
+from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningQueued, UnknownTokenMet
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Refusal, Segment
 from sloepond.core.forwarding.state.backend import Decision
@@ -82,7 +82,7 @@
         backend = decision.backend
         if decision.hold:
             self._logs.packet_waits(segment, self._node)
-            self.report(OpeningHeld(segment, datagram))
+            self.report(OpeningQueued(segment, datagram))
             return
         if backend is None:
             self._refuse(segment, decision, datagram)
