--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -38,7 +38,7 @@
     StopRequested,
     Subject,
     TimerFired,
-    UnknownTokenMet,
+    UnknownTokenReceived,
 )
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Segment
@@ -153,7 +153,7 @@
         if decision.hold:
             self.carry_out(ip, node, node.handle(OpeningQueued(head, datagram), self.now))
         elif decision.lookup and not is_held:
-            self.carry_out(ip, node, node.handle(UnknownTokenMet(head.token, datagram), self.now))
+            self.carry_out(ip, node, node.handle(UnknownTokenReceived(head.token, datagram), self.now))
         elif decision.suspect:
             self.carry_out(ip, node, node.handle(BackendSuspected(decision.suspect), self.now))
         if decision.backend is not None and head.is_opening:
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -16,7 +16,7 @@
     PeerMessageReceived,
     RoutesRead,
     TimerFired,
-    UnknownTokenMet,
+    UnknownTokenReceived,
 )
 from sloepond.core.forwarding.packets import Refusal
 from sloepond.core.forwarding.peers.messages import TokenReply, TokenRequest
@@ -187,7 +187,7 @@
     harness.commands.clear()
     decision = harness.node.decide(segment(token=77), harness.now)
     assert decision.lookup and decision.backend is None
-    harness.handle(UnknownTokenMet(77, b"packet"))
+    harness.handle(UnknownTokenReceived(77, b"packet"))
 
 
 @then("forwarding holds the packet, asks peers and forwards it when one answers")
@@ -208,7 +208,7 @@
 def token_of_nobody(context):
     harness = context.harness
     harness.commands.clear()
-    harness.handle(UnknownTokenMet(78, b"packet"))
+    harness.handle(UnknownTokenReceived(78, b"packet"))
 
 
 @then("forwarding drops the packet and does not ask again within a second")
@@ -217,7 +217,7 @@
     assert len(harness.all(SendToPeer)) == 3
     harness.run_to(harness.now + 0.2, TimerFired())
     assert harness.node.counters.held_packets_dropped == 1
-    harness.handle(UnknownTokenMet(78, b"copy"))
+    harness.handle(UnknownTokenReceived(78, b"copy"))
     assert [c for c in harness.all(SendToPeer) if isinstance(c.message, TokenRequest)] == []
     harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(record(78), 0.0)))
     assert harness.all(ForwardHeld) == []
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -215,7 +215,7 @@
     datagram: bytes
 
 
-class UnknownTokenMet(msgspec.Struct, frozen=True):
+class UnknownTokenReceived(msgspec.Struct, frozen=True):
     """A packet carries a token that is unknown here."""
 
     token: int
@@ -247,6 +247,6 @@
 StoreAnswer = RoutesRead | BackendsRead | RoutesChanged | BackendsChanged
 StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePageReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
-PacketEvent = OpeningQueued | UnknownTokenMet | BackendSuspected | BackendChecked
+PacketEvent = OpeningQueued | UnknownTokenReceived | BackendSuspected | BackendChecked
 ProcessEvent = PeersJoined | SettingsChanged | StopRequested
 Event = StoreEvent | PeerEvent | PacketEvent | ProcessEvent | TimerFired
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -32,7 +32,7 @@
     StoreProbed,
     Subject,
     TimerFired,
-    UnknownTokenMet,
+    UnknownTokenReceived,
 )
 from sloepond.core.forwarding.health.backend_checks import OPENING_SILENCE_S
 from sloepond.core.forwarding.housekeeping import Housekeeping
@@ -212,7 +212,7 @@
         """Take what `decide` has asked the runtime to report, and what a check has shown."""
         if isinstance(event, OpeningQueued):
             self._openings.hold(event.segment, event.datagram, self._now)
-        elif isinstance(event, UnknownTokenMet):
+        elif isinstance(event, UnknownTokenReceived):
             self._exchange.unknown_token(event, self._now)
         elif isinstance(event, BackendSuspected):
             self._checks.suspected(event.name, self._now)
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from sloepond.core.forwarding.commands import Command, Outbox
-from sloepond.core.forwarding.events import PeerMessageReceived, SnapshotReceived, UnknownTokenMet
+from sloepond.core.forwarding.events import PeerMessageReceived, SnapshotReceived, UnknownTokenReceived
 from sloepond.core.forwarding.health.outlier_ejection import OutlierEjection
 from sloepond.core.forwarding.health.reachability import Reachability
 from sloepond.core.forwarding.lifecycle.bootstrap import Bootstrap
@@ -142,7 +142,7 @@
         self._snapshots.received(event, now)
         self.bootstrap.snapshot_taken(event.snapshot, now)
 
-    def unknown_token(self, event: UnknownTokenMet, now: float) -> None:
+    def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
         """Hold a packet and ask peers for its token."""
         self._tokens.unknown_token(event, now)
 
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -8,7 +8,7 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.commands import ForwardHeld, LogKind, Outbox
-from sloepond.core.forwarding.events import Subject, UnknownTokenMet
+from sloepond.core.forwarding.events import Subject, UnknownTokenReceived
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.held_packets import HOLD_S, HeldPackets
 from sloepond.core.forwarding.peers.messages import KnownBackend, TokenReply, TokenRequest
@@ -33,7 +33,7 @@
             self._local.counters.held_packets_dropped += self._held.expire(now)
             self._expire_at = NEVER
 
-    def unknown_token(self, event: UnknownTokenMet, now: float) -> None:
+    def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
         """Hold a packet and ask peers for its token."""
         if not self._held.hold(event.token, event.datagram, now):
             return
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterable
 
-from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningQueued, UnknownTokenMet
+from sloepond.core.forwarding.events import BackendSuspected, Event, OpeningQueued, UnknownTokenReceived
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.packets import Refusal, Segment
 from sloepond.core.forwarding.state.backend import Decision
@@ -112,7 +112,7 @@
         if decision.reset:
             self.reset((segment,))
         elif decision.lookup:
-            self.report(UnknownTokenMet(segment.token, datagram))
+            self.report(UnknownTokenReceived(segment.token, datagram))
 
     def _send(self, datagram: bytes, endpoint: tuple[str, int]) -> None:
         try:
