--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -27,7 +27,7 @@
     CheckBackend,
     Command,
     CompleteStop,
-    ForwardHeld,
+    ReprocessPackets,
     WriteLog,
 )
 from sloepond.core.forwarding.events import (
@@ -112,7 +112,7 @@
                 is_crashed = command.name in self.crashed
                 result = CheckResult.UNREACHABLE if is_crashed else CheckResult.REACHABLE
                 self.later(CHECK_S, ip, node, BackendChecked(command.name, result))
-            elif isinstance(command, ForwardHeld):
+            elif isinstance(command, ReprocessPackets):
                 for datagram in command.datagrams:
                     self.packet(ip, msgspec.msgpack.decode(datagram, type=Segment), is_held=True)
             elif isinstance(command, CompleteStop):
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -16,7 +16,7 @@
 
 from sloepond.core.forwarding.commands import (
     CompleteStop,
-    ForwardHeld,
+    ReprocessPackets,
 )
 from sloepond.core.forwarding.events import (
     BackendsRead,
@@ -148,9 +148,9 @@
     harness = context.harness
     let_wait(harness, 3)
     harness.now += 0.4
-    assert harness.all(ForwardHeld) == []
+    assert harness.all(ReprocessPackets) == []
     harness.handle(RoutesRead(9, ROUTES))
-    assert [c.datagrams for c in harness.all(ForwardHeld)] == [(b"\0", b"\1", b"\2")]
+    assert [c.datagrams for c in harness.all(ReprocessPackets)] == [(b"\0", b"\1", b"\2")]
     assert harness.node.decide(segment(STREAM, 6000, opening=True), harness.now).backend is not None
 
 
@@ -163,7 +163,7 @@
 @then("forwarding places none of them once the routes are read")
 def places_none(context):
     context.harness.handle(RoutesRead(9, ROUTES))
-    assert context.harness.all(ForwardHeld) == []
+    assert context.harness.all(ReprocessPackets) == []
 
 
 @when("forwarding sleeps for three seconds while its reads are answered")
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -25,7 +25,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.commands import ForwardHeld
+from sloepond.core.forwarding.commands import ReprocessPackets
 from sloepond.core.forwarding.events import (
     BackendsChanged,
     BackendsRead,
@@ -197,7 +197,7 @@
     end = harness.now + LONGEST_HOLD_S + 0.05
     while harness.now < end:
         harness.run_to(harness.now + 0.01, TimerFired())
-        for command in harness.all(ForwardHeld):
+        for command in harness.all(ReprocessPackets):
             for datagram in command.datagrams:
                 offer(context, segment(EXPORT, int(datagram), opening=True))
 
@@ -250,7 +250,7 @@
 
 @then("forwarding places the more urgent one")
 def urgent_first(context):
-    released = [d for command in context.harness.all(ForwardHeld) for d in command.datagrams]
+    released = [d for command in context.harness.all(ReprocessPackets) for d in command.datagrams]
     assert released == [b"export"]
 
 
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sloepond.core.forwarding.commands import ForwardHeld, SendToPeer
+from sloepond.core.forwarding.commands import ReprocessPackets, SendToPeer
 from sloepond.core.forwarding.events import (
     BackendsRead,
     PeerMessageReceived,
@@ -195,10 +195,10 @@
     harness = context.harness
     asked = harness.all(SendToPeer)
     assert [c.message for c in asked] == [TokenRequest(77)] * 3
-    assert harness.all(ForwardHeld) == []
+    assert harness.all(ReprocessPackets) == []
     harness.now += 0.01
     harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(context.unknown, 4.0)))
-    assert harness.all(ForwardHeld) == [ForwardHeld((b"packet",))]
+    assert harness.all(ReprocessPackets) == [ReprocessPackets((b"packet",))]
     assert harness.node.decide(segment(token=77), harness.now).backend.number == 77
     assert harness.node.backends.candidates("roster") != []
     assert 77 not in [b.number for b in harness.node.backends.candidates("roster")]
@@ -220,7 +220,7 @@
     harness.handle(UnknownTokenReceived(78, b"copy"))
     assert [c for c in harness.all(SendToPeer) if isinstance(c.message, TokenRequest)] == []
     harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(record(78), 0.0)))
-    assert harness.all(ForwardHeld) == []
+    assert harness.all(ReprocessPackets) == []
 
 
 @then("forwarding drops a packet without a token")
--- a/features/steps/forwarding_unconfirmed_steps.py
+++ b/features/steps/forwarding_unconfirmed_steps.py
@@ -6,7 +6,7 @@
 from forwarding_evacuation_steps import Openings, cold_fleet
 from forwarding_model import STREAM, Harness, fresh_node, record, segment
 
-from sloepond.core.forwarding.commands import ForwardHeld
+from sloepond.core.forwarding.commands import ReprocessPackets
 from sloepond.core.forwarding.events import (
     BackendsRead,
     OpeningQueued,
@@ -69,7 +69,7 @@
     assert open_flow(harness, 1).hold
     harness.run_to(harness.now + seconds, TimerFired())
     assert [read.may_be_stale for read in harness.reads(Subject.BACKENDS)] == [False]
-    assert harness.all(ForwardHeld) == []
+    assert harness.all(ReprocessPackets) == []
 
 
 @when("forwarding reads that all back ends have become slow")
@@ -109,14 +109,14 @@
 
 @then("forwarding decides on the flow that waited, and no back end is given one")
 def decided_none_given(context):
-    assert [command.datagrams for command in context.harness.all(ForwardHeld)] == [(b"opening",)]
+    assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     decisions = [open_flow(context.harness, port) for port in range(2, 40)]
     assert all(decision.backend is None and not decision.hold for decision in decisions)
 
 
 @then("forwarding decides on the flow that waited, and back ends are given new ones")
 def decided_and_given(context):
-    assert [command.datagrams for command in context.harness.all(ForwardHeld)] == [(b"opening",)]
+    assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     assert open_flow(context.harness, 2).backend is not None
 
 
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -77,7 +77,7 @@
     version: int
 
 
-class ForwardHeld(msgspec.Struct, frozen=True):
+class ReprocessPackets(msgspec.Struct, frozen=True):
     """Decide again on packets that waited for a token, for routes or for room."""
 
     datagrams: tuple[bytes, ...]
@@ -155,7 +155,7 @@
     | SendToPeer
     | FetchSnapshot
     | FetchRoutes
-    | ForwardHeld
+    | ReprocessPackets
     | ResetFlows
     | CompleteStop
     | WriteLog
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -13,7 +13,7 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.assembly import DEFAULTS, NodeOptions, assemble
-from sloepond.core.forwarding.commands import Command, ForwardHeld, LogKind, WriteLog
+from sloepond.core.forwarding.commands import Command, LogKind, ReprocessPackets, WriteLog
 from sloepond.core.forwarding.events import (
     BackendSuspected,
     Event,
@@ -253,7 +253,7 @@
         self._dissemination.on_timer(now)
         released = self._openings.release(now)
         if released:
-            self._commands.append(ForwardHeld(tuple(released)))
+            self._commands.append(ReprocessPackets(tuple(released)))
         self._housekeeping.on_timer(now)
 
     def _finish(self) -> list[Command]:
@@ -269,7 +269,7 @@
         self._commands.extend(self._dissemination.intake.drain_change_logs())
         released = self._openings.take_early(self._now)
         if released:
-            self._commands.append(ForwardHeld(released))
+            self._commands.append(ReprocessPackets(released))
         self._commands.extend(self._checks.drain_commands(self._now))
         self._commands.extend(self._stop.drain_commands())
         self._commands.extend(self._ejection.drain_commands())
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.commands import ForwardHeld, LogKind, Outbox
+from sloepond.core.forwarding.commands import LogKind, Outbox, ReprocessPackets
 from sloepond.core.forwarding.events import Subject, UnknownTokenReceived
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.held_packets import HOLD_S, HeldPackets
@@ -63,4 +63,4 @@
         detail = f"state={backend.state.name.lower()} released={len(datagrams)}"
         self._outbox.log(LogKind.TOKEN_FOUND, backend.name, detail)
         if datagrams:
-            self._outbox.add(ForwardHeld(tuple(datagrams)))
+            self._outbox.add(ReprocessPackets(tuple(datagrams)))
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -45,7 +45,7 @@
     TimerFired,
 )
 from sloepond.core.forwarding.commands import Command as ForwardingCommand
-from sloepond.core.forwarding.commands import ForwardHeld
+from sloepond.core.forwarding.commands import ReprocessPackets
 from sloepond.core.forwarding.events import BackendsRead, OpeningQueued, RoutesRead
 from sloepond.core.forwarding.events import TimerFired as ForwardingTimerFired
 from sloepond.core.forwarding.node import ForwardingNode
@@ -252,7 +252,7 @@
 
     def _carry_out(self, commands: list[ForwardingCommand], now: float) -> list[Command]:
         """Decide again on packets that waited; other commands ask the platform in ways this one has not."""
-        waited = [command for command in commands if isinstance(command, ForwardHeld)]
+        waited = [command for command in commands if isinstance(command, ReprocessPackets)]
         results: list[Command] = []
         for command in waited:
             for datagram in command.datagrams:
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -15,10 +15,10 @@
     CompleteStop,
     FetchRoutes,
     FetchSnapshot,
-    ForwardHeld,
     LogKind,
     ProbeStore,
     ReadSubject,
+    ReprocessPackets,
     ResetFlows,
     SendToPeer,
     WatchSubject,
@@ -128,7 +128,7 @@
                 self._logs.write(command)
             elif isinstance(command, SendToPeer):
                 self._peers.send(command)
-            elif isinstance(command, ForwardHeld | ResetFlows):
+            elif isinstance(command, ReprocessPackets | ResetFlows):
                 self._send_to_flows(command)
             elif isinstance(command, ReadSubject | WatchSubject | ProbeStore):
                 self._loop.start(self._call_store(command))
@@ -139,7 +139,7 @@
             elif isinstance(command, CompleteStop):
                 self._loop.stop()
 
-    def _send_to_flows(self, command: ForwardHeld | ResetFlows) -> None:
+    def _send_to_flows(self, command: ReprocessPackets | ResetFlows) -> None:
         if isinstance(command, ResetFlows):
             self._data_path.reset(command.segments)
             return
