--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -24,7 +24,7 @@
 )
 from sloepond.core.forwarding.health.flow_resets import RESETS_A_STEP
 from sloepond.core.forwarding.health.reachability import CHECKS_PER_S
-from sloepond.core.forwarding.packets import Refusal, last_segment
+from sloepond.core.forwarding.packets import Refusal, empty_segment
 from sloepond.core.forwarding.peers.messages import (
     BackendFailing,
     BackendUnreachable,
@@ -365,7 +365,7 @@
             for command in harness.all(ResetFlows):
                 for each in command.segments:
                     assert seen[each.flow_key] in condemned
-                    assert last_segment(each.flow_key, each.acknowledgement) == each
+                    assert empty_segment(each.flow_key, each.acknowledgement) == each
 
     check()
 
--- a/sloepond/core/forwarding/health/flow_resets.py
+++ b/sloepond/core/forwarding/health/flow_resets.py
@@ -12,7 +12,7 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.load.flow_observer import FlowObserver, SeenFlow
-from sloepond.core.forwarding.packets import Segment, last_segment
+from sloepond.core.forwarding.packets import Segment, empty_segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 RESETS_A_STEP = 100
@@ -51,4 +51,4 @@
         count = min(RESETS_A_STEP, len(self._waiting))
         taken = [self._waiting.popleft() for _ in range(count)]
         self._next_at = now + STEP_S if self._waiting else NEVER
-        return tuple(last_segment(flow.key, flow.acknowledged) for flow in taken)
+        return tuple(empty_segment(flow.key, flow.acknowledged) for flow in taken)
--- a/sloepond/core/forwarding/packets.py
+++ b/sloepond/core/forwarding/packets.py
@@ -66,7 +66,7 @@
     is_answer: bool
 
 
-def last_segment(flow_key: int, acknowledgement: int) -> Segment:
+def empty_segment(flow_key: int, acknowledgement: int) -> Segment:
     """Return the head of an empty packet of a flow, as its caller would send it.
 
     :param acknowledgement: next byte expected from the other end.
