--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -72,7 +72,7 @@
         self.processes[member.address] = process
         everyone = tuple(item.context.identity for item in self.processes.values())
         for item in self.processes.values():
-            item.store.machines_known(everyone)
+            item.store.machine_list_received(everyone)
         return process
 
     def settle(self, generation):
--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -42,7 +42,7 @@
         self._exchange_due: float | None = None
         self._answers = TokenBucket(ANSWERS_PER_S, ANSWERS_PER_S)
 
-    def machines_known(self, members: tuple[Member, ...]) -> None:
+    def machine_list_received(self, members: tuple[Member, ...]) -> None:
         """Take the platform's list of machines; a hint that may lag."""
         self._machines = members
 
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -92,9 +92,9 @@
         """Return whether a generation is in force."""
         return self.in_force.generation > 0
 
-    def machines_known(self, members: tuple[Member, ...]) -> None:
+    def machine_list_received(self, members: tuple[Member, ...]) -> None:
         """Take the platform's list of machines; a hint that may lag."""
-        self._announcer.machines_known(members)
+        self._announcer.machine_list_received(members)
 
     def snapshot_read(self, snapshot: ConfigurationSnapshot) -> None:
         """Take what the platform's service answered; may be old."""
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -191,7 +191,7 @@
             self.configuration.read_failed(event.reason)
         elif isinstance(event, MachineListRead):
             self._listed = event.members
-            self.configuration.machines_known(event.members)
+            self.configuration.machine_list_received(event.members)
         elif isinstance(event, PeerMessageReceived):
             self.counters.peer_messages += 1
             self.configuration.handle(event.sender_address, event.message)
