--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -46,7 +46,7 @@
         """Take the platform's list of machines; a hint that may lag."""
         self._machines = members
 
-    def generation_taken(self, in_force: CompiledConfiguration) -> None:
+    def generation_applied(self, in_force: CompiledConfiguration) -> None:
         """Offer a generation just put in force."""
         self._in_force = in_force
         due = max(self._context.now, self._round_at + OFFER_INTERVAL_S)
--- a/sloepond/core/configuration/sender.py
+++ b/sloepond/core/configuration/sender.py
@@ -59,7 +59,7 @@
             settings.bytes_per_second, max(settings.bytes_per_second, WINDOW_PARTS * settings.part_bytes)
         )
 
-    def generation_taken(self, former: int, present: int, delta: ConfigurationDelta) -> None:
+    def generation_applied(self, former: int, present: int, delta: ConfigurationDelta) -> None:
         """Remember the delta that led to the generation now in force."""
         self._history.add(former, present, delta)
 
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -200,8 +200,8 @@
             f"generation {configuration.generation}",
             f"digest {configuration.digest[:DIGEST_PREFIX]}, from {source}",
         )
-        self._sender.generation_taken(former.generation, configuration.generation, delta)
-        self._announcer.generation_taken(configuration)
+        self._sender.generation_applied(former.generation, configuration.generation, delta)
+        self._announcer.generation_applied(configuration)
         self._fetcher.generation_changed()
 
     def generation_heard(self, address: str, generation: int, digest: str) -> None:
