--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -433,7 +433,7 @@
 @when("the configuration store hears of generation {generation:d} with that other content")
 def step_hear_other(context, generation):
     digest = context.other.digest[:8]
-    act(context, lambda store: store.generation_heard("10.1.0.9:1", generation, digest))
+    act(context, lambda store: store.generation_announced("10.1.0.9:1", generation, digest))
 
 
 @when("the configuration store hears of generation {generation:d} from a silent balancer")
--- a/sloepond/core/configuration/fetcher.py
+++ b/sloepond/core/configuration/fetcher.py
@@ -69,7 +69,7 @@
         self._snapshot_wanted = False
         self.sources = Sources()
 
-    def source_heard(self, source: Source) -> None:
+    def source_announced(self, source: Source) -> None:
         """Note a balancer with a newer generation and fetch it."""
         self.sources.note(source)
         if self._attempt is None:
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -204,7 +204,7 @@
         self._announcer.generation_applied(configuration)
         self._fetcher.generation_changed()
 
-    def generation_heard(self, address: str, generation: int, digest: str) -> None:
+    def generation_announced(self, address: str, generation: int, digest: str) -> None:
         """Take what a peer said it has in force.
 
         :param address: peer address `ip:port`.
@@ -227,7 +227,7 @@
         if self._work.is_busy:
             self._fetcher.sources.note(source)
         else:
-            self._fetcher.source_heard(source)
+            self._fetcher.source_announced(source)
 
     def handle(self, sender_address: str, message: PeerMessage) -> None:
         """Take a message about the configuration from another balancer."""
@@ -238,7 +238,7 @@
         elif isinstance(message, ConfigurationOffered):
             if message.generation < self.in_force.generation:
                 self._announcer.older_offer_received(sender_address)
-            self.generation_heard(sender_address, message.generation, message.digest)
+            self.generation_announced(sender_address, message.generation, message.digest)
 
     def _part_received(self, address: str, part: ConfigurationPart) -> None:
         self._context.counters.configuration_parts_received += 1
