--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -86,7 +86,7 @@
             self._log_change(known)
         revision = self._gossip.advanced(changes, watcher.revision)
         if revision > watcher.revision:
-            watcher.peer_informed(revision, now)
+            watcher.peer_sent_changes(revision, now)
         self._catch_up.compare(ip, changes, now)
         for subject in Subject:
             if not self._catch_up.is_behind(subject):
@@ -143,7 +143,7 @@
     def _take_routes(self, ip: str, delta: RouteDelta | None, now: float) -> bool:
         if delta is None or not self._gossip.take_routes(delta, now):
             return False
-        self._watchers[Subject.ROUTES].peer_informed(0, now)
+        self._watchers[Subject.ROUTES].peer_sent_changes(0, now)
         self._local.counters.configurations_taken += 1
         detail = f"from={ip} changed={len(delta.changed)} removed={len(delta.removed)}"
         self._outbox.log(LogKind.ROUTES_IN_FORCE, str(delta.version), detail)
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -46,8 +46,8 @@
         local.evacuations.take(snapshot.evacuated, now)
         if is_first:
             local.backends.list_begins(snapshot.revision)
-            local.watchers[Subject.BACKENDS].peer_informed(snapshot.revision, now)
-            local.watchers[Subject.ROUTES].peer_informed(0, now)
+            local.watchers[Subject.BACKENDS].peer_sent_changes(snapshot.revision, now)
+            local.watchers[Subject.ROUTES].peer_sent_changes(0, now)
             self._note_confirmation(snapshot.backends_age_s, now)
         local.counters.knowledge_taken += 1
         detail = (
@@ -66,4 +66,4 @@
         if backends_age_s < NEVER and not self._intake.knows_of_later_backends:
             watcher.peer_confirmed()
         else:
-            watcher.peer_unconfirmed(now)
+            watcher.peer_sent_unconfirmed(now)
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -148,7 +148,7 @@
         self._read_at = NEVER
         self._backoff.reset()
 
-    def peer_informed(self, revision: int, now: float) -> None:
+    def peer_sent_changes(self, revision: int, now: float) -> None:
         """Note that a peer has sent all changes up to a revision."""
         self._revision = max(self._revision, revision)
         self._is_informed = True
@@ -156,7 +156,7 @@
             self._read_at = NEVER
             self._backoff.reset()
 
-    def peer_unconfirmed(self, now: float) -> None:
+    def peer_sent_unconfirmed(self, now: float) -> None:
         """Note that all that is known comes from a peer that may know less than the readers."""
         if not self._was_confirmed:
             self.unconfirmed_since = min(self.unconfirmed_since, now)
