--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -81,7 +81,7 @@
         watcher = self._watchers[Subject.BACKENDS]
         are_routes_new = self._take_routes(ip, changes.route_delta, now)
         self._take_evacuated(ip, changes, now)
-        changed = self._gossip.take_backends(changes, watcher.known_beyond(changes.revision), now)
+        changed = self._gossip.take_backends(changes, watcher.revision_beyond(changes.revision), now)
         for known in changed:
             self._log_change(known)
         revision = self._gossip.advanced(changes, watcher.revision)
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -41,7 +41,7 @@
         local, snapshot = self._local, event.snapshot
         is_first = not local.backends.is_listed
         is_newer = local.routes.take(snapshot.routes)
-        complete_to = local.watchers[Subject.BACKENDS].known_beyond(snapshot.revision)
+        complete_to = local.watchers[Subject.BACKENDS].revision_beyond(snapshot.revision)
         added = sum(local.backends.take(known, complete_to, now) for known in snapshot.backends)
         local.evacuations.take(snapshot.evacuated, now)
         if is_first:
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -75,10 +75,10 @@
             watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
             revision = _certain_revision(event, watcher)
-            self._take_list(event, revision, watcher.known_beyond(revision))
+            self._take_list(event, revision, watcher.revision_beyond(revision))
             watcher.read(revision, self._now, len(event.records))
         else:
-            self._take_changes(event, watcher.known_beyond(event.revision))
+            self._take_changes(event, watcher.revision_beyond(event.revision))
             watcher.watched(event.revision, self._now)
 
     def _failed(self, event: StoreCallFailed) -> None:
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -111,7 +111,7 @@
         """The store's revision up to which changes are known."""
         return self._revision
 
-    def known_beyond(self, revision: int) -> int:
+    def revision_beyond(self, revision: int) -> int:
         """Return the revision up to which changes are known where that is beyond another one, else 0.
 
         :param revision: up to which the sender of a message knows changes.
