--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -135,7 +135,7 @@
         if ip == self._first_source and now < self._reads_at:
             self._read_store_at(now)
 
-    def snapshot_taken(self, snapshot: Snapshot, now: float) -> None:
+    def snapshot_applied(self, snapshot: Snapshot, now: float) -> None:
         """Read the store all the same where what the peer sent is stale."""
         if max(snapshot.routes_age_s, snapshot.backends_age_s) < STALE_AFTER_S:
             return
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -140,7 +140,7 @@
     def snapshot_received(self, event: SnapshotReceived, now: float) -> None:
         """Take what a peer knows where nothing newer is known here."""
         self._snapshots.received(event, now)
-        self.bootstrap.snapshot_taken(event.snapshot, now)
+        self.bootstrap.snapshot_applied(event.snapshot, now)
 
     def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
         """Hold a packet and ask peers for its token."""
