--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -63,7 +63,7 @@
     :ivar lists_differing: reads because the readers hold another list of back ends.
     :ivar changes_missed: reads because a probe showed a change that no watch had brought.
     :ivar role_changes: changes of the role in the reader election.
-    :ivar stalls_detected: times that the process had not run for longer than `STALL_S`.
+    :ivar stalls_detected: times that the process had not run for longer than `STALL_THRESHOLD_S`.
 
     Peers:
 
--- a/sloepond/core/forwarding/lifecycle/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -14,7 +14,7 @@
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
-STALL_S = 0.6
+STALL_THRESHOLD_S = 0.6
 """Seconds by which a timer must be late for the process to count as having slept.  Not measured: longer than
 any step of a process on a small machine may take, see docs/adr/0011."""
 STALL_HOLD_S = 1.0
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -37,7 +37,7 @@
 from sloepond.core.forwarding.health.backend_checks import OPENING_SILENCE_S
 from sloepond.core.forwarding.housekeeping import Housekeeping
 from sloepond.core.forwarding.lifecycle.planned_stop import HallBalancers
-from sloepond.core.forwarding.lifecycle.stall_guard import STALL_S
+from sloepond.core.forwarding.lifecycle.stall_guard import STALL_THRESHOLD_S
 from sloepond.core.forwarding.load.latency import LatencyHistogram
 from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S
 from sloepond.core.forwarding.packets import ReplyHead, Segment
@@ -159,7 +159,7 @@
 
     def decide(self, segment: Segment, now: float) -> Decision:
         """Return what becomes of a caller's packet."""
-        if now - self._deadline > STALL_S:
+        if now - self._deadline > STALL_THRESHOLD_S:
             self._notice_stall(now)
         self._stop.packet_seen(now)
         decision = self._forwarder.decide(segment, now)
@@ -181,7 +181,7 @@
 
     def handle(self, event: Event, now: float) -> list[Command]:
         """Take one event; `now` never goes back."""
-        if now - self._deadline > STALL_S:
+        if now - self._deadline > STALL_THRESHOLD_S:
             self._notice_stall(now)
         self._now = now
         if isinstance(event, TimerFired):
