--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -117,10 +117,10 @@
     def _confirm(self, now: float, store_answered_at: float) -> None:
         """Send peers what is known here, if the store answers and all of it was read."""
         self._confirm_at = NEVER
-        is_sound = not self._election.is_failing and all(
-            watcher.is_sound for watcher in self._watchers.values()
+        is_up_to_date = not self._election.is_failing and all(
+            watcher.is_up_to_date for watcher in self._watchers.values()
         )
-        if not self._election.is_reader or not is_sound:
+        if not self._election.is_reader or not is_up_to_date:
             return
         age_s = max(0.0, now - store_answered_at)
         for subject in Subject:
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -97,7 +97,7 @@
         return self._backoff.failures
 
     @property
-    def is_sound(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Whether a watch follows upon a read, and the last call was answered."""
         return self.is_watcher and self._is_valid and not self.failures
 
