--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -23,7 +23,7 @@
     BackendsRead,
     DepartedBackend,
     PeerMessageReceived,
-    PeersJoined,
+    PeersReachable,
     RoutesChanged,
     RoutesRead,
     RoutesReceived,
@@ -168,7 +168,7 @@
         node = ForwardingNode(zone, chance, options)
         self.nodes[ip] = node
         self.carry_out(ip, node, node.start(self.now))
-        self.carry_out(ip, node, node.handle(PeersJoined(), self.now))
+        self.carry_out(ip, node, node.handle(PeersReachable(), self.now))
 
     def kill(self, ip):
         """End a process without a word."""
--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -9,7 +9,7 @@
 from sloepond.core.forwarding.events import (
     BackendsRead,
     PeerMessageReceived,
-    PeersJoined,
+    PeersReachable,
     RoutesRead,
     Subject,
     TimerFired,
@@ -102,7 +102,7 @@
         self.now = 100.0
         self.commands = []
         self.take(self.node.start(self.now))
-        self.handle(PeersJoined())
+        self.handle(PeersReachable())
 
     def take(self, commands):
         """Keep commands."""
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -171,7 +171,7 @@
     """A planned stop begins."""
 
 
-class PeersJoined(msgspec.Struct, frozen=True):
+class PeersReachable(msgspec.Struct, frozen=True):
     """Peers can be reached from now on."""
 
 
@@ -248,5 +248,5 @@
 StoreEvent = StoreAnswer | StoreCallFailed | StoreProbed | StorePageReceived
 PeerEvent = PeerMessageReceived | SnapshotReceived | FetchFailed | RoutesReceived
 PacketEvent = OpeningQueued | UnknownTokenReceived | BackendSuspected | BackendChecked
-ProcessEvent = PeersJoined | SettingsChanged | StopRequested
+ProcessEvent = PeersReachable | SettingsChanged | StopRequested
 Event = StoreEvent | PeerEvent | PacketEvent | ProcessEvent | TimerFired
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -74,7 +74,7 @@
             self._watchers[Subject.BACKENDS].hold_until(now + BACKENDS_WAIT_S)
             self._watchers[Subject.ROUTES].hold_until(now + ROUTES_WAIT_S)
 
-    def join(self, now: float) -> None:
+    def peers_reachable(self, now: float) -> None:
         """Note that peers can be reached from now on."""
         self._ask_at = max(now + JOIN_S, self._started_at + ASK_PEERS_AFTER_S)
         self._ask_anywhere_at = self._started_at + ASK_ANYWHERE_AFTER_S
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -21,7 +21,7 @@
     PacketEvent,
     PeerEvent,
     PeerMessageReceived,
-    PeersJoined,
+    PeersReachable,
     ProcessEvent,
     RoutesReceived,
     SettingsChanged,
@@ -233,7 +233,7 @@
 
     def _take_from_process(self, event: ProcessEvent) -> None:
         """Take a change of the process: its channel to peers, its settings, its end."""
-        if isinstance(event, PeersJoined):
+        if isinstance(event, PeersReachable):
             self._exchange.start(self._now)
             self._dissemination.start(self._now)
         elif isinstance(event, SettingsChanged):
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -71,7 +71,7 @@
     def start(self, now: float) -> None:
         """Start heartbeats."""
         self._heartbeats.start(now)
-        self.bootstrap.join(now)
+        self.bootstrap.peers_reachable(now)
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -28,7 +28,7 @@
     BackendChecked,
     CheckResult,
     Event,
-    PeersJoined,
+    PeersReachable,
     StopRequested,
     StorePageReceived,
     TimerFired,
@@ -105,7 +105,7 @@
     def _start_node(self) -> None:
         self._carry_out(self._node.start(self._loop.clock()))
         self._loop.follow_deadline(self._node.next_deadline, self._fire_timer)
-        self.dispatch(PeersJoined())
+        self.dispatch(PeersReachable())
 
     def dispatch(self, event: Event) -> None:
         """Give the node an event and carry out what it returns."""
