--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -36,7 +36,7 @@
         """Return seconds since what is known of a subject was last confirmed."""
         return now - max(self._confirmed_at[subject], self._watchers[subject].confirmed_at)
 
-    def oldest(self, now: float) -> float:
+    def maximum(self, now: float) -> float:
         """Return seconds since the subject that was confirmed longest ago was, at most `NEVER`."""
         return min(NEVER, max(self.of(subject, now) for subject in Subject))
 
@@ -49,7 +49,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether all subjects were confirmed lately."""
-        return self.oldest(now) < STALE_AFTER_S
+        return self.maximum(now) < STALE_AFTER_S
 
     def review(self, now: float) -> bool:
         """Compare the staleness with `STALE_AFTER_S`; return whether it has exceeded it since the last review."""
