--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -207,7 +207,7 @@
         target = self.nodes.get(peer)
         if target is None or self.group.get(ip) != self.group.get(peer):
             return
-        snapshot = target.peer_snapshot(self.now)
+        snapshot = target.snapshot_for_peer(self.now)
         if snapshot is not None:
             self.later(ANSWER_S, ip, node, SnapshotReceived(peer, snapshot))
 
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -119,7 +119,7 @@
     assert not harness.node.is_ready
     decision = harness.node.decide(segment(STREAM, opening=True), harness.now)
     assert decision.refusal is Refusal.NOT_CONFIGURED and not decision.reset
-    assert fresh_node().peer_snapshot(0.0) is None
+    assert fresh_node().snapshot_for_peer(0.0) is None
 
 
 @when("forwarding has read the list of back ends only")
--- a/features/steps/interfaces_values.py
+++ b/features/steps/interfaces_values.py
@@ -173,7 +173,7 @@
     def __init__(self):
         self.counters = ForwardingCounters()
 
-    def peer_snapshot(self, now):
+    def snapshot_for_peer(self, now):
         """Return the snapshot."""
         return SNAPSHOT
 
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -136,11 +136,11 @@
         """Return seconds since the store or a reader of it confirmed the back ends."""
         return self._dissemination.staleness.of(Subject.BACKENDS, now)
 
-    def snapshot(self, now: float) -> str:
+    def describe_state(self, now: float) -> str:
         """Return versions and ages of routes and back ends, for a log line."""
         return self._dissemination.describe(now)
 
-    def peer_snapshot(self, now: float) -> Snapshot | None:
+    def snapshot_for_peer(self, now: float) -> Snapshot | None:
         """Return routes and back ends for a peer that has just started, None before they are known."""
         return self._exchange.snapshot(now) if self.is_configured else None
 
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -96,7 +96,7 @@
             detail = (
                 f"backend={backend.name} service={backend.service} copy={segment.acknowledgement} "
                 f"backend_flows={backend.flows} in_flight={backend.in_flight} latency_s={latency} "
-                f"{node.snapshot(now)}"
+                f"{node.describe_state(now)}"
             )
             self._put(LogKind.FLOW_PLACED, flow_name(segment), detail)
 
@@ -112,13 +112,13 @@
     def packet_waits(self, segment: Segment, node: ForwardingNode) -> None:
         """Write a line about a new flow that waits for room at the back ends."""
         if self._may_write():
-            detail = f"copy={segment.acknowledgement} {node.snapshot(monotonic_seconds())}"
+            detail = f"copy={segment.acknowledgement} {node.describe_state(monotonic_seconds())}"
             self._put(LogKind.FLOW_WAITS, flow_name(segment), detail)
 
     def packet_refused(self, segment: Segment, refusal: Refusal, node: ForwardingNode) -> None:
         """Write a line about a packet that is not forwarded, and why."""
         if self._may_write():
-            detail = f"reason={refusal.value} token={segment.token:08x} {node.snapshot(monotonic_seconds())}"
+            detail = f"reason={refusal.value} token={segment.token:08x} {node.describe_state(monotonic_seconds())}"
             self._put(LogKind.PACKET_REFUSED, flow_name(segment), detail)
 
     def _write(self, kind: LogKind, subject: str, detail: str) -> None:
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -193,5 +193,5 @@
         if isinstance(request, RoutesRequest):
             deltas = self._node.routes_since(request.version)
             return self._encoder.encode(deltas) if deltas else b""
-        snapshot = self._node.peer_snapshot(self._loop.clock())
+        snapshot = self._node.snapshot_for_peer(self._loop.clock())
         return self._encoder.encode(snapshot) if snapshot is not None else b""
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -120,7 +120,7 @@
             self._loop.watch(self._sockets.edge, self._forward)
         if self._node.is_ready and not self._was_ready:
             self._was_ready = True
-            self._logs.write(WriteLog(LogKind.READY, "process", self._node.snapshot(now)))
+            self._logs.write(WriteLog(LogKind.READY, "process", self._node.describe_state(now)))
 
     def _carry_out(self, commands: list[Command]) -> None:
         for command in commands:
