--- a/sloepond/core/forwarding/lifecycle/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -46,16 +46,16 @@
     """The balancers of a hall as far as one of them knows, that one included.
 
     :ivar ready: those that routers should use.
-    :ivar others: those that stop, have stopped lately, are silent, or know no routes yet.
+    :ivar not_ready: those that stop, have stopped lately, are silent, or know no routes yet.
     """
 
     ready: int
-    others: int
+    not_ready: int
 
     @property
     def all_are_used(self) -> bool:
         """Whether so few are ready that routers use all of them."""
-        return self.ready < READY_SHARE * (self.ready + self.others)
+        return self.ready < READY_SHARE * (self.ready + self.not_ready)
 
 
 class PlannedStop:
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -66,7 +66,7 @@
         self._stop.request(now)
         self._exchange.leave(now)
         hall = self.hall_balancers(is_configured, now)
-        detail = f"forwards_on_s={MINIMUM_FORWARD_S} zone_ready={hall.ready} zone_others={hall.others}"
+        detail = f"forwards_on_s={MINIMUM_FORWARD_S} zone_ready={hall.ready} zone_others={hall.not_ready}"
         self._outbox.log(LogKind.STOPPING, "process", detail)
 
     def on_timer(self, is_configured: bool, now: float) -> None:
@@ -77,7 +77,7 @@
             return
         detail = (
             f"reason={reason.value} after_s={self._stop.elapsed_s(now):.2f} "
-            f"packets={self._stop.packets} zone_ready={hall.ready} zone_others={hall.others}"
+            f"packets={self._stop.packets} zone_ready={hall.ready} zone_others={hall.not_ready}"
         )
         self._outbox.log(LogKind.STOP_COMPLETED, "process", detail)
         self._outbox.add(CompleteStop())
--- a/sloepond/runtime/forwarding/metrics.py
+++ b/sloepond/runtime/forwarding/metrics.py
@@ -40,7 +40,7 @@
         f"{PREFIX}ready {int(node.is_ready)}",
         f"{PREFIX}stopping {int(node.is_stopping)}",
         f"{PREFIX}zone_balancers_ready {hall.ready}",
-        f"{PREFIX}zone_balancers_not_ready {hall.others}",
+        f"{PREFIX}zone_balancers_not_ready {hall.not_ready}",
         f"{PREFIX}route_version {node.routes.version}",
         f"{PREFIX}flows_observed {node.flows_observed}",
         f"{PREFIX}backends {len(node.backends)}",
