--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -21,7 +21,8 @@
     :ivar packets_while_stopping: packets that came after the request to stop.
     :ivar sends_failed: datagrams of any kind that the system refused to send.
     :ivar flows_placed: new flows given a back end.
-    :ivar flows_placed_unconfirmed: those of them placed while routes or back ends were stale (`STALE_AFTER_S`).
+    :ivar flows_placed_unconfirmed: those of them placed while routes or back ends were stale
+        (`STALE_AFTER_S`).
     :ivar second_choices: opening packets that came again and were given another back end.
     :ivar flows_held: opening packets that waited for room.
     :ivar flows_diverted: flows given another service of their route, for lack of room.
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -43,7 +43,9 @@
         """Return the answer to the routers' readiness check."""
         if not self.is_requested:
             return is_configured
-        return is_configured and self._stop.keeps_reporting_ready(self.hall_balancers(is_configured, now), now)
+        return is_configured and self._stop.keeps_reporting_ready(
+            self.hall_balancers(is_configured, now), now
+        )
 
     def drain_commands(self) -> list[Command]:
         """Return the commands issued since the last call, and forget them."""
--- a/sloepond/core/forwarding/peers/known_readers.py
+++ b/sloepond/core/forwarding/peers/known_readers.py
@@ -19,7 +19,8 @@
 took 3.0 to 3.5 s in 8 of 200."""
 RECENT_READER_S = 1.2
 """Seconds of silence after which a reader keeps no stale balancer from becoming a candidate.  Not measured:
-readers confirm each 0.9 s, and all must have been silent for `STALE_AFTER_S` where none of them is the cause."""
+readers confirm each 0.9 s, and all must have been silent for `STALE_AFTER_S` where none of them is the
+cause."""
 CANDIDACY_LASTS_S = 0.7
 """Seconds for which a candidacy counts that no confirmation follows.  Not measured: a candidate decides after
 0.08 s and confirms upon its first read, which a small machine needs 0.2 s for."""
--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -52,7 +52,7 @@
         return self.maximum(now) < STALE_AFTER_S
 
     def review(self, now: float) -> bool:
-        """Compare the staleness with `STALE_AFTER_S`; return whether it has exceeded it since the last review."""
+        """Compare the staleness with `STALE_AFTER_S`; tell whether it has exceeded it since."""
         was_stale = self.is_stale
         self.is_stale = not self.is_fresh(now)
         return self.is_stale and not was_stale
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -118,7 +118,9 @@
     def packet_refused(self, segment: Segment, refusal: Refusal, node: ForwardingNode) -> None:
         """Write a line about a packet that is not forwarded, and why."""
         if self._may_write():
-            detail = f"reason={refusal.value} token={segment.token:08x} {node.describe_state(monotonic_seconds())}"
+            detail = (
+                f"reason={refusal.value} token={segment.token:08x} {node.describe_state(monotonic_seconds())}"
+            )
             self._put(LogKind.PACKET_REFUSED, flow_name(segment), detail)
 
     def _write(self, kind: LogKind, subject: str, detail: str) -> None:
