--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -122,8 +122,8 @@
         if backend is None:
             return
         self._detect(backend, ip, now)
-        if backend.passed_over_until > now:
-            ejection = BackendFailing(backend.name, backend.passed_over_until - now)
+        if backend.ejected_until > now:
+            ejection = BackendFailing(backend.name, backend.ejected_until - now)
             self._commands.append(SendToPeer(ip, ejection))
 
     def _ejection_received(self, ip: str, message: BackendFailing, now: float) -> None:
@@ -132,7 +132,7 @@
         if backend is None:
             return
         lasts_s = min(message.lasts_s, LASTS_S[-1])
-        if now + lasts_s <= backend.passed_over_until + KNOWN_AGAIN_S:
+        if now + lasts_s <= backend.ejected_until + KNOWN_AGAIN_S:
             return
         self._detector.ejected_by_other(backend.name, lasts_s, now)
         self._eject(backend, lasts_s, f"told={ip}", now)
@@ -144,7 +144,7 @@
 
     def _is_ejected(self, backend: ForwardingBackend, now: float) -> bool:
         """Tell whether a back end is given no new flow; one on trial may be chosen in a few of the draws."""
-        if now < backend.passed_over_until:
+        if now < backend.ejected_until:
             return True
         return now < backend.tried_until and self._random.random() >= TRIAL_SHARE
 
@@ -173,7 +173,7 @@
 
     def _eject(self, backend: ForwardingBackend, lasts_s: float, reason: str, now: float) -> None:
         """Eject a back end, then try it for as long again, and tell peers."""
-        backend.passed_over_until = now + lasts_s
+        backend.ejected_until = now + lasts_s
         backend.tried_until = now + 2.0 * lasts_s
         self._ejections_until = max(self._ejections_until, backend.tried_until)
         peers = self._peers.choose_near(now)
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -59,7 +59,7 @@
     :ivar checked_at: when it was last checked.
     :ivar suspected_until: time until which it is checked because a peer could not reach it.
     :ivar unreachable_until: time until which its flows are reset.
-    :ivar passed_over_until: time until which it is given no new flow, for requests left unanswered.
+    :ivar ejected_until: time until which it is given no new flow, for requests left unanswered.
     :ivar tried_until: time until which it is given few of them.
     """
 
@@ -68,7 +68,7 @@
         "warm_at", "departed_at", "said_leaving", "revision", "flows", "in_flight",
         "silent_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
         "suspected_until", "unreachable_until", "latency",
-        "passed_over_until", "tried_until",
+        "ejected_until", "tried_until",
     )  # fmt: skip
 
     def __init__(self, record: BackendRecord, now: float) -> None:
@@ -85,7 +85,7 @@
         self.checked_at = -NEVER
         self.suspected_until = 0.0
         self.unreachable_until = 0.0
-        self.passed_over_until = 0.0
+        self.ejected_until = 0.0
         self.tried_until = 0.0
         self.flows = 0
         self.in_flight = 0
