--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -244,7 +244,7 @@
 @when("that back end is found unreachable, slow and failing, and starts again under its id")
 def seen_then_starts(context):
     backend, now = context.opened, context.harness.now
-    backend.unreachable_until = backend.ejected_until = backend.tried_until = now + 100.0
+    backend.unreachable_until = backend.ejected_until = backend.probation_until = now + 100.0
     backend.silent_until = now + 100.0
     backend.in_flight = 7
     for _ in range(5):
@@ -257,7 +257,7 @@
     now = context.harness.now
     backend = context.harness.node.backends.by_token(only().number)
     assert backend is not context.opened and backend.name == only(born=SECOND_BORN).name
-    verdicts = (backend.unreachable_until, backend.ejected_until, backend.tried_until)
+    verdicts = (backend.unreachable_until, backend.ejected_until, backend.probation_until)
     assert max(verdicts) <= now and backend.silent_until <= now
     assert backend.in_flight == backend.flows == 0 and backend.latency.mean(now) is None
     assert abs(backend.warm_at - now - 4.0) < 0.2
--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -98,7 +98,7 @@
 
     def passed_over(self):
         """Return the names of back ends that any balancer passes over now."""
-        return {b.name for node in self.nodes.values() for b in node.backends if b.tried_until > self.now}
+        return {b.name for node in self.nodes.values() for b in node.backends if b.probation_until > self.now}
 
 
 @given("a fleet of {count:d} balancers that forwards 300 flows a second to 9 back ends")
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -84,7 +84,7 @@
 
     def ejected(self, now: float) -> int:
         """Return how many back ends are given no or few new flows."""
-        return sum(backend.tried_until > now for backend in self._backends)
+        return sum(backend.probation_until > now for backend in self._backends)
 
     def usable(self, backends: Sequence[ForwardingBackend], now: float) -> Sequence[ForwardingBackend]:
         """Return the back ends that are not ejected now; all where too many would be."""
@@ -146,7 +146,7 @@
         """Tell whether a back end is given no new flow; one on trial may be chosen in a few of the draws."""
         if now < backend.ejected_until:
             return True
-        return now < backend.tried_until and self._random.random() >= TRIAL_SHARE
+        return now < backend.probation_until and self._random.random() >= TRIAL_SHARE
 
     def _suspects_itself(self, now: float) -> bool:
         """Tell whether so many back ends seem to fail that it is rather this balancer's link."""
@@ -174,8 +174,8 @@
     def _eject(self, backend: ForwardingBackend, lasts_s: float, reason: str, now: float) -> None:
         """Eject a back end, then try it for as long again, and tell peers."""
         backend.ejected_until = now + lasts_s
-        backend.tried_until = now + 2.0 * lasts_s
-        self._ejections_until = max(self._ejections_until, backend.tried_until)
+        backend.probation_until = now + 2.0 * lasts_s
+        self._ejections_until = max(self._ejections_until, backend.probation_until)
         peers = self._peers.choose_near(now)
         self._counters.peer_messages_sent += len(peers)
         ejection = BackendFailing(backend.name, lasts_s)
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -60,7 +60,7 @@
     :ivar suspected_until: time until which it is checked because a peer could not reach it.
     :ivar unreachable_until: time until which its flows are reset.
     :ivar ejected_until: time until which it is given no new flow, for requests left unanswered.
-    :ivar tried_until: time until which it is given few of them.
+    :ivar probation_until: time until which it is given few of them.
     """
 
     __slots__ = (
@@ -68,7 +68,7 @@
         "warm_at", "departed_at", "said_leaving", "revision", "flows", "in_flight",
         "silent_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
         "suspected_until", "unreachable_until", "latency",
-        "ejected_until", "tried_until",
+        "ejected_until", "probation_until",
     )  # fmt: skip
 
     def __init__(self, record: BackendRecord, now: float) -> None:
@@ -86,7 +86,7 @@
         self.suspected_until = 0.0
         self.unreachable_until = 0.0
         self.ejected_until = 0.0
-        self.tried_until = 0.0
+        self.probation_until = 0.0
         self.flows = 0
         self.in_flight = 0
         self.latency = LatencyEstimate()
