--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -245,7 +245,7 @@
 def seen_then_starts(context):
     backend, now = context.opened, context.harness.now
     backend.unreachable_until = backend.ejected_until = backend.probation_until = now + 100.0
-    backend.silent_until = now + 100.0
+    backend.avoided_until = now + 100.0
     backend.in_flight = 7
     for _ in range(5):
         backend.latency.observe(3.0, now)
@@ -258,7 +258,7 @@
     backend = context.harness.node.backends.by_token(only().number)
     assert backend is not context.opened and backend.name == only(born=SECOND_BORN).name
     verdicts = (backend.unreachable_until, backend.ejected_until, backend.probation_until)
-    assert max(verdicts) <= now and backend.silent_until <= now
+    assert max(verdicts) <= now and backend.avoided_until <= now
     assert backend.in_flight == backend.flows == 0 and backend.latency.mean(now) is None
     assert abs(backend.warm_at - now - 4.0) < 0.2
 
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -58,7 +58,7 @@
         if not self._checks.take(now, 1.0):
             return False
         backend.checked_at = now
-        backend.silent_until = max(backend.silent_until, now + AVOIDED_S)
+        backend.avoided_until = max(backend.avoided_until, now + AVOIDED_S)
         return True
 
     def control(self, suspect: ForwardingBackend, now: float) -> Endpoint | None:
@@ -71,7 +71,7 @@
             for backend in self._backends
             if backend.state is BackendState.READY
             and backend.endpoint != suspect.endpoint
-            and backend.silent_until <= now
+            and backend.avoided_until <= now
             and not backend.is_unreachable(now)
         ]
         drawn = self._random.sample(usable, min(CONTROL_DRAWS, len(usable)))
@@ -88,7 +88,7 @@
         """
         control = self._controls.pop(backend.name, None)
         if control is not None:
-            control.silent_until = max(control.silent_until, now + AVOIDED_S)
+            control.avoided_until = max(control.avoided_until, now + AVOIDED_S)
         undecided = self._undecided.pop(backend.name, 0) + 1
         if control is None or undecided > UNDECIDED_REPEATS:
             return False
@@ -102,16 +102,16 @@
         self._controls.pop(backend.name, None)
         backend.suspected_until = 0.0
         if result is CheckResult.REACHABLE:
-            backend.silent_until = 0.0
+            backend.avoided_until = 0.0
             return
         lasts_s = DEPARTED_MEMORY_S if backend.state is BackendState.DEPARTED else UNREACHABLE_S
         backend.unreachable_until = now + lasts_s
-        backend.silent_until = max(backend.silent_until, now + UNREACHABLE_S)
+        backend.avoided_until = max(backend.avoided_until, now + UNREACHABLE_S)
 
     def suspected_by_peer(self, backend: ForwardingBackend, now: float) -> bool:
         """Take a peer's word that it couldn't reach a back end; return whether that is new here."""
         is_new = backend.suspected_until <= now and not backend.is_unreachable(now)
         if is_new:
             backend.suspected_until = now + SUSPECTED_S
-            backend.silent_until = max(backend.silent_until, now + SUSPECTED_S)
+            backend.avoided_until = max(backend.avoided_until, now + SUSPECTED_S)
         return is_new
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -123,7 +123,7 @@
         self, unanswered: ForwardingBackend, route: Route, now: float
     ) -> ForwardingBackend | None:
         """Return another back end than the one that left the first opening packet unanswered."""
-        unanswered.silent_until = now + SILENCE_S
+        unanswered.avoided_until = now + SILENCE_S
         self._counters.second_choices += 1
         return self._chosen(unanswered.service, route, now, unanswered.name)
 
--- a/sloepond/core/forwarding/placement/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -57,7 +57,7 @@
         if len(eligible) > SAMPLE:
             sample = self._random.sample(eligible, SAMPLE)
         others = [backend for backend in sample if backend.name != avoided] or sample
-        answering = [backend for backend in others if backend.silent_until <= now] or others
+        answering = [backend for backend in others if backend.avoided_until <= now] or others
         if not answering:
             return None
         loads = self._loads(answering, now)
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -55,7 +55,7 @@
     :ivar latency: how long it takes to answer.
     :ivar decision: the decision to forward to it.
     :ivar suspicious_decision: the same, and to check whether it is gone.
-    :ivar silent_until: time until which it is passed over for its silence.
+    :ivar avoided_until: time until which it is passed over for its silence.
     :ivar checked_at: when it was last checked.
     :ivar suspected_until: time until which it is checked because a peer could not reach it.
     :ivar unreachable_until: time until which its flows are reset.
@@ -66,7 +66,7 @@
     __slots__ = (
         "name", "number", "service", "endpoint", "hall", "slots", "state", "token", "prefix",
         "warm_at", "departed_at", "said_leaving", "revision", "flows", "in_flight",
-        "silent_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
+        "avoided_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
         "suspected_until", "unreachable_until", "latency",
         "ejected_until", "probation_until",
     )  # fmt: skip
@@ -90,7 +90,7 @@
         self.flows = 0
         self.in_flight = 0
         self.latency = LatencyEstimate()
-        self.silent_until = 0.0
+        self.avoided_until = 0.0
         self.warm_at = 0.0
         self.departed_at = now
         self.said_leaving = False
