--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -271,8 +271,8 @@
 @when("peers say late that the former start leaves, fails and has departed")
 def late_news(context):
     former = (
-        KnownBackend(only(20, state=BackendState.LEAVING), 0.0, said_leaving=True),
-        KnownBackend(only(25, state=BackendState.DEPARTED), 0.5, said_leaving=True),
+        KnownBackend(only(20, state=BackendState.LEAVING), 0.0, announced_leaving=True),
+        KnownBackend(only(25, state=BackendState.DEPARTED), 0.5, announced_leaving=True),
     )
     for known in former:
         changes = Changes(7, None, 10, 25, 25, (known,))
--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -89,7 +89,7 @@
 @when("a peer tells forwarding of the only back end of a service, which said that it leaves and is gone")
 def told_of_left(context):
     context.told = record(LEAVING + 100, "alone", revision=130, state=BackendState.DEPARTED)
-    told = (KnownBackend(context.told, 0.5, said_leaving=True),)
+    told = (KnownBackend(context.told, 0.5, announced_leaving=True),)
     context.harness.handle(PeerMessageReceived(PEER, ChangesReply(Changes(7, None, 125, 130, 130, told))))
 
 
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -43,24 +43,24 @@
     """Answers `TokenRequest`: the back end that has the token.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
-    :ivar said_leaving: whether it had said that it leaves.
+    :ivar announced_leaving: whether it had said that it leaves.
     """
 
     record: BackendRecord
     departed_s: float
-    said_leaving: bool = False
+    announced_leaving: bool = False
 
 
 class KnownBackend(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A back end as a balancer knows it.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
-    :ivar said_leaving: whether it had said that it leaves.
+    :ivar announced_leaving: whether it had said that it leaves.
     """
 
     record: BackendRecord
     departed_s: float
-    said_leaving: bool = False
+    announced_leaving: bool = False
 
 
 class Changes(msgspec.Struct, frozen=True, array_like=True):
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -48,12 +48,12 @@
         backend = self._local.backends.by_token(token)
         if backend is not None:
             known = backend.as_known(now)
-            self._outbox.send([ip], TokenReply(known.record, known.departed_s, known.said_leaving))
+            self._outbox.send([ip], TokenReply(known.record, known.departed_s, known.announced_leaving))
 
     def found(self, message: TokenReply, now: float) -> None:
         """Take a reply, and forward the packets that waited for it."""
         backends = self._local.backends
-        known = KnownBackend(message.record, message.departed_s, message.said_leaving)
+        known = KnownBackend(message.record, message.departed_s, message.announced_leaving)
         if backends.put_known(known, self._local.watchers[Subject.BACKENDS].revision, now):
             self._local.counters.tokens_found_by_peers += 1
         backend = backends.by_name(message.record.name)
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -49,7 +49,7 @@
         start at the same address does not take it.
     :ivar warm_at: time at which it is as fast as the others after its start.
     :ivar departed_at: time at which it was found missing in the list.
-    :ivar said_leaving: whether it has said that it leaves.
+    :ivar announced_leaving: whether it has said that it leaves.
     :ivar flows: flows opened through this balancer and not closed.
     :ivar in_flight: requests seen through this balancer without an answer.
     :ivar latency: how long it takes to answer.
@@ -65,7 +65,7 @@
 
     __slots__ = (
         "name", "number", "service", "endpoint", "hall", "slots", "state", "token", "prefix",
-        "warm_at", "departed_at", "said_leaving", "revision", "flows", "in_flight",
+        "warm_at", "departed_at", "announced_leaving", "revision", "flows", "in_flight",
         "avoided_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
         "suspected_until", "unreachable_until", "latency",
         "ejected_until", "probation_until",
@@ -93,7 +93,7 @@
         self.avoided_until = 0.0
         self.warm_at = 0.0
         self.departed_at = now
-        self.said_leaving = False
+        self.announced_leaving = False
         self.update(record, now)
 
     def update(self, record: BackendRecord, now: float) -> None:
@@ -101,7 +101,7 @@
         self.slots = max(1, record.slots)
         self.state = record.state
         if record.state is BackendState.LEAVING:
-            self.said_leaving = True
+            self.announced_leaving = True
         self.warm_at = max(self.warm_at, now + record.cold_s)
         self.revision = record.revision
         self.suspected_until = 0.0
@@ -120,7 +120,7 @@
         """
         if record.revision <= self.revision:
             return False
-        return not (self.said_leaving and record.state is BackendState.READY)
+        return not (self.announced_leaving and record.state is BackendState.READY)
 
     def is_unreachable(self, now: float) -> bool:
         """Tell whether its flows are reset."""
@@ -129,7 +129,7 @@
     @property
     def has_vanished(self) -> bool:
         """Whether it has left the list without having said so."""
-        return self.state is BackendState.DEPARTED and not self.said_leaving
+        return self.state is BackendState.DEPARTED and not self.announced_leaving
 
     def departed_s(self, now: float) -> float:
         """Return seconds since it left the list, 0 if it is listed."""
@@ -137,7 +137,7 @@
 
     def as_known(self, now: float) -> KnownBackend:
         """Return this back end as peers are sent it."""
-        return KnownBackend(self.record(now), self.departed_s(now), self.said_leaving)
+        return KnownBackend(self.record(now), self.departed_s(now), self.announced_leaving)
 
     def record(self, now: float) -> BackendRecord:
         """Return this back end as it would be listed, with the state it has here."""
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -171,7 +171,7 @@
         else:
             changed = self.put(record, now)
         backend = self._by_name[record.name]
-        backend.said_leaving = backend.said_leaving or known.said_leaving
+        backend.announced_leaving = backend.announced_leaving or known.announced_leaving
         return changed
 
     def _has_left(self, record: BackendRecord, complete_to: int) -> bool:
@@ -198,7 +198,7 @@
             departed_s = UNNOTICED_DEPARTURE_S
         backend = ForwardingBackend(record, now)
         backend.departed_at = now - departed_s
-        backend.said_leaving = backend.said_leaving or known.said_leaving
+        backend.announced_leaving = backend.announced_leaving or known.announced_leaving
         self._add(backend)
         if is_listed:
             self._checksum.entered(record.name, record.number, record.revision)
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -248,7 +248,7 @@
             return
         known.hall = record.hall
         if record.state is BackendState.READY:
-            known.said_leaving = False
+            known.announced_leaving = False
 
     def _carry_out(self, commands: list[ForwardingCommand], now: float) -> list[Command]:
         """Decide again on packets that waited; other commands ask the platform in ways this one has not."""
