--- a/sloepond/core/forwarding/placement/forwarder.py
+++ b/sloepond/core/forwarding/placement/forwarder.py
@@ -48,6 +48,6 @@
         if backend.is_unreachable(now):
             return _UNREACHABLE
         is_repeated = self.observer.packet(segment, backend, now)
-        if is_repeated or backend.suspected_until > now or backend.has_vanished:
+        if is_repeated or backend.suspected_until > now or backend.departed_unannounced:
             return backend.suspicious_decision
         return backend.decision
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -127,7 +127,7 @@
         return self.unreachable_until > now
 
     @property
-    def has_vanished(self) -> bool:
+    def departed_unannounced(self) -> bool:
         """Whether it has left the list without having said so."""
         return self.state is BackendState.DEPARTED and not self.announced_leaving
 
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -113,7 +113,7 @@
         return [
             backend
             for backend in self._of_service(service)
-            if backend.has_vanished and backend.departed_at >= since and self._may_take_flows(backend)
+            if backend.departed_unannounced and backend.departed_at >= since and self._may_take_flows(backend)
         ]
 
     def put(self, record: BackendRecord, now: float, complete_to: int = 0) -> bool:
