--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -257,8 +257,8 @@
         peers = PeerTable("10.1.0.1", "north", (), chance)
         counters = ForwardingCounters()
         ejection = OutlierEjection("10.1.0.1", peers, directory, WaitingRequests(), counters, chance)
-        for number, lasts_s in verdicts:
-            ejection.message_received("10.1.0.2", BackendFailing(record(number).name, lasts_s), now)
+        for number, duration_s in verdicts:
+            ejection.message_received("10.1.0.2", BackendFailing(record(number).name, duration_s), now)
         backends = list(directory)
         kept = ejection.usable(backends, now)
         assert len(backends) - len(kept) <= len(backends) / 3
@@ -280,14 +280,14 @@
         for pause_s, reporter in course:
             now += pause_s
             seen.append((now, reporter))
-            lasts_s = detector.report("i-1", reporter, now)
-            if not lasts_s:
+            duration_s = detector.report("i-1", reporter, now)
+            if not duration_s:
                 continue
-            assert lasts_s in LASTS_S and now >= ends_at
+            assert duration_s in LASTS_S and now >= ends_at
             lately = [ip for at, ip in seen if now - at < WINDOW_S]
             if not ejections:
                 assert len(lately) >= (FAILURES if len(set(lately)) > 1 else FAILURES_OF_ONE)
             ejections += 1
-            ends_at = now + lasts_s
+            ends_at = now + duration_s
 
     holds()
--- a/sloepond/core/forwarding/health/outlier_detector.py
+++ b/sloepond/core/forwarding/health/outlier_detector.py
@@ -79,10 +79,10 @@
         known.reports = []
         return _lasts_s(known.ejections)
 
-    def ejected_by_other(self, name: str, lasts_s: float, now: float) -> None:
+    def ejected_by_other(self, name: str, duration_s: float, now: float) -> None:
         """Take an ejection that the other balancer assigned to the back end has decided."""
         known = self._reported.setdefault(name, ReportedBackend())
-        known.ejections = max(known.ejections, sum(lasts_s >= each for each in LASTS_S))
+        known.ejections = max(known.ejections, sum(duration_s >= each for each in LASTS_S))
         known.ejected_at = now
         known.reports = []
 
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -131,11 +131,11 @@
         backend = self._backends.by_name(message.name)
         if backend is None:
             return
-        lasts_s = min(message.lasts_s, LASTS_S[-1])
-        if now + lasts_s <= backend.ejected_until + KNOWN_AGAIN_S:
+        duration_s = min(message.duration_s, LASTS_S[-1])
+        if now + duration_s <= backend.ejected_until + KNOWN_AGAIN_S:
             return
-        self._detector.ejected_by_other(backend.name, lasts_s, now)
-        self._eject(backend, lasts_s, f"told={ip}", now)
+        self._detector.ejected_by_other(backend.name, duration_s, now)
+        self._eject(backend, duration_s, f"told={ip}", now)
 
     def forget(self, now: float) -> None:
         """Forget what no longer counts."""
@@ -166,19 +166,19 @@
                 self._commands.append(SendToPeer(ip, RequestUnanswered(backend.name)))
 
     def _detect(self, backend: ForwardingBackend, reporter: str, now: float) -> None:
-        lasts_s = self._detector.report(backend.name, reporter, now)
-        if lasts_s:
+        duration_s = self._detector.report(backend.name, reporter, now)
+        if duration_s:
             self._counters.backends_judged_failing += 1
-            self._eject(backend, lasts_s, f"judged_here=True reporter={reporter}", now)
+            self._eject(backend, duration_s, f"judged_here=True reporter={reporter}", now)
 
-    def _eject(self, backend: ForwardingBackend, lasts_s: float, reason: str, now: float) -> None:
+    def _eject(self, backend: ForwardingBackend, duration_s: float, reason: str, now: float) -> None:
         """Eject a back end, then try it for as long again, and tell peers."""
-        backend.ejected_until = now + lasts_s
-        backend.probation_until = now + 2.0 * lasts_s
+        backend.ejected_until = now + duration_s
+        backend.probation_until = now + 2.0 * duration_s
         self._ejections_until = max(self._ejections_until, backend.probation_until)
         peers = self._peers.choose_near(now)
         self._counters.peer_messages_sent += len(peers)
-        ejection = BackendFailing(backend.name, lasts_s)
+        ejection = BackendFailing(backend.name, duration_s)
         self._commands.extend(SendToPeer(ip, ejection) for ip in peers)
-        detail = f"lasts_s={lasts_s:.1f} {reason}"
+        detail = f"lasts_s={duration_s:.1f} {reason}"
         self._commands.append(WriteLog(LogKind.BACKEND_PASSED_OVER, backend.name, detail))
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -104,8 +104,8 @@
         if result is CheckResult.REACHABLE:
             backend.avoided_until = 0.0
             return
-        lasts_s = DEPARTED_MEMORY_S if backend.state is BackendState.DEPARTED else UNREACHABLE_S
-        backend.unreachable_until = now + lasts_s
+        duration_s = DEPARTED_MEMORY_S if backend.state is BackendState.DEPARTED else UNREACHABLE_S
+        backend.unreachable_until = now + duration_s
         backend.avoided_until = max(backend.avoided_until, now + UNREACHABLE_S)
 
     def suspected_by_peer(self, backend: ForwardingBackend, now: float) -> bool:
--- a/sloepond/core/forwarding/peers/known_readers.py
+++ b/sloepond/core/forwarding/peers/known_readers.py
@@ -55,8 +55,8 @@
         known = self._readers.get(message.reader)
         if known is not None and message.number <= known.number:
             return False
-        lasts_s = CANDIDACY_LASTS_S if message.is_candidacy else READER_SILENT_S
-        self._readers[message.reader] = KnownReader(message.rank, message.number, now, now + lasts_s)
+        duration_s = CANDIDACY_LASTS_S if message.is_candidacy else READER_SILENT_S
+        self._readers[message.reader] = KnownReader(message.rank, message.number, now, now + duration_s)
         return True
 
     def rank_of(self, identity: int) -> float:
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -137,11 +137,11 @@
 class BackendFailing(msgspec.Struct, frozen=True, array_like=True, tag=10):
     """A balancer assigned to a back end says that it leaves requests unanswered.
 
-    :ivar lasts_s: for how long it is given no new flow.
+    :ivar duration_s: for how long it is given no new flow.
     """
 
     name: str
-    lasts_s: float
+    duration_s: float
 
 
 FailureMessage = RequestUnanswered | BackendFailing
--- a/sloepond/core/forwarding/placement/evacuations.py
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -42,4 +42,4 @@
         for backend in self._backends:
             cold_start = self._routes.cold_start(backend.service)
             if backend.hall in halls and cold_start is not None:
-                self._backends.mark_cold(backend, now + cold_start.lasts_s)
+                self._backends.mark_cold(backend, now + cold_start.duration_s)
--- a/sloepond/core/forwarding/state/routes.py
+++ b/sloepond/core/forwarding/state/routes.py
@@ -27,12 +27,12 @@
 class ColdStart(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """How slow the back ends of a service are after a start.
 
-    :ivar lasts_s: seconds for which they stay slow.
+    :ivar duration_s: seconds for which they stay slow.
     :ivar flows_per_s: new flows that one of them takes in a second meanwhile.
     """
 
     service: str
-    lasts_s: float
+    duration_s: float
     flows_per_s: float
 
 
