--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -97,7 +97,7 @@
 def no_new_flow(context):
     backends = context.harness.node.backends
     assert context.told.name not in [each.name for each in backends.candidates(context.told.service)]
-    assert backends.lately_departed(context.told.service, context.harness.now - 2.0) == []
+    assert backends.recently_departed(context.told.service, context.harness.now - 2.0) == []
 
 
 @given("a fresh forwarding node whose list of revision {revision:d} holds a back end that has left")
--- a/sloepond/core/forwarding/placement/eligibility.py
+++ b/sloepond/core/forwarding/placement/eligibility.py
@@ -47,7 +47,7 @@
         """Return the same; where none of the service is listed, those that vanished a moment ago."""
         backends = self._backends.candidates(service)
         if not backends:
-            backends = self._backends.lately_departed(service, now - LAST_RESORT_S)
+            backends = self._backends.recently_departed(service, now - LAST_RESORT_S)
         return self._narrowed(backends, route, now)
 
     def _narrowed(
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -108,7 +108,7 @@
             self._candidates[service] = known
         return known
 
-    def lately_departed(self, service: str, since: float) -> list[ForwardingBackend]:
+    def recently_departed(self, service: str, since: float) -> list[ForwardingBackend]:
         """Return those that left the list after `since` without having said so."""
         return [
             backend
