--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -159,7 +159,7 @@
 
     @property
     def _is_done(self) -> bool:
-        return self._routes.version > 0 and self._backends.are_known
+        return self._routes.version > 0 and self._backends.has_backends
 
     def _read_store_at(self, time: float) -> None:
         self._reads_at = time
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -82,12 +82,12 @@
     @property
     def is_configured(self) -> bool:
         """Whether routes and back ends are known."""
-        return self.routes.version > 0 and self.backends.are_known
+        return self.routes.version > 0 and self.backends.has_backends
 
     @property
     def can_forward(self) -> bool:
         """Whether packets of open flows can be forwarded; new flows wait for the routes."""
-        return self.backends.are_known
+        return self.backends.has_backends
 
     @property
     def is_stopping(self) -> bool:
--- a/sloepond/core/forwarding/placement/eligibility.py
+++ b/sloepond/core/forwarding/placement/eligibility.py
@@ -33,7 +33,7 @@
     @property
     def are_backends_known(self) -> bool:
         """Whether a whole list of back ends is known and there is something in it."""
-        return self._backends.are_known
+        return self._backends.has_backends
 
     def eligible(self, service: str, route: Route | None, now: float) -> Sequence[ForwardingBackend]:
         """Return the listed back ends of a service that may be given one more new flow.
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -63,7 +63,7 @@
         return self._checksum.value
 
     @property
-    def are_known(self) -> bool:
+    def has_backends(self) -> bool:
         """Whether a whole list is known and there is something in it."""
         return self.is_listed and len(self._by_name) > 0
 
