--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -40,7 +40,7 @@
 from sloepond.core.forwarding.placement.held_openings import LONGEST_HOLD_S
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendState
-from sloepond.core.forwarding.state.routes import Share, WeightedTurns
+from sloepond.core.forwarding.state.routes import Share, WeightedRoundRobin
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 SETTLED_S = 5.0
@@ -66,7 +66,7 @@
     )
     def check(weights, flows, seed):
         shares = tuple(Share(f"s{n}", weight) for n, weight in enumerate(weights))
-        turns = WeightedTurns(shares, random.Random(seed))
+        turns = WeightedRoundRobin(shares, random.Random(seed))
         counts = Counter(turns.next() for _ in range(flows))
         for share in shares:
             expected = flows * share.weight / sum(weights)
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -9,7 +9,7 @@
 import random
 
 from sloepond.core.forwarding.state.route_delta import RouteDelta, RouteHistory, difference
-from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, WeightedTurns
+from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, WeightedRoundRobin
 
 
 class RouteTable:
@@ -22,7 +22,7 @@
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
         self._routes: dict[int, Route] = {}
-        self._turns: dict[int, WeightedTurns] = {}
+        self._turns: dict[int, WeightedRoundRobin] = {}
         self._idle_timeout_s = RouteConfiguration(0, ()).idle_timeout_s
         self._cold_starts: tuple[ColdStart, ...] = ()
         self.version = 0
@@ -60,11 +60,11 @@
         """Return how slow the back ends of a service are after a start, None where they are not."""
         return next((cold for cold in self._cold_starts if cold.service == service), None)
 
-    def turns(self, route: Route) -> WeightedTurns:
+    def turns(self, route: Route) -> WeightedRoundRobin:
         """Return the turns of a route's services."""
         turns = self._turns.get(route.key)
         if turns is None:
-            turns = WeightedTurns(route.shares, self._random)
+            turns = WeightedRoundRobin(route.shares, self._random)
             self._turns[route.key] = turns
         return turns
 
--- a/sloepond/core/forwarding/state/routes.py
+++ b/sloepond/core/forwarding/state/routes.py
@@ -69,7 +69,7 @@
     cold_starts: tuple[ColdStart, ...] = ()
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted turns: exact over time, within two flows of each share at any moment.
 
     Each balancer begins at a place of its own, so that the first few flows of many
