--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -114,7 +114,7 @@
 
     def _chosen_in_turn(self, route: Route, now: float) -> ForwardingBackend | None:
         """Return a back end of the service whose turn it is, or of another one that has room."""
-        service = self._routes.turns(route).next()
+        service = self._routes.round_robin(route).next()
         if not self._has_room(service, route, now):
             service = self._service_with_room(route, now) or service
         return self._chosen(service, route, now, "")
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -60,13 +60,13 @@
         """Return how slow the back ends of a service are after a start, None where they are not."""
         return next((cold for cold in self._cold_starts if cold.service == service), None)
 
-    def turns(self, route: Route) -> WeightedRoundRobin:
+    def round_robin(self, route: Route) -> WeightedRoundRobin:
         """Return the turns of a route's services."""
-        turns = self._turns.get(route.key)
-        if turns is None:
-            turns = WeightedRoundRobin(route.shares, self._random)
-            self._turns[route.key] = turns
-        return turns
+        round_robin = self._turns.get(route.key)
+        if round_robin is None:
+            round_robin = WeightedRoundRobin(route.shares, self._random)
+            self._turns[route.key] = round_robin
+        return round_robin
 
     def _apply(self, delta: RouteDelta) -> None:
         for key in delta.removed:
