--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -217,8 +217,8 @@
             delta = difference(full.version, before, version)
             full.take(version)
             fresh = RouteTable(random.Random(1))
-            assert not fresh.take_delta(delta) and fresh.version == 0
-            assert told.take_delta(delta) and not told.take_delta(delta)
+            assert not fresh.apply_delta(delta) and fresh.version == 0
+            assert told.apply_delta(delta) and not told.apply_delta(delta)
             assert {each.key: each for each in told.in_force.routes} == {
                 each.key: each for each in version.routes
             }
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -99,7 +99,7 @@
 
     def take_routes(self, delta: RouteDelta | None, now: float) -> bool:
         """Take a difference of the routes if it applies; return whether it did."""
-        if delta is None or not self._routes.take_delta(delta):
+        if delta is None or not self._routes.apply_delta(delta):
             return False
         self.routes_taken(now)
         return True
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -45,7 +45,7 @@
         self._apply(difference(self.version, self._routes, configuration, self._cold_starts))
         return True
 
-    def take_delta(self, delta: RouteDelta) -> bool:
+    def apply_delta(self, delta: RouteDelta) -> bool:
         """Put a version in force by its difference to the present one; return whether it applies."""
         if delta.base != self.version or delta.version <= self.version:
             return False
