--- a/sloepond/core/forwarding/state/evacuated_halls.py
+++ b/sloepond/core/forwarding/state/evacuated_halls.py
@@ -26,7 +26,7 @@
     is_evacuated: bool
 
 
-def changed_halls(
+def apply_hall_changes(
     known: EvacuatedHalls, changes: tuple[EvacuationChange, ...], revision: int
 ) -> EvacuatedHalls:
     """Return the halls after changes, which are all there were up to a revision."""
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -20,7 +20,7 @@
 from sloepond.core.forwarding.local_state import LocalState
 from sloepond.core.forwarding.peers.dissemination import Dissemination
 from sloepond.core.forwarding.state.backend_records import BackendRecord
-from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls, changed_halls
+from sloepond.core.forwarding.state.evacuated_halls import EvacuatedHalls, apply_hall_changes
 from sloepond.core.forwarding.state.routes import RouteConfiguration
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 from sloepond.core.token_bucket import TokenBucket
@@ -71,7 +71,7 @@
         elif isinstance(event, RoutesChanged):
             for configuration in event.configurations:
                 self._take_routes(configuration)
-            self._take_evacuated(changed_halls(self._evacuations.known, event.halls, event.revision))
+            self._take_evacuated(apply_hall_changes(self._evacuations.known, event.halls, event.revision))
             watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
             revision = _certain_revision(event, watcher)
