--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -24,7 +24,7 @@
 )
 from sloepond.core.forwarding.peers.messages import BackendFailing, Changes, ChangesReply, KnownBackend
 from sloepond.core.forwarding.placement.admission import YOUNG_S
-from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, start_name
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, incarnation_name
 from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.platform.store import PlatformStoreCodec
 
@@ -78,7 +78,7 @@
 def assert_others_hold(entry):
     """Check that the good entries around one are there; return what the one is."""
     page, watch = decoded(entry)
-    names = {start_name(key.removeprefix("servers/"), GOOD["born"]) for key in NEIGHBOURS}
+    names = {incarnation_name(key.removeprefix("servers/"), GOOD["born"]) for key in NEIGHBOURS}
     assert isinstance(page, BackendsRead) and isinstance(watch, BackendsChanged), (page, watch)
     assert names <= {each.name for each in page.records}
     assert names <= {each.name for each in watch.changes}
@@ -160,7 +160,7 @@
 def only(revision=10, born=FIRST_BORN, port=8000, **options):
     """Return a record of the one back end of its service."""
     entry = record(NUMBER, "roster", revision, **options)
-    return msgspec.structs.replace(entry, name=start_name(entry.name, born), port=port)
+    return msgspec.structs.replace(entry, name=incarnation_name(entry.name, born), port=port)
 
 
 def identity():
--- a/sloepond/core/forwarding/state/backend_records.py
+++ b/sloepond/core/forwarding/state/backend_records.py
@@ -31,7 +31,7 @@
 """Between the id of a back end and its start, in the names of those that are started again under their id."""
 
 
-def start_name(identity: str, born_ms: int) -> str:
+def incarnation_name(identity: str, born_ms: int) -> str:
     """Return the name of one start of a back end.
 
     All that is counted, measured or told of a back end goes by this name, so nothing of a former start
@@ -51,7 +51,7 @@
 class BackendRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One back end as it is listed and as peers pass it on.
 
-    :ivar name: of this start of it, see `start_name`.
+    :ivar name: of this start of it, see `incarnation_name`.
     :ivar number: its identity in packets, the same for all starts under one id (64 bits).
     :ivar slots: requests that it works on at once.
     :ivar cold_s: seconds until it is as fast as the others after its start.
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -15,7 +15,7 @@
 
 from sloepond.core.forwarding.packets import PORT_BITS
 from sloepond.core.forwarding.state import entry_fields as fields
-from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, start_name
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, incarnation_name
 from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration, Share
 
 STATES = {"ready": BackendState.READY, "draining": BackendState.LEAVING}
@@ -150,7 +150,7 @@
         raise ValueError(f"{document.state} is no state of a target")
     host, port = fields.endpoint_of(document.address)
     return BackendRecord(
-        name=start_name(identity, document.born_ms),
+        name=incarnation_name(identity, document.born_ms),
         number=fields.number_of(identity),
         service=document.service,
         host=host,
