--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -59,7 +59,7 @@
     :raises ValueError: if it is empty or too long, or holds a mark with a meaning in keys or names.
     """
     if not 0 < len(text) <= LONGEST_TEXT or "/" in text or START_MARK in text:
-        raise ValueError(f"{shortened(text)} is no id")
+        raise ValueError(f"{truncated(text)} is no id")
     return text
 
 
@@ -72,11 +72,11 @@
     parts = host.split(".")
     is_host = len(parts) == IPV4_PARTS and all(_is_number(part, MOST_OCTET) for part in parts)
     if not is_host or not _is_number(port, MOST_PORT) or not int(port):
-        raise ValueError(f"{shortened(address)} is no address and port")
+        raise ValueError(f"{truncated(address)} is no address and port")
     return Endpoint(host, int(port))
 
 
-def shortened(text: str) -> str:
+def truncated(text: str) -> str:
     """Return a text as it may stand in a log line, whoever wrote it."""
     return text if len(text) <= LONGEST_TEXT else f"{text[:LONGEST_TEXT]}..."
 
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -22,7 +22,7 @@
     backends_read,
 )
 from sloepond.core.forwarding.state.backend_records import BackendRecord
-from sloepond.core.forwarding.state.entry_fields import shortened
+from sloepond.core.forwarding.state.entry_fields import truncated
 from sloepond.core.forwarding.state.evacuated_halls import EvacuationChange
 from sloepond.platform.documents import (
     MS_PER_S,
@@ -137,9 +137,9 @@
     try:
         return decode_target(item.key, item.value, item.revision)
     except _DECODE_ERRORS as error:
-        return UnreadableBackend(_name(item.key), item.revision, shortened(_reason(error)))
+        return UnreadableBackend(_name(item.key), item.revision, truncated(_reason(error)))
 
 
 def _name(key: str) -> str:
     """Return what an entry is called, whoever wrote it."""
-    return shortened(key.removeprefix(TARGETS_PREFIX))
+    return truncated(key.removeprefix(TARGETS_PREFIX))
