--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -93,6 +93,6 @@
         if event.result is CheckResult.UNREACHABLE:
             self._counters.backends_unreachable += 1
             resting = self._flow_resets.backend_gone(backend, now)
-            self._exchange.tell_unreachable(event.name, now)
+            self._exchange.spread_unreachable(event.name, now)
         detail = f"result={event.result.value} state={backend.state.name.lower()} flows_reset={resting}"
         self._commands.append(WriteLog(LogKind.BACKEND_CHECKED, event.name, detail))
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -146,7 +146,7 @@
         """Hold a packet and ask peers for its token."""
         self._tokens.unknown_token(event, now)
 
-    def tell_unreachable(self, name: str, now: float) -> None:
+    def spread_unreachable(self, name: str, now: float) -> None:
         """Spread the name of a back end that could not be reached."""
         self._unreachable.spread(name, now)
 
