--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -68,7 +68,7 @@
 
     def check_suspected_by_peers(self, now: float) -> None:
         """Check back ends with flows here that peers could not reach."""
-        for name in self._exchange.take_suspected():
+        for name in self._exchange.drain_suspected():
             self.suspected(name, now)
 
     def suspected(self, name: str, now: float) -> None:
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -150,6 +150,6 @@
         """Spread the name of a back end that could not be reached."""
         self._unreachable.spread(name, now)
 
-    def take_suspected(self) -> list[str]:
+    def drain_suspected(self) -> list[str]:
         """Return back ends with flows here that peers could not reach, and forget them."""
-        return self._unreachable.take_suspected()
+        return self._unreachable.drain_suspected()
--- a/sloepond/core/forwarding/peers/unreachable_gossip.py
+++ b/sloepond/core/forwarding/peers/unreachable_gossip.py
@@ -34,7 +34,7 @@
         if backend.flows:
             self._suspected.append(name)
 
-    def take_suspected(self) -> list[str]:
+    def drain_suspected(self) -> list[str]:
         """Return back ends with flows here that peers could not reach, and forget them."""
         suspected, self._suspected = self._suspected, []
         return suspected
