--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -22,7 +22,7 @@
 from sloepond.core.forwarding.peers.messages import TokenReply, TokenRequest
 from sloepond.core.forwarding.state.backend import TOKEN_MASK, token_of
 from sloepond.core.forwarding.state.backend_records import BackendState
-from sloepond.core.forwarding.state.backends import DEPARTED_MEMORY_S, BackendDirectory
+from sloepond.core.forwarding.state.backends import DEPARTED_RETENTION_S, BackendDirectory
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 BALANCERS = 3
@@ -160,7 +160,7 @@
     directory.put(record(second, "roster"), 1.0)
     directory.depart(record(first).name, 5, 2.0)
     assert directory.candidates("roster") == []
-    assert directory.forget_departed(2.0 + DEPARTED_MEMORY_S + 1.0) == 1
+    assert directory.forget_departed(2.0 + DEPARTED_RETENTION_S + 1.0) == 1
     assert [b.number for b in directory.candidates("roster")] == [second]
     assert directory.by_token(token_of(second)).number == second
 
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -15,7 +15,7 @@
 from sloepond.core.forwarding.events import CheckResult
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
-from sloepond.core.forwarding.state.backends import DEPARTED_MEMORY_S, BackendDirectory
+from sloepond.core.forwarding.state.backends import DEPARTED_RETENTION_S, BackendDirectory
 from sloepond.core.token_bucket import TokenBucket
 
 CHECK_INTERVAL_S = 1.0
@@ -104,7 +104,7 @@
         if result is CheckResult.REACHABLE:
             backend.avoided_until = 0.0
             return
-        duration_s = DEPARTED_MEMORY_S if backend.state is BackendState.DEPARTED else UNREACHABLE_S
+        duration_s = DEPARTED_RETENTION_S if backend.state is BackendState.DEPARTED else UNREACHABLE_S
         backend.unreachable_until = now + duration_s
         backend.avoided_until = max(backend.avoided_until, now + UNREACHABLE_S)
 
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -19,13 +19,13 @@
 from sloepond.core.forwarding.state.holders import EndpointHolders, TokenHolders
 from sloepond.core.forwarding.state.list_checksum import ListChecksum
 
-DEPARTED_MEMORY_S = 90.0
+DEPARTED_RETENTION_S = 90.0
 """Seconds for which a departed back end keeps its token: it may serve its flows after it has left the list.
 Not measured: the life of a flow and a margin."""
 UNNOTICED_DEPARTURE_S = 30.0
 """Seconds ago at which a back end counts as departed where the time is unknown.  Not measured: beyond the
 2.0 s for which a departed one may be given new flows where no other is left, and well within
-`DEPARTED_MEMORY_S`, so that its flows are still forwarded."""
+`DEPARTED_RETENTION_S`, so that its flows are still forwarded."""
 
 
 class BackendDirectory:
@@ -226,7 +226,7 @@
         backend.revision = revision
         backend.departed_at = now
         if backend.is_unreachable(now):
-            backend.unreachable_until = now + DEPARTED_MEMORY_S
+            backend.unreachable_until = now + DEPARTED_RETENTION_S
         self._endpoints.settle(backend)
         self._changed(backend.name, backend.service, revision)
         return True
@@ -249,7 +249,7 @@
         old = [
             backend
             for backend in self._by_name.values()
-            if backend.state is BackendState.DEPARTED and now - backend.departed_at > DEPARTED_MEMORY_S
+            if backend.state is BackendState.DEPARTED and now - backend.departed_at > DEPARTED_RETENTION_S
         ]
         for backend in old:
             self._forget(backend)
