--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -19,7 +19,7 @@
 from sloepond.core.forwarding.peers.known_readers import READERS, KnownReaders
 from sloepond.core.forwarding.peers.messages import Confirmation
 
-CANDIDATE_WAIT_S = 0.08
+CANDIDATE_DELAY_S = 0.08
 """Seconds for messages of better candidates to arrive before a candidate reads.  Not measured: gossip reaches
 all in about 0.05 s."""
 START_S = 0.3
@@ -31,7 +31,7 @@
 Measured in a fleet of 74: all stand at 0.3 s without it; no effect on requests served was shown."""
 URGENT_DELAY_S = 0.35
 """Longest random wait in seconds before a candidacy while nothing is confirmed.  Not measured: four times
-`CANDIDATE_WAIT_S`, so that few stand at once."""
+`CANDIDATE_DELAY_S`, so that few stand at once."""
 DELAY_S = 2.0
 """The same while there are readers, but too few.  Not measured: nothing is late then, so a longer wait
 lets fewer stand at once."""
@@ -167,10 +167,10 @@
             self._candidate_at = NEVER
             self.role = Role.CANDIDATE
             self._stood_at = now
-            self._check_at = now + CANDIDATE_WAIT_S
+            self._check_at = now + CANDIDATE_DELAY_S
 
     def _consider_reading(self, now: float) -> None:
-        if now < self._stood_at + CANDIDATE_WAIT_S:
+        if now < self._stood_at + CANDIDATE_DELAY_S:
             return
         is_needed = self._others.count_better(self.rank, now) < READERS
         self.role = Role.READER if is_needed else Role.FOLLOWER
