--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -150,7 +150,7 @@
         decision = node.decide(head, self.now)
         self.note(ip, (head, decision))
         datagram = msgspec.msgpack.encode(head)
-        if decision.hold:
+        if decision.queue:
             self.carry_out(ip, node, node.handle(OpeningQueued(head, datagram), self.now))
         elif decision.lookup and not is_held:
             self.carry_out(ip, node, node.handle(UnknownTokenReceived(head.token, datagram), self.now))
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -129,7 +129,7 @@
 @then("forwarding refuses a new flow at once for want of a back end")
 def refused_at_once(context):
     decision = context.harness.node.decide(segment(STREAM, 1, opening=True), context.harness.now)
-    assert decision.refusal is Refusal.NO_BACKEND and decision.reset and not decision.hold
+    assert decision.refusal is Refusal.NO_BACKEND and decision.reset and not decision.queue
 
 
 @then("forwarding property: no new flow goes to an evacuated zone, and every open flow stays")
@@ -153,7 +153,7 @@
                         segment(port=port, opening=True, copies=copies), harness.now
                     )
                     assert decision.backend is None or decision.backend.hall not in zones
-                    assert len(zones) < 3 or (decision.reset and not decision.hold)
+                    assert len(zones) < 3 or (decision.reset and not decision.queue)
 
     check()
 
@@ -179,7 +179,7 @@
     zones = defaultdict(set)
     for port in range(80):
         decision = harness.node.decide(segment(STREAM, port, opening=True), harness.now)
-        assert decision.hold or decision.backend is not None
+        assert decision.queue or decision.backend is not None
         if decision.backend is not None:
             zones[harness.now - begun < COLD_S].add(decision.backend.hall)
         harness.run_to(harness.now + 0.05, TimerFired())
--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -189,7 +189,7 @@
     while harness.now + 0.15 < ends_at:
         harness.run_to(harness.now + 0.15, TimerFired())
         placed = harness.node.decide(segment(STREAM, int(harness.now * 100), opening=True), harness.now)
-        assert placed.hold or placed.backend.number != 1
+        assert placed.queue or placed.backend.number != 1
     assert harness.node.counters.flows_placed > 5
     assert harness.node.decide(context.flow, harness.now).backend.number == 1
     assert harness.all(ResetFlows) == []
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -139,7 +139,7 @@
     for port in range(count):
         opening = segment(STREAM, 6000 + port, opening=True)
         decision = harness.node.decide(opening, harness.now)
-        assert decision.hold and decision.backend is None and not decision.reset
+        assert decision.queue and decision.backend is None and not decision.reset
         harness.handle(OpeningQueued(opening, bytes([port])))
 
 
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -209,7 +209,7 @@
     if decision.backend is not None:
         context.placed_at[opening.source_port] = harness.now
     else:
-        assert decision.hold and not decision.reset
+        assert decision.queue and not decision.reset
         context.held += 1
         harness.handle(OpeningQueued(opening, str(opening.source_port).encode()))
 
@@ -226,7 +226,7 @@
     backends = [backend for backend in records() if backend.service == "booking"]
     placed = Counter(place(context.harness, port=port).backend.name for port in range(len(backends)))
     assert placed == Counter({backend.name: 1 for backend in backends})
-    assert place(context.harness, port=len(backends)).hold
+    assert place(context.harness, port=len(backends)).queue
 
 
 @when("forwarding has flows of two priorities waiting and one place becomes free")
@@ -235,7 +235,7 @@
     context.opened = []
     for port in range(9):
         decision = place(harness, EXPORT, port)
-        if decision.hold:
+        if decision.queue:
             break
         context.opened.append((port, decision.backend))
     harness.handle(OpeningQueued(segment(PATIENT, 201, opening=True), b"patient"))
@@ -258,7 +258,7 @@
 def fill_one_part(context):
     harness = context.harness
     for port in range(20):
-        if place(harness, STREAM, port).hold:
+        if place(harness, STREAM, port).queue:
             return
     raise AssertionError("there was room for 20 flows")
 
@@ -357,8 +357,8 @@
         assert decision.reset is (refusal in (Refusal.NO_ROUTE, Refusal.NO_BACKEND))
         waits_for_routes = not flow.are_routes_known and flow.are_backends_known
         waits_for_room = refusal is None and flow.is_full and earlier is None
-        assert decision.hold is (waits_for_routes or waits_for_room)
-        if refusal is None and not decision.hold:
+        assert decision.queue is (waits_for_routes or waits_for_room)
+        if refusal is None and not decision.queue:
             assert decision.backend.service == "roster" and decision.backend is not earlier
             assert decision.suspect == (earlier.name if earlier is not None else "")
 
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -121,7 +121,7 @@
 def places_elsewhere(context, count):
     for port in range(3000, 3000 + count):
         decision = context.harness.node.decide(segment(STREAM, port, opening=True), context.harness.now)
-        assert decision.hold or decision.backend.number != context.number
+        assert decision.queue or decision.backend.number != context.number
 
 
 @then("forwarding tells peers of it")
--- a/features/steps/forwarding_unconfirmed_steps.py
+++ b/features/steps/forwarding_unconfirmed_steps.py
@@ -49,7 +49,7 @@
     """Open a flow as a caller would; return what becomes of it."""
     opening = segment(STREAM, port, opening=True)
     decision = harness.node.decide(opening, harness.now)
-    if decision.hold:
+    if decision.queue:
         harness.handle(OpeningQueued(opening, b"opening"))
     return decision
 
@@ -66,7 +66,7 @@
 @then("forwarding lets a new flow wait and reads the list again within {seconds:g} seconds")
 def waits_and_reads(context, seconds):
     harness = context.harness
-    assert open_flow(harness, 1).hold
+    assert open_flow(harness, 1).queue
     harness.run_to(harness.now + seconds, TimerFired())
     assert [read.may_be_stale for read in harness.reads(Subject.BACKENDS)] == [False]
     assert harness.all(ReprocessPackets) == []
@@ -111,7 +111,7 @@
 def decided_none_given(context):
     assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     decisions = [open_flow(context.harness, port) for port in range(2, 40)]
-    assert all(decision.backend is None and not decision.hold for decision in decisions)
+    assert all(decision.backend is None and not decision.queue for decision in decisions)
 
 
 @then("forwarding decides on the flow that waited, and back ends are given new ones")
@@ -127,7 +127,7 @@
 
 @then("forwarding lets a new flow wait")
 def still_waits(context):
-    assert open_flow(context.harness, 4).hold
+    assert open_flow(context.harness, 4).queue
 
 
 @given("a forwarding node that spares slow back ends and has heard a reader confirm revision {revision:d}")
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -43,7 +43,7 @@
 _NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
 _NOT_CONFIGURED = Decision(refusal=Refusal.NOT_CONFIGURED)
 _NO_BACKEND = Decision(refusal=Refusal.NO_BACKEND, reset=True)
-_WAITS = Decision(hold=True)
+_WAITS = Decision(queue=True)
 _STALE = Decision(refusal=Refusal.STALE_KNOWLEDGE)
 
 
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -29,7 +29,7 @@
     :ivar refusal: why it is not forwarded.
     :ivar reset: whether the caller is sent a reset at once.
     :ivar lookup: whether peers are asked for the token before the packet is dropped.
-    :ivar hold: whether the packet waits for room at a back end.
+    :ivar queue: whether the packet waits for room at a back end.
     :ivar suspect: name of a back end that may be gone and should be checked.
     """
 
@@ -37,7 +37,7 @@
     refusal: Refusal | None = None
     reset: bool = False
     lookup: bool = False
-    hold: bool = False
+    queue: bool = False
     suspect: str = ""
 
 
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -262,7 +262,7 @@
     def _caller_packet(self, packet: CallerPacket, now: float) -> list[Command]:
         segment = segment_of(packet)
         decision = self._forwarding.decide(segment, now)
-        if decision.hold:
+        if decision.queue:
             held = OpeningQueued(segment, msgspec.msgpack.encode(packet))
             return self._carry_out(self._forwarding.handle(held, now), now)
         backend = decision.backend
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -80,7 +80,7 @@
             return
         decision = self._node.decide(segment, now)
         backend = decision.backend
-        if decision.hold:
+        if decision.queue:
             self._logs.packet_waits(segment, self._node)
             self.report(OpeningQueued(segment, datagram))
             return
