--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -244,7 +244,7 @@
                 revision += 1
                 name = record(number).name
                 if reader.by_name(name) is not None and chance.random() < 0.3:
-                    reader.depart(name, revision, float(at))
+                    reader.mark_departed(name, revision, float(at))
                 else:
                     reader.put(record(number, revision=revision), float(at))
             parts = list(gossip.confirmed_changes(revision, float(at)))
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -158,7 +158,7 @@
     first, second = 5, (9 << 32) | (5 ^ 9)
     directory.put(record(first), 1.0)
     directory.put(record(second, "roster"), 1.0)
-    directory.depart(record(first).name, 5, 2.0)
+    directory.mark_departed(record(first).name, 5, 2.0)
     assert directory.candidates("roster") == []
     assert directory.forget_departed(2.0 + DEPARTED_RETENTION_S + 1.0) == 1
     assert [b.number for b in directory.candidates("roster")] == [second]
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -167,7 +167,7 @@
         if record.name not in self._by_name:
             return self.put_known(known, complete_to, now)
         if record.state is BackendState.DEPARTED:
-            changed = self.depart(record.name, record.revision, now - known.departed_s)
+            changed = self.mark_departed(record.name, record.revision, now - known.departed_s)
         else:
             changed = self.put(record, now)
         backend = self._by_name[record.name]
@@ -205,15 +205,15 @@
         self._changed(record.name, record.service, record.revision)
         return True
 
-    def withdraw(self, name: str, revision: int, now: float) -> bool:
+    def mark_unreadable(self, name: str, revision: int, now: float) -> bool:
         """Note that the entry of a back end, named by its id, cannot be read any more as of a revision.
 
         It is given no new flow, not even as a last resort: nothing says that it still serves.  Its open flows
         go on, as those of one that has left the list: they break only if it has really ended.
         """
-        return self.depart(name, revision, now - UNNOTICED_DEPARTURE_S)
+        return self.mark_departed(name, revision, now - UNNOTICED_DEPARTURE_S)
 
-    def depart(self, name: str, revision: int, now: float) -> bool:
+    def mark_departed(self, name: str, revision: int, now: float) -> bool:
         """Note that a back end is no longer listed as of a revision.
 
         :param name: of one start of it, or its id for the latest one.
@@ -242,7 +242,7 @@
         names = {record.name for record in records}
         changed = sum(self.put(record, now, complete_to) for record in records)
         missing = [name for name in self._by_name if name not in names]
-        return changed + sum(self.depart(name, revision, now) for name in missing)
+        return changed + sum(self.mark_departed(name, revision, now) for name in missing)
 
     def forget_departed(self, now: float) -> int:
         """Forget those whose flows must have ended; return how many."""
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -143,7 +143,7 @@
                 changed = self._backends.put(change, self._now, complete_to)
                 state = change.state.name.lower()
             else:
-                changed = self._backends.depart(change.name, change.revision, self._now)
+                changed = self._backends.mark_departed(change.name, change.revision, self._now)
                 state = "departed"
             if changed:
                 self._counters.backend_changes += 1
@@ -153,7 +153,7 @@
     def _take_unreadable(self, entry: UnreadableBackend) -> None:
         """Give a back end whose entry cannot be read no new flow."""
         self._counters.backends_unreadable += 1
-        if self._backends.withdraw(entry.name, entry.revision, self._now):
+        if self._backends.mark_unreadable(entry.name, entry.revision, self._now):
             self._counters.backend_changes += 1
             self._dissemination.change_learned(self._now)
         if self._unreadable_lines.take(self._now, 1.0):
