--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -45,7 +45,7 @@
         added = sum(local.backends.take(known, complete_to, now) for known in snapshot.backends)
         local.evacuations.take(snapshot.evacuated, now)
         if is_first:
-            local.backends.list_begins(snapshot.revision)
+            local.backends.list_received(snapshot.revision)
             local.watchers[Subject.BACKENDS].peer_sent_changes(snapshot.revision, now)
             local.watchers[Subject.ROUTES].peer_sent_changes(0, now)
             self._note_confirmation(snapshot.backends_age_s, now)
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -67,7 +67,7 @@
         """Whether a whole list is known and there is something in it."""
         return self.is_listed and len(self._by_name) > 0
 
-    def list_begins(self, revision: int) -> None:
+    def list_received(self, revision: int) -> None:
         """Note that a whole list is taken; the first is where changes are known from."""
         if not self.is_listed:
             self.is_listed = True
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -120,7 +120,7 @@
         for unreadable in event.unreadable:
             self._take_unreadable(unreadable)
         changed = self._backends.listed(event.records, revision, self._now, complete_to)
-        self._backends.list_begins(event.revision)
+        self._backends.list_received(event.revision)
         self._counters.backend_changes += changed
         if changed:
             self._dissemination.change_learned(self._now)
