--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -253,7 +253,7 @@
     def holds(count, verdicts):
         chance, now = random.Random(1), 50.0
         directory = BackendDirectory()
-        directory.listed([record(number) for number in range(1, count + 1)], 5, now)
+        directory.apply_list([record(number) for number in range(1, count + 1)], 5, now)
         peers = PeerTable("10.1.0.1", "north", (), chance)
         counters = ForwardingCounters()
         ejection = OutlierEjection("10.1.0.1", peers, directory, WaitingRequests(), counters, chance)
--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -112,7 +112,7 @@
 def reader_confirms(context, revision):
     harness = context.harness
     directory = BackendDirectory()
-    directory.listed([each for each in context.listed if each.number != LEAVING], revision, harness.now)
+    directory.apply_list([each for each in context.listed if each.number != LEAVING], revision, harness.now)
     context.begun = harness.now
     context.asked_at = None
     for number in range(1, 30):
@@ -147,7 +147,7 @@
                 directory.put(record(number, revision=revision), 1.0)
         assert (one.list_checksum == other.list_checksum) == (first == second)
         assert NO_CHECKSUM not in (one.list_checksum, other.list_checksum)
-        one.listed([record(number, revision=at) for number, at in second.items()], 100, 2.0)
+        one.apply_list([record(number, revision=at) for number, at in second.items()], 100, 2.0)
         newer = all(first.get(number, 0) <= at for number, at in second.items())
         assert (one.list_checksum == other.list_checksum) >= newer
 
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -231,7 +231,7 @@
         self._changed(backend.name, backend.service, revision)
         return True
 
-    def listed(
+    def apply_list(
         self, records: Sequence[BackendRecord], revision: int, now: float, complete_to: int = 0
     ) -> int:
         """Take the whole list as of a revision: a back end that is missing in it has departed.
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -119,7 +119,7 @@
         """
         for unreadable in event.unreadable:
             self._take_unreadable(unreadable)
-        changed = self._backends.listed(event.records, revision, self._now, complete_to)
+        changed = self._backends.apply_list(event.records, revision, self._now, complete_to)
         self._backends.list_received(event.revision)
         self._counters.backend_changes += changed
         if changed:
