--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -113,7 +113,7 @@
         one = assert_others_hold(item(key, value, 12))
         if isinstance(one, BackendRecord):
             directory = BackendDirectory()
-            directory.put(one, 1.0)
+            directory.apply_record(one, 1.0)
             msgspec.msgpack.encode(one)
             assert one.number and 0 < one.port < 65_536 and one.slots > 0 and one.cold_s >= 0.0
 
@@ -299,14 +299,14 @@
         directory = BackendDirectory()
         for each in told:
             if chance.random() < 0.5:
-                directory.put(each, 1.0)
+                directory.apply_record(each, 1.0)
             else:
-                directory.take(KnownBackend(each, 0.0), 0, 1.0)
+                directory.apply_known(KnownBackend(each, 0.0), 0, 1.0)
         assert [backend.name for backend in directory] == [latest.name]
         holder = directory.by_token(latest.number)
         assert (holder.name, holder.revision, holder.endpoint.port) == (latest.name, revision, latest.port)
         fresh = BackendDirectory()
-        fresh.put(latest, 1.0)
+        fresh.apply_record(latest, 1.0)
         assert directory.list_checksum == fresh.list_checksum
 
     check()
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -104,7 +104,7 @@
         directory = BackendDirectory()
         evacuations = Evacuations(RouteTable(random.Random(1)), directory)
         for entry in zoned_records(range(6)):
-            directory.put(entry, 1.0)
+            directory.apply_record(entry, 1.0)
         told = list(written)
         chance.shuffle(told)
         for revision in told:
--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -144,7 +144,7 @@
             order = [*listed.items()]
             chance.shuffle(order)
             for number, revision in order:
-                directory.put(record(number, revision=revision), 1.0)
+                directory.apply_record(record(number, revision=revision), 1.0)
         assert (one.list_checksum == other.list_checksum) == (first == second)
         assert NO_CHECKSUM not in (one.list_checksum, other.list_checksum)
         one.apply_list([record(number, revision=at) for number, at in second.items()], 100, 2.0)
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -182,7 +182,7 @@
     for order in itertools.permutations([(old, 0.0), (heir, 0.0), (departed, 1.0)]):
         directory = BackendDirectory()
         for entry, departed_s in order:
-            directory.take(KnownBackend(entry, departed_s), 0, 10.0)
+            directory.apply_known(KnownBackend(entry, departed_s), 0, 10.0)
         assert directory.by_name(old.name).is_unreachable(10.0)
         assert not directory.by_name(heir.name).is_unreachable(10.0)
 
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -246,7 +246,7 @@
                 if reader.by_name(name) is not None and chance.random() < 0.3:
                     reader.mark_departed(name, revision, float(at))
                 else:
-                    reader.put(record(number, revision=revision), float(at))
+                    reader.apply_record(record(number, revision=revision), float(at))
             parts = list(gossip.confirmed_changes(revision, float(at)))
             chance.shuffle(parts)
             for changes in parts:
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -142,8 +142,8 @@
     def check(number, high):
         other = (high << 32) | (number ^ high)
         directory = BackendDirectory()
-        directory.put(record(number), 1.0)
-        directory.put(record(other, "roster"), 1.0)
+        directory.apply_record(record(number), 1.0)
+        directory.apply_record(record(other, "roster"), 1.0)
         assert token_of(number) == token_of(other)
         assert [b.number for b in directory.candidates("booking")] == [number]
         assert directory.candidates("roster") == []
@@ -156,8 +156,8 @@
 def token_passed_on(context):
     directory = BackendDirectory()
     first, second = 5, (9 << 32) | (5 ^ 9)
-    directory.put(record(first), 1.0)
-    directory.put(record(second, "roster"), 1.0)
+    directory.apply_record(record(first), 1.0)
+    directory.apply_record(record(second, "roster"), 1.0)
     directory.mark_departed(record(first).name, 5, 2.0)
     assert directory.candidates("roster") == []
     assert directory.forget_departed(2.0 + DEPARTED_RETENTION_S + 1.0) == 1
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -113,7 +113,7 @@
 
         :param complete_to: revision up to which all changes are known here.
         """
-        return [known for known in changes.backends if self._backends.take(known, complete_to, now)]
+        return [known for known in changes.backends if self._backends.apply_known(known, complete_to, now)]
 
     def advanced(self, changes: Changes, revision: int) -> int:
         """Return the revision up to which all is known after changes were taken.
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -42,7 +42,7 @@
         is_first = not local.backends.is_listed
         is_newer = local.routes.take(snapshot.routes)
         complete_to = local.watchers[Subject.BACKENDS].revision_beyond(snapshot.revision)
-        added = sum(local.backends.take(known, complete_to, now) for known in snapshot.backends)
+        added = sum(local.backends.apply_known(known, complete_to, now) for known in snapshot.backends)
         local.evacuations.take(snapshot.evacuated, now)
         if is_first:
             local.backends.list_received(snapshot.revision)
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -54,7 +54,7 @@
         """Take a reply, and forward the packets that waited for it."""
         backends = self._local.backends
         known = KnownBackend(message.record, message.departed_s, message.announced_leaving)
-        if backends.put_known(known, self._local.watchers[Subject.BACKENDS].revision, now):
+        if backends.add_known(known, self._local.watchers[Subject.BACKENDS].revision, now):
             self._local.counters.tokens_found_by_peers += 1
         backend = backends.by_name(message.record.name)
         if backend is None:
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -116,7 +116,7 @@
             if backend.departed_unannounced and backend.departed_at >= since and self._may_take_flows(backend)
         ]
 
-    def put(self, record: BackendRecord, now: float, complete_to: int = 0) -> bool:
+    def apply_record(self, record: BackendRecord, now: float, complete_to: int = 0) -> bool:
         """Take a record; an older one than the one held, or than the list, changes nothing.
 
         :param complete_to: revision up to which all changes are known here, if that is beyond what
@@ -156,7 +156,7 @@
         self._forget(former)
         return True
 
-    def take(self, known: KnownBackend, complete_to: int, now: float) -> bool:
+    def apply_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
         """Take a back end from a peer, with the state it has there.
 
         :param complete_to: revision up to which all changes are known here, if that is beyond what
@@ -165,11 +165,11 @@
         """
         record = known.record
         if record.name not in self._by_name:
-            return self.put_known(known, complete_to, now)
+            return self.add_known(known, complete_to, now)
         if record.state is BackendState.DEPARTED:
             changed = self.mark_departed(record.name, record.revision, now - known.departed_s)
         else:
-            changed = self.put(record, now)
+            changed = self.apply_record(record, now)
         backend = self._by_name[record.name]
         backend.announced_leaving = backend.announced_leaving or known.announced_leaving
         return changed
@@ -183,7 +183,7 @@
         """
         return self.is_listed and record.revision <= complete_to
 
-    def put_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
+    def add_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
         """Take a back end from a peer: it adds what is unknown here, and changes nothing else.
 
         :param complete_to: revision up to which all changes are known here.
@@ -240,7 +240,7 @@
         :returns: number of back ends that changed.
         """
         names = {record.name for record in records}
-        changed = sum(self.put(record, now, complete_to) for record in records)
+        changed = sum(self.apply_record(record, now, complete_to) for record in records)
         missing = [name for name in self._by_name if name not in names]
         return changed + sum(self.mark_departed(name, revision, now) for name in missing)
 
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -140,7 +140,7 @@
                 self._take_unreadable(change)
                 continue
             if isinstance(change, BackendRecord):
-                changed = self._backends.put(change, self._now, complete_to)
+                changed = self._backends.apply_record(change, self._now, complete_to)
                 state = change.state.name.lower()
             else:
                 changed = self._backends.mark_departed(change.name, change.revision, self._now)
