--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -210,12 +210,12 @@
             for number, content in enumerate(contents)
         ]
         full, told = RouteTable(random.Random(1)), RouteTable(random.Random(1))
-        told.take(versions[0])
-        full.take(versions[0])
+        told.apply(versions[0])
+        full.apply(versions[0])
         for version in versions[1:]:
             before = {each.key: each for each in full.in_force.routes}
             delta = difference(full.version, before, version)
-            full.take(version)
+            full.apply(version)
             fresh = RouteTable(random.Random(1))
             assert not fresh.apply_delta(delta) and fresh.version == 0
             assert told.apply_delta(delta) and not told.apply_delta(delta)
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -40,7 +40,7 @@
         """Take what a peer knows where nothing newer is known here."""
         local, snapshot = self._local, event.snapshot
         is_first = not local.backends.is_listed
-        is_newer = local.routes.take(snapshot.routes)
+        is_newer = local.routes.apply(snapshot.routes)
         complete_to = local.watchers[Subject.BACKENDS].revision_beyond(snapshot.revision)
         added = sum(local.backends.apply_known(known, complete_to, now) for known in snapshot.backends)
         local.evacuations.take(snapshot.evacuated, now)
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -38,7 +38,7 @@
             self.version, tuple(self._routes.values()), self._idle_timeout_s, self._cold_starts
         )
 
-    def take(self, configuration: RouteConfiguration) -> bool:
+    def apply(self, configuration: RouteConfiguration) -> bool:
         """Put a version in force if it is newer; return whether it is."""
         if configuration.version <= self.version:
             return False
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -90,7 +90,7 @@
         self._dissemination.store_failed(event, self._now)
 
     def _take_routes(self, configuration: RouteConfiguration | None) -> None:
-        if configuration is None or not self._routes.take(configuration):
+        if configuration is None or not self._routes.apply(configuration):
             return
         self._counters.configurations_taken += 1
         self._dissemination.routes_read(self._now)
