--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -39,7 +39,7 @@
     def received(self, event: SnapshotReceived, now: float) -> None:
         """Take what a peer knows where nothing newer is known here."""
         local, snapshot = self._local, event.snapshot
-        is_first = not local.backends.is_listed
+        is_first = not local.backends.has_full_list
         is_newer = local.routes.apply(snapshot.routes)
         complete_to = local.watchers[Subject.BACKENDS].revision_beyond(snapshot.revision)
         added = sum(local.backends.apply_known(known, complete_to, now) for known in snapshot.backends)
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -34,11 +34,11 @@
     :param places: where flows may go; a back end elsewhere is given none.
     :ivar changes: which of them have changed since a revision.
     :ivar cold_until: time until which one of them at least is slow from its start.
-    :ivar is_listed: whether a whole list was taken; before that, single ones may be known from peers.
+    :ivar has_full_list: whether a whole list was taken; before that, single ones may be known from peers.
     """
 
     def __init__(self, places: PlaceRules = ANYWHERE) -> None:
-        self.is_listed = False
+        self.has_full_list = False
         self._places = places
         self._by_name: dict[str, ForwardingBackend] = {}
         self._starts: dict[str, str] = {}
@@ -65,12 +65,12 @@
     @property
     def has_backends(self) -> bool:
         """Whether a whole list is known and there is something in it."""
-        return self.is_listed and len(self._by_name) > 0
+        return self.has_full_list and len(self._by_name) > 0
 
     def list_received(self, revision: int) -> None:
         """Note that a whole list is taken; the first is where changes are known from."""
-        if not self.is_listed:
-            self.is_listed = True
+        if not self.has_full_list:
+            self.has_full_list = True
             self.changes.begin_at(revision)
 
     def places_changed(self, places: PlaceRules) -> None:
@@ -181,7 +181,7 @@
         may still arrive: from a balancer that has slept or was cut off, or in an answer of the store that
         a later one has overtaken.
         """
-        return self.is_listed and record.revision <= complete_to
+        return self.has_full_list and record.revision <= complete_to
 
     def add_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
         """Take a back end from a peer: it adds what is unknown here, and changes nothing else.
