--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -35,7 +35,7 @@
 
         :param is_configured: whether this one knows routes and back ends.
         """
-        peers = self._peers.hall_count(now)
+        peers = self._peers.count_hall_peers(now)
         is_ready = is_configured and not self.is_requested
         return HallBalancers(peers.ready + is_ready, peers.others + (not is_ready))
 
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -94,7 +94,7 @@
     def __len__(self) -> int:
         return len(self._peers)
 
-    def others_staying(self) -> list[str]:
+    def peers_staying(self) -> list[str]:
         """Return the addresses of all peers kept that have not said that they leave."""
         return [peer.ip for peer in self._peers.values() if not peer.is_leaving]
 
@@ -102,7 +102,7 @@
         """Return the addresses of the peers that count as alive."""
         return [peer.ip for peer in self._peers.values() if self._is_alive(peer, now)]
 
-    def hall_count(self, now: float) -> HallPeers:
+    def count_hall_peers(self, now: float) -> HallPeers:
         """Count the peers of the hall, this balancer left out."""
         lately = [
             peer
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -124,7 +124,7 @@
 
         A view that is full may be partial, so that it shows nobody to be the one.
         """
-        others = self._peers.others_staying()
+        others = self._peers.peers_staying()
         if len(others) >= MAXIMUM_PEERS - 1:
             return False
         own = rendezvous_weight(backend, self._ip)
