--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -147,7 +147,7 @@
             part = changed[begin : begin + MAXIMUM_BACKENDS]
             rest = changed[begin + MAXIMUM_BACKENDS :]
             end = max(base, min(revision, rest[0].revision - 1)) if rest else revision
-            sent = tuple(backend.as_known(now) for backend in part)
+            sent = tuple(backend.to_known_backend(now) for backend in part)
             yield self._changes(None, base, end, sent, is_all=not rest)
             base = end
 
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -30,7 +30,7 @@
         return Snapshot(
             local.routes.in_force,
             self._staleness.of(Subject.ROUTES, now),
-            tuple(backend.as_known(now) for backend in local.backends),
+            tuple(backend.to_known_backend(now) for backend in local.backends),
             self._staleness.of(Subject.BACKENDS, now),
             local.watchers[Subject.BACKENDS].revision,
             local.evacuations.known,
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -47,7 +47,7 @@
         """Reply to a peer if the back end of a token is known here."""
         backend = self._local.backends.by_token(token)
         if backend is not None:
-            known = backend.as_known(now)
+            known = backend.to_known_backend(now)
             self._outbox.send([ip], TokenReply(known.record, known.departed_s, known.announced_leaving))
 
     def found(self, message: TokenReply, now: float) -> None:
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -135,7 +135,7 @@
         """Return seconds since it left the list, 0 if it is listed."""
         return now - self.departed_at if self.state is BackendState.DEPARTED else 0.0
 
-    def as_known(self, now: float) -> KnownBackend:
+    def to_known_backend(self, now: float) -> KnownBackend:
         """Return this back end as peers are sent it."""
         return KnownBackend(self.record(now), self.departed_s(now), self.announced_leaving)
 
