--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -20,7 +20,7 @@
 from sloepond.core.forwarding.peers.reader_election import (
     CANDIDATE_DELAY_S,
     CHECK_INTERVAL_S,
-    START_S,
+    START_DELAY_S,
     URGENT_DELAY_S,
     Role,
 )
@@ -133,7 +133,7 @@
 
     def become_reader(self, revision=10, routes=ROUTES, backends=None):
         """Hear no reader until the node becomes one; answer what it reads then."""
-        longest_s = START_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * CHECK_INTERVAL_S
+        longest_s = START_DELAY_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * CHECK_INTERVAL_S
         self.run_to(self.now + longest_s, TimerFired())
         assert self.node.role is Role.READER
         self.commands.clear()
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -22,11 +22,11 @@
 CANDIDATE_DELAY_S = 0.08
 """Seconds for messages of better candidates to arrive before a candidate reads.  Not measured: gossip reaches
 all in about 0.05 s."""
-START_S = 0.3
+START_DELAY_S = 0.3
 """Seconds for a process that has just started to receive confirmations, which it pulls at once, so silence
 means that all have just started.  Measured with 1.0 s in its place: after a loss of all processes the
 first watch began 1.26 s after the first read, and entries that came back meanwhile were unknown."""
-START_S_PER_PEER = 0.015
+START_DELAY_PER_PEER_S = 0.015
 """The same in seconds for each peer known: the larger a fleet that starts, the more candidates stand at once.
 Measured in a fleet of 74: all stand at 0.3 s without it; no effect on requests served was shown."""
 URGENT_DELAY_S = 0.35
@@ -79,7 +79,7 @@
         self.role = Role.FOLLOWER
         self._random = random_source
         self._others = KnownReaders()
-        self._started_at = -NEVER
+        self._start_at = -NEVER
         self._check_at = NEVER
         self._candidate_at = NEVER
         self._stood_at = -NEVER
@@ -88,8 +88,8 @@
 
     def start(self, now: float) -> None:
         """Begin as a follower."""
-        self._started_at = now
-        self._check_at = now + START_S
+        self._start_at = now
+        self._check_at = now + START_DELAY_S
 
     @property
     def is_reader(self) -> bool:
@@ -155,8 +155,8 @@
 
     def _consider_candidacy(self, now: float, is_fresh: bool, peers: int) -> None:
         readers = self._others.count(now) if is_fresh else self._others.count_recent(now)
-        may_stand_at = max(self._barred_until, self._started_at + START_S + START_S_PER_PEER * peers)
-        if readers >= READERS or now < may_stand_at:
+        allowed_at = max(self._barred_until, self._start_at + START_DELAY_S + START_DELAY_PER_PEER_S * peers)
+        if readers >= READERS or now < allowed_at:
             self._candidate_at = NEVER
             return
         if self._candidate_at == NEVER:
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -27,7 +27,7 @@
 START_GATHER_LASTS_S = 3.0
 """Seconds after a watcher begins in which it gathers changes only briefly: after a loss of all processes,
 entries that lapsed while the store was out of reach come back then.  Measured over a day made of this
-case, together with `START_S` of the reader election: 0.969 of the requests served, 0.959 without."""
+case, together with `START_DELAY_S` of the reader election: 0.969 of the requests served, 0.959 without."""
 START_GATHER_S = 0.2
 """Least seconds between two watches meanwhile.  Measured with `START_GATHER_LASTS_S`."""
 CONFIRM_AFTER_S = 1.2
