--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -294,10 +294,10 @@
                 observer.packet(closing, backend, now)
             else:
                 observer.expire_requests(now)
-                observer.forget_resting(now)
+                observer.forget_idle(now)
             assert all(0 <= b.in_flight <= b.flows for b in backends)
             assert sum(b.flows for b in backends) == len(observer)
-        observer.forget_resting(now + 60.0)
+        observer.forget_idle(now + 60.0)
         assert all(b.in_flight == 0 and b.flows == 0 for b in backends)
 
     check()
--- a/sloepond/core/forwarding/housekeeping.py
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -34,7 +34,7 @@
         self._due_at = now + HOUSEKEEPING_S
         parts = self._parts
         parts.local.backends.forget_departed(now)
-        parts.forwarder.observer.forget_resting(now)
+        parts.forwarder.observer.forget_idle(now)
         parts.forwarder.observer.expire_requests(now)
         parts.forwarder.openings.forget_released(now)
         parts.slow_start.forget(now)
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -192,7 +192,7 @@
         if flow.requested_at:
             flow.backend.latency.observe(now - flow.requested_at, now)
 
-    def forget_resting(self, now: float) -> None:
+    def forget_idle(self, now: float) -> None:
         """Forget flows that rest."""
         flows = self._flows
         while flows:
