--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -283,15 +283,15 @@
             now += 0.02 * value
             backend = backends[(port + value) % 2]
             if action == 0:
-                observer.opening(segment(port=port, opening=True), backend, now)
+                observer.observe_opening(segment(port=port, opening=True), backend, now)
             elif action == 1:
-                observer.packet(segment(port=port, length=10), backend, now)
+                observer.observe_packet(segment(port=port, length=10), backend, now)
             elif action == 2:
-                observer.packet(segment(port=port, acknowledgement=value), backend, now)
+                observer.observe_packet(segment(port=port, acknowledgement=value), backend, now)
             elif action == 3:
                 closing = segment(port=port)
                 closing.is_closing = True
-                observer.packet(closing, backend, now)
+                observer.observe_packet(closing, backend, now)
             else:
                 observer.expire_requests(now)
                 observer.forget_idle(now)
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -93,7 +93,7 @@
         flow = self._flows.get(segment.flow_key)
         return flow.backend if flow is not None else None
 
-    def opening(self, segment: Segment, backend: ForwardingBackend, now: float) -> None:
+    def observe_opening(self, segment: Segment, backend: ForwardingBackend, now: float) -> None:
         """Note the back end chosen for a new flow."""
         key = segment.flow_key
         self._remove(key)
@@ -128,7 +128,7 @@
         """Forget a flow."""
         self._remove(flow_key)
 
-    def packet(self, segment: Segment, backend: ForwardingBackend, now: float) -> bool:
+    def observe_packet(self, segment: Segment, backend: ForwardingBackend, now: float) -> bool:
         """Note a packet of an open flow; return whether it repeats data that was not answered."""
         key = segment.flow_key
         flow = self._flows.get(key)
@@ -160,7 +160,7 @@
         flow.acknowledged = segment.acknowledgement
         return is_repeated
 
-    def reply(self, head: ReplyHead, now: float) -> None:
+    def observe_reply(self, head: ReplyHead, now: float) -> None:
         """Note a back end's reply, if it is the first one to the last request seen of its flow.
 
         A refusal ends the wait and says nothing of the latency: a back end that sheds requests would seem
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -173,7 +173,7 @@
 
     def reply_seen(self, head: ReplyHead, now: float) -> None:
         """Note a back end's reply that passes this balancer; never called where replies go past it."""
-        self._forwarder.observer.reply(head, now)
+        self._forwarder.observer.observe_reply(head, now)
 
     def next_deadline(self) -> float:
         """Return when to send `TimerFired` next."""
--- a/sloepond/core/forwarding/placement/forwarder.py
+++ b/sloepond/core/forwarding/placement/forwarder.py
@@ -47,7 +47,7 @@
             return _NO_TOKEN if segment.token == NO_TOKEN else _UNKNOWN_TOKEN
         if backend.is_unreachable(now):
             return _UNREACHABLE
-        is_repeated = self.observer.packet(segment, backend, now)
+        is_repeated = self.observer.observe_packet(segment, backend, now)
         if is_repeated or backend.suspected_until > now or backend.departed_unannounced:
             return backend.suspicious_decision
         return backend.decision
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -101,7 +101,7 @@
             return _NO_BACKEND
         self._counters.flows_placed += 1
         self._eligibility.opened(backend, now)
-        self._observer.opening(segment, backend, now)
+        self._observer.observe_opening(segment, backend, now)
         return backend.decision if unanswered is None else Decision(backend, suspect=unanswered.name)
 
     def _must_wait(self, segment: Segment, route: Route, now: float) -> bool:
