--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -108,9 +108,9 @@
         told = list(written)
         chance.shuffle(told)
         for revision in told:
-            evacuations.take(EvacuatedHalls(revision, tuple(sorted(written[revision]))), 1.0)
+            evacuations.apply(EvacuatedHalls(revision, tuple(sorted(written[revision]))), 1.0)
         newest = written[max(written)]
-        assert set(evacuations.known.halls) == newest
+        assert set(evacuations.current.halls) == newest
         assert {backend.hall for backend in directory.candidates("booking")} == set(ZONES) - newest
 
     check()
--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -307,7 +307,7 @@
         wanted = {route.key: route for route in self.store.routes.routes}
         if node.routes.version != self.store.routes.version or routes != wanted:
             return False
-        if set(node.evacuations.known.halls) != self.store.evacuated:
+        if set(node.evacuations.current.halls) != self.store.evacuated:
             return False
         listed = {b.name: b.state for b in node.backends if b.state is not BackendState.DEPARTED}
         return listed == {entry.name: entry.state for entry in self.store.backends.values()}
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -106,7 +106,7 @@
 
     def take_evacuated(self, changes: Changes, now: float) -> bool:
         """Take the evacuated halls if they are newer; return whether they differ."""
-        return self._evacuations.take(changes.evacuated, now)
+        return self._evacuations.apply(changes.evacuated, now)
 
     def take_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
         """Take changed back ends; return those that differ from what was known.
@@ -168,6 +168,6 @@
         :param is_all: whether all is known up to `revision` and no further.
         """
         latest = self._backends.changes.latest
-        evacuated = self._evacuations.known
+        evacuated = self._evacuations.current
         checksum = self._backends.list_checksum if is_all else NO_CHECKSUM
         return Changes(self._routes.version, delta, base, revision, latest, backends, evacuated, checksum)
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -33,7 +33,7 @@
             tuple(backend.to_known_backend(now) for backend in local.backends),
             self._staleness.of(Subject.BACKENDS, now),
             local.watchers[Subject.BACKENDS].revision,
-            local.evacuations.known,
+            local.evacuations.current,
         )
 
     def received(self, event: SnapshotReceived, now: float) -> None:
@@ -43,7 +43,7 @@
         is_newer = local.routes.apply(snapshot.routes)
         complete_to = local.watchers[Subject.BACKENDS].revision_beyond(snapshot.revision)
         added = sum(local.backends.apply_known(known, complete_to, now) for known in snapshot.backends)
-        local.evacuations.take(snapshot.evacuated, now)
+        local.evacuations.apply(snapshot.evacuated, now)
         if is_first:
             local.backends.list_received(snapshot.revision)
             local.watchers[Subject.BACKENDS].peer_sent_changes(snapshot.revision, now)
@@ -53,7 +53,7 @@
         detail = (
             f"routes={snapshot.routes.version} newer={is_newer} routes_age_s={snapshot.routes_age_s:.2f} "
             f"backends_added={added} backends_age_s={snapshot.backends_age_s:.2f} "
-            f"evacuated={','.join(local.evacuations.known.halls) or 'none'}"
+            f"evacuated={','.join(local.evacuations.current.halls) or 'none'}"
         )
         self._outbox.log(LogKind.KNOWLEDGE_TAKEN, event.ip, detail)
 
--- a/sloepond/core/forwarding/placement/evacuations.py
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -14,21 +14,21 @@
 class Evacuations:
     """The newest set of evacuated halls; an older one never replaces it.
 
-    :ivar known: the set in force.
+    :ivar current: the set in force.
     """
 
     def __init__(self, routes: RouteTable, backends: BackendDirectory) -> None:
         self._routes = routes
         self._backends = backends
-        self.known = EvacuatedHalls()
+        self.current = EvacuatedHalls()
 
-    def take(self, newer: EvacuatedHalls, now: float) -> bool:
+    def apply(self, newer: EvacuatedHalls, now: float) -> bool:
         """Put a set in force if it is newer; return whether the halls differ."""
-        if newer.revision <= self.known.revision:
+        if newer.revision <= self.current.revision:
             return False
-        returned = frozenset(self.known.halls) - frozenset(newer.halls)
-        is_changed = newer.halls != self.known.halls
-        self.known = newer
+        returned = frozenset(self.current.halls) - frozenset(newer.halls)
+        is_changed = newer.halls != self.current.halls
+        self.current = newer
         if is_changed:
             self._backends.halls_evacuated(frozenset(newer.halls))
             self._start_slowly(returned, now)
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -71,7 +71,7 @@
         elif isinstance(event, RoutesChanged):
             for configuration in event.configurations:
                 self._take_routes(configuration)
-            self._take_evacuated(apply_hall_changes(self._evacuations.known, event.halls, event.revision))
+            self._take_evacuated(apply_hall_changes(self._evacuations.current, event.halls, event.revision))
             watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
             revision = _certain_revision(event, watcher)
@@ -99,7 +99,7 @@
         )
 
     def _take_evacuated(self, evacuated: EvacuatedHalls) -> None:
-        if not self._evacuations.take(evacuated, self._now):
+        if not self._evacuations.apply(evacuated, self._now):
             return
         self._dissemination.change_learned(self._now)
         self._outbox.log(
