--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -64,14 +64,14 @@
         """Check back ends that left an opening packet unanswered for longer than that takes."""
         for backend in self._observer.take_unanswered_openings(now - OPENING_SILENCE_S):
             self._counters.openings_unanswered += 1
-            self.suspected(backend.name, now)
+            self.request_check(backend.name, now)
 
     def check_suspected_by_peers(self, now: float) -> None:
         """Check back ends with flows here that peers could not reach."""
         for name in self._exchange.drain_suspected():
-            self.suspected(name, now)
+            self.request_check(name, now)
 
-    def suspected(self, name: str, now: float) -> None:
+    def request_check(self, name: str, now: float) -> None:
         """Check a back end that may be gone, unless it was lately."""
         backend = self._backends.by_name(name)
         if backend is not None and self._reachability.begin_check(backend, now):
@@ -79,14 +79,14 @@
             control = self._reachability.control(backend, now)
             self._commands.append(CheckBackend(name, backend.endpoint, control))
 
-    def checked(self, event: BackendChecked, now: float) -> None:
+    def check_finished(self, event: BackendChecked, now: float) -> None:
         """Take the end of a check: flows of a back end that is gone are reset, peers are told."""
         backend = self._backends.by_name(event.name)
         if backend is None:
             return
         if event.result is CheckResult.UNKNOWN:
             if self._reachability.undecided(backend, now):
-                self.suspected(backend.name, now)
+                self.request_check(backend.name, now)
         else:
             self._reachability.checked(backend, event.result, now)
         resting = 0
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -215,9 +215,9 @@
         elif isinstance(event, UnknownTokenReceived):
             self._exchange.unknown_token(event, self._now)
         elif isinstance(event, BackendSuspected):
-            self._checks.suspected(event.name, self._now)
+            self._checks.request_check(event.name, self._now)
         else:
-            self._checks.checked(event, self._now)
+            self._checks.check_finished(event, self._now)
 
     def _take_from_store(self, event: StoreEvent) -> None:
         """Take an answer, a part of one, or the failure of a call."""
