--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -16,7 +16,7 @@
 from sloepond.core.forwarding.peers.exchange import PeerExchange
 from sloepond.core.forwarding.state.backends import BackendDirectory
 
-OPENING_SILENCE_S = 0.08
+OPENING_UNANSWERED_AFTER_S = 0.08
 """Seconds without a packet after a flow's opening one that make its back end be checked.  The next
 one comes after two ways between halls and two to the caller, about 6 ms; the caller's copy after
 200 ms.  With resets of resting flows and checks of 0.16 s a day of dead back ends went from 0.875
@@ -58,11 +58,11 @@
     def next_deadline(self) -> float:
         """Return when there is something to check or to reset."""
         oldest = self._observer.oldest_unanswered_opening()
-        return min(self._flow_resets.next_deadline(), oldest + OPENING_SILENCE_S)
+        return min(self._flow_resets.next_deadline(), oldest + OPENING_UNANSWERED_AFTER_S)
 
     def on_timer(self, now: float) -> None:
         """Check back ends that left an opening packet unanswered for longer than that takes."""
-        for backend in self._observer.take_unanswered_openings(now - OPENING_SILENCE_S):
+        for backend in self._observer.take_unanswered_openings(now - OPENING_UNANSWERED_AFTER_S):
             self._counters.openings_unanswered += 1
             self.request_check(backend.name, now)
 
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -34,7 +34,7 @@
     TimerFired,
     UnknownTokenReceived,
 )
-from sloepond.core.forwarding.health.backend_checks import OPENING_SILENCE_S
+from sloepond.core.forwarding.health.backend_checks import OPENING_UNANSWERED_AFTER_S
 from sloepond.core.forwarding.housekeeping import Housekeeping
 from sloepond.core.forwarding.lifecycle.planned_stop import HallBalancers
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_THRESHOLD_S
@@ -164,7 +164,7 @@
         self._stop.packet_seen(now)
         decision = self._forwarder.decide(segment, now)
         if segment.is_opening:
-            self._deadline = min(self._deadline, now + OPENING_SILENCE_S)
+            self._deadline = min(self._deadline, now + OPENING_UNANSWERED_AFTER_S)
             if decision.backend is not None and self._dissemination.staleness.is_stale:
                 self.counters.flows_placed_unconfirmed += 1
         elif segment.length:
