--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -251,7 +251,7 @@
         self._stall_guard.on_timer(now)
         self._exchange.on_timer(now)
         self._dissemination.on_timer(now)
-        released = self._openings.release(now)
+        released = self._openings.release_queued(now)
         if released:
             self._commands.append(ReprocessPackets(tuple(released)))
         self._housekeeping.on_timer(now)
@@ -267,7 +267,7 @@
     def _collect(self) -> None:
         """Append the parts' commands in a fixed order."""
         self._commands.extend(self._dissemination.intake.drain_change_logs())
-        released = self._openings.take_early(self._now)
+        released = self._openings.release_early(self._now)
         if released:
             self._commands.append(ReprocessPackets(released))
         self._commands.extend(self._checks.drain_commands(self._now))
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -162,7 +162,7 @@
         waits_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
         return min(self._held.next_deadline(now), waits_until if waits_until > now else NEVER)
 
-    def take_early(self, now: float) -> tuple[bytes, ...]:
+    def release_early(self, now: float) -> tuple[bytes, ...]:
         """Return the opening packets that came before enough was known to place them, once it is."""
         return self._early.take(lambda route_key: self._comes_early(route_key, now), now)
 
@@ -173,7 +173,7 @@
         route = self._routes.find(route_key)
         return route is not None and self._unconfirmed_list.must_wait(route, now)
 
-    def release(self, now: float) -> list[bytes]:
+    def release_queued(self, now: float) -> list[bytes]:
         """Return the opening packets that waited for room and are decided on again."""
         services = self._held.services()
         if not services:
