--- a/sloepond/core/forwarding/housekeeping.py
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -39,5 +39,5 @@
         parts.forwarder.openings.forget_released(now)
         parts.slow_start.forget(now)
         parts.ejection.forget(now)
-        parts.forwarder.openings.admission.balancers = parts.exchange.balancers
+        parts.forwarder.openings.admission.balancer_count = parts.exchange.balancers
         parts.dissemination.forget(now)
--- a/sloepond/core/forwarding/placement/admission.py
+++ b/sloepond/core/forwarding/placement/admission.py
@@ -24,11 +24,11 @@
 class Admission:
     """This balancer's part of each back end.
 
-    :ivar balancers: balancers that share the back ends, this one included.
+    :ivar balancer_count: balancers that share the back ends, this one included.
     """
 
     def __init__(self) -> None:
-        self.balancers = 1
+        self.balancer_count = 1
         self._started = 0.0
 
     def start(self, now: float) -> None:
@@ -39,7 +39,7 @@
         """Return how many requests this balancer may have under way at a back end, at least 1."""
         if now - self._started < YOUNG_S:
             return 1
-        return max(1, round((backend.slots + QUEUE_PER_BACKEND) / self.balancers))
+        return max(1, round((backend.slots + QUEUE_PER_BACKEND) / self.balancer_count))
 
     def room(self, backends: Iterable[ForwardingBackend], now: float) -> int:
         """Return for how many more requests there is room at these back ends."""
