--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -23,7 +23,7 @@
     UnreadableBackend,
 )
 from sloepond.core.forwarding.peers.messages import BackendFailing, Changes, ChangesReply, KnownBackend
-from sloepond.core.forwarding.placement.admission import YOUNG_S
+from sloepond.core.forwarding.placement.admission import MINIMUM_SHARE_PERIOD_S
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, incarnation_name
 from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.platform.store import PlatformStoreCodec
@@ -195,7 +195,7 @@
 
 @when("the entry of that back end can be read again")
 def readable_again(context):
-    context.harness.run_to(context.harness.now + YOUNG_S, TimerFired())
+    context.harness.run_to(context.harness.now + MINIMUM_SHARE_PERIOD_S, TimerFired())
     changed(context, only(30), revision=30)
 
 
--- a/sloepond/core/forwarding/placement/admission.py
+++ b/sloepond/core/forwarding/placement/admission.py
@@ -14,7 +14,7 @@
 QUEUE_PER_BACKEND = 6
 """Requests a back end is assumed to queue besides those it works on.  Not measured: back ends queue a
 few and do not say how many."""
-YOUNG_S = 2.0
+MINIMUM_SHARE_PERIOD_S = 2.0
 """Age of a balancer in seconds below which it takes the least part: it doesn't know its peers yet,
 so an equal part would be too large.  Without it a day gains 0.0003 to 0.0027 of worth where nothing
 is overloaded, and in a burst after all balancers were killed it loses 0.04 and 0.02 (0.944 ->
@@ -37,7 +37,7 @@
 
     def limit(self, backend: ForwardingBackend, now: float) -> int:
         """Return how many requests this balancer may have under way at a back end, at least 1."""
-        if now - self._started < YOUNG_S:
+        if now - self._started < MINIMUM_SHARE_PERIOD_S:
             return 1
         return max(1, round((backend.slots + QUEUE_PER_BACKEND) / self.balancer_count))
 
