--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -82,7 +82,7 @@
         """Return when a request may count as unanswered."""
         return self._waiting.next_deadline()
 
-    def ejected(self, now: float) -> int:
+    def ejected_count(self, now: float) -> int:
         """Return how many back ends are given no or few new flows."""
         return sum(backend.probation_until > now for backend in self._backends)
 
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -126,7 +126,7 @@
     @property
     def backends_ejected(self) -> int:
         """Back ends that are given no or few new flows for requests they have left unanswered."""
-        return self._ejection.ejected(self._now)
+        return self._ejection.ejected_count(self._now)
 
     def routes_age(self, now: float) -> float:
         """Return seconds since the store or a reader of it confirmed the routes."""
