--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -42,7 +42,7 @@
     Zone,
     ZoneSpec,
 )
-from sloepond.resources.slices import BLOCK_ITEMS, finished
+from sloepond.resources.slices import BLOCK_ITEMS, run_to_completion
 from sloepond.resources.validation import validate_snapshot
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
@@ -120,8 +120,10 @@
 
 
 def after_change(base, generation, delta):
-    content = finished(updated_content_slices(base.content, generation, delta.changed, delta.removed))
-    return finished(base.updated_to_slices(content, delta.changed, delta.removed))
+    content = run_to_completion(
+        updated_content_slices(base.content, generation, delta.changed, delta.removed)
+    )
+    return run_to_completion(base.updated_to_slices(content, delta.changed, delta.removed))
 
 
 def assert_shared(base, updated, delta):
@@ -318,7 +320,7 @@
     for units in map(list, works):
         assert len(units) > count / BLOCK_ITEMS, units
         assert max(units) <= BLOCK_ITEMS, units
-    taken = finished(judge_snapshot(CompiledConfiguration(whole), moved)).configuration
+    taken = run_to_completion(judge_snapshot(CompiledConfiguration(whole), moved)).configuration
     assert_equal(taken, CompiledConfiguration(moved))
 
 
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -23,7 +23,7 @@
 from sloepond.resources.layered import LayeredMapping
 from sloepond.resources.loading import load_resources
 from sloepond.resources.model import API_VERSION, Backend, BackendSpec, Hall, Metadata, Status
-from sloepond.resources.slices import finished
+from sloepond.resources.slices import run_to_completion
 from sloepond.resources.sorted_items import SortedItems
 from sloepond.resources.typed_rules import is_canonical_address, is_right_by_itself
 from sloepond.resources.validation import validate_snapshot, validate_values
@@ -376,7 +376,7 @@
             expected |= dict.fromkeys(added, version)
             mapping = mapping.edited(removed, dict.fromkeys(added, version))
             items = [(key, version) for key in reversed(added)]
-            sequence = finished(sequence.edited_slices(removed, items))
+            sequence = run_to_completion(sequence.edited_slices(removed, items))
             assert_same(*former)
             assert_same(expected, mapping, sequence)
 
--- a/sloepond/core/configuration/delta.py
+++ b/sloepond/core/configuration/delta.py
@@ -12,7 +12,7 @@
 
 from sloepond.resources.content import ResourceKey, resource_key
 from sloepond.resources.model import Resource
-from sloepond.resources.slices import BLOCK_ITEMS, Slices, blocks, finished
+from sloepond.resources.slices import BLOCK_ITEMS, Slices, blocks, run_to_completion
 
 HISTORY_RESOURCES = 10_000
 """Resources kept in all deltas of the history together."""
@@ -41,7 +41,7 @@
 
     :raises ValueError: if `after` is not sorted.
     """
-    delta = finished(difference_slices(before, after))
+    delta = run_to_completion(difference_slices(before, after))
     if delta is None:
         raise ValueError("the resources are not sorted by key, each key once")
     return delta
--- a/sloepond/core/configuration/encoding.py
+++ b/sloepond/core/configuration/encoding.py
@@ -16,7 +16,7 @@
 from sloepond.core.configuration.delta import ConfigurationDelta
 from sloepond.resources.content import ResourceKey
 from sloepond.resources.model import Resource
-from sloepond.resources.slices import Slices, blocks, finished
+from sloepond.resources.slices import Slices, blocks, run_to_completion
 
 MAXIMUM_ENCODED_BYTES = 16_000_000
 """Largest encoded delta or snapshot that is taken, in bytes."""
@@ -33,7 +33,7 @@
 
 def encode_delta(delta: ConfigurationDelta) -> bytes:
     """Return the compressed encoding of a delta."""
-    return finished(encode_slices(delta))
+    return run_to_completion(encode_slices(delta))
 
 
 def encode_slices(delta: ConfigurationDelta) -> Slices[bytes]:
@@ -61,7 +61,7 @@
 
 def decode_delta(data: bytes) -> ConfigurationDelta | None:
     """Return the delta, or None if the bytes are malformed or too many."""
-    return finished(decode_slices(data))
+    return run_to_completion(decode_slices(data))
 
 
 def decode_slices(data: bytes) -> Slices[ConfigurationDelta | None]:
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -30,7 +30,7 @@
     Service,
     ServiceSpec,
 )
-from sloepond.resources.slices import Slices, blocks, finished
+from sloepond.resources.slices import Slices, blocks, run_to_completion
 from sloepond.resources.typed_rules import is_right_by_itself
 from sloepond.resources.validation import validate_snapshot
 
@@ -52,7 +52,7 @@
     :param base: configuration the delta applies to, valid as a whole.
     :param resources: all resources after the change, sorted by key, each once.
     """
-    return finished(findings_after_slices(base, delta, resources))
+    return run_to_completion(findings_after_slices(base, delta, resources))
 
 
 def findings_after_slices(
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -41,7 +41,7 @@
     Service,
     Zone,
 )
-from sloepond.resources.slices import Slices, blocks, finished
+from sloepond.resources.slices import Slices, blocks, run_to_completion
 
 INCREMENTAL_LIMIT = 1_000
 """Changed resources above which a configuration is compiled from the start."""
@@ -73,7 +73,7 @@
 
     def __init__(self, snapshot: ConfigurationSnapshot) -> None:
         self._take_content(content_of(snapshot))
-        finished(self._compile())
+        run_to_completion(self._compile())
 
     @classmethod
     def compile_slices(cls, content: GenerationContent) -> Slices[CompiledConfiguration]:
--- a/sloepond/resources/slices.py
+++ b/sloepond/resources/slices.py
@@ -21,7 +21,7 @@
 """Items after which a generator yields."""
 
 
-def finished(work: Slices[Result]) -> Result:
+def run_to_completion(work: Slices[Result]) -> Result:
     """Do all the work at once and return its result."""
     while True:
         try:
