--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -25,7 +25,7 @@
 from sloepond.resources.model import API_VERSION, Backend, BackendSpec, Hall, Metadata, Status
 from sloepond.resources.slices import run_to_completion
 from sloepond.resources.sorted_items import SortedItems
-from sloepond.resources.typed_rules import is_canonical_address, is_right_by_itself
+from sloepond.resources.typed_rules import has_valid_fields, is_canonical_address
 from sloepond.resources.validation import validate_snapshot, validate_values
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -340,7 +340,7 @@
         findings = validate_snapshot((*typed(CITY), backend))
         if any("is used by" in finding.reason for finding in findings):
             return
-        assert is_right_by_itself(backend) == (not findings), (backend, findings)
+        assert has_valid_fields(backend) == (not findings), (backend, findings)
         verdicts[not findings] += 1
         verdicts["plain"] += is_canonical_address(backend.spec.address)
 
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -31,7 +31,7 @@
     ServiceSpec,
 )
 from sloepond.resources.slices import Slices, blocks, run_to_completion
-from sloepond.resources.typed_rules import is_right_by_itself
+from sloepond.resources.typed_rules import has_valid_fields
 from sloepond.resources.validation import validate_snapshot
 
 MAXIMUM_REPORTED = 20
@@ -127,7 +127,7 @@
         spec = backend.spec
         holder = self._base.backends_by_address.get(spec.address)
         return (
-            is_right_by_itself(backend)
+            has_valid_fields(backend)
             and spec.service in self._base.services_by_name
             and spec.hall in self._base.locations
             and spec.address not in self._base.services_by_address
@@ -205,7 +205,7 @@
         """Check the back ends among some resources by themselves."""
         for block in blocks(resources):
             for resource in block:
-                if isinstance(resource, Backend) and not is_right_by_itself(resource):
+                if isinstance(resource, Backend) and not has_valid_fields(resource):
                     self._wrong.append(resource.metadata.name)
             yield len(block)
 
--- a/sloepond/resources/typed_rules.py
+++ b/sloepond/resources/typed_rules.py
@@ -32,7 +32,7 @@
     return PLAIN_ADDRESS.fullmatch(address) is not None or canonical_address(address) == address
 
 
-def is_right_by_itself(backend: Backend) -> bool:
+def has_valid_fields(backend: Backend) -> bool:
     """Return whether the full check finds nothing wrong with the back end's own fields.
 
     :param backend: with values of the declared types.
