--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -262,7 +262,7 @@
     compiled = CompiledConfiguration(context.platform.latest)
     inside = [item for item in compiled.backends_by_name.values() if item.location.zone == zone]
     assert len(inside) == 10
-    assert not any(item.takes_new_flows for item in inside)
+    assert not any(item.accepts_new_flows for item in inside)
     assert not any(service.placeable for service in compiled.services_by_name.values())
 
 
--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -143,7 +143,7 @@
         in_force = self.nodes[number].configuration.in_force
         known = in_force.backends_by_name.get(model.identity.name)
         if known is not None:
-            assert known.permitted and known.takes_new_flows, model.identity
+            assert known.permitted and known.accepts_new_flows, model.identity
 
     def keep(self, number, address, outputs):
         self.replies += [(number, address, output.reply) for output in outputs]
--- a/sloepond/lab/checkers/places.py
+++ b/sloepond/lab/checkers/places.py
@@ -37,7 +37,7 @@
                 self._permitted_until[name] = float("inf")
             elif self._permitted_until.get(name) == float("inf"):
                 self._permitted_until[name] = now + self.GRACE_S
-            self._note_drain(name, backend.takes_new_flows, now)
+            self._note_drain(name, backend.accepts_new_flows, now)
         for name in self._service_of.keys() - configuration.backends_by_name.keys():
             self._note_drain(name, False, now)
 
@@ -53,8 +53,8 @@
             if since > now:
                 self._draining_since[name] = now
 
-    def _note_drain(self, name: str, takes_new_flows: bool, now: float) -> None:
-        if takes_new_flows:
+    def _note_drain(self, name: str, accepts_new_flows: bool, now: float) -> None:
+        if accepts_new_flows:
             self._draining_since.pop(name, None)
         else:
             self._draining_since.setdefault(name, now)
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -106,7 +106,7 @@
                     owner = resource.spec.service
                     backend = compile_backend(specs[owner], resource, self._locations)
                     backends[owner].append(backend)
-                    if backend.takes_new_flows:
+                    if backend.accepts_new_flows:
                         placeable[owner].append(backend)
             yield len(block)
         services = [
--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -25,7 +25,7 @@
     """Whether the service's place rules permit this back end's place."""
 
     @property
-    def takes_new_flows(self) -> bool:
+    def accepts_new_flows(self) -> bool:
         """Whether declared state and place let this back end take new flows."""
         may_take = self.permitted and not self.location.evacuated
         return may_take and self.state is BackendState.ACTIVE and self.weight > 0
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -142,10 +142,10 @@
         backends = edited(kept, _backend_name, names, present)
         yield len(backends) // COPIED_PER_UNIT
         if former is not None and kept is former.backends:
-            added = [backend for backend in present if backend.takes_new_flows]
+            added = [backend for backend in present if backend.accepts_new_flows]
             placeable = edited(former.placeable, _backend_name, names, added)
         else:
-            placeable = tuple(backend for backend in backends if backend.takes_new_flows)
+            placeable = tuple(backend for backend in backends if backend.accepts_new_flows)
         yield len(placeable) // COPIED_PER_UNIT
         self.services[name] = compile_service(name, spec, backends, placeable)
 
