--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -263,7 +263,7 @@
     inside = [item for item in compiled.backends_by_name.values() if item.location.zone == zone]
     assert len(inside) == 10
     assert not any(item.accepts_new_flows for item in inside)
-    assert not any(service.placeable for service in compiled.services_by_name.values())
+    assert not any(service.eligible_backends for service in compiled.services_by_name.values())
 
 
 @then('the cli printed the {count:d} resources in force as "{output}"')
--- a/features/steps/lab_broken_nodes.py
+++ b/features/steps/lab_broken_nodes.py
@@ -29,10 +29,10 @@
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         service = self.configuration.in_force.services_by_address[packet.flow.service_address]
         commands: list[Command] = []
-        for index, backend in enumerate(service.placeable):
+        for index, backend in enumerate(service.eligible_backends):
             self._cache[packet.flow] = backend.address
             is_request = packet.kind is CallerPacketKind.REQUEST
-            if not is_request or index == packet.request_id % len(service.placeable):
+            if not is_request or index == packet.request_id % len(service.eligible_backends):
                 commands += super()._caller_packet(packet)
         return commands
 
@@ -42,7 +42,7 @@
 
     def _choose(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address[flow.service_address]
-        return self._random.choice(service.placeable).address
+        return self._random.choice(service.eligible_backends).address
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         self._cache.clear()
@@ -160,7 +160,7 @@
 
     def _choose(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address[flow.service_address]
-        return service.placeable[0].address
+        return service.eligible_backends[0].address
 
 
 BROKEN_NODES: dict[str, type[StatelessNode]] = {
--- a/features/steps/lab_stateless_node.py
+++ b/features/steps/lab_stateless_node.py
@@ -112,9 +112,9 @@
 
     def _choose(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address.get(flow.service_address)
-        if service is None or not service.placeable:
+        if service is None or not service.eligible_backends:
             return None
-        return rendezvous_choice(flow, service.placeable).address
+        return rendezvous_choice(flow, service.eligible_backends).address
 
 
 def rendezvous_choice(flow: FlowKey, backends: Sequence[CompiledBackend]) -> CompiledBackend:
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -258,7 +258,7 @@
         compiled = CompiledConfiguration(make_snapshot(1, list(validated.resources)))
         addresses = [*compiled.services_by_address, *compiled.backends_by_address]
         assert len(set(addresses)) == len(addresses)
-        assert all(service.placeable for service in compiled.services_by_name.values())
+        assert all(service.eligible_backends for service in compiled.services_by_name.values())
 
     check()
     assert accepted
--- a/sloepond/api/resource_status.py
+++ b/sloepond/api/resource_status.py
@@ -39,4 +39,4 @@
 
 def _service_message(resource: Service, configuration: CompiledConfiguration) -> str:
     service = configuration.services_by_name[resource.metadata.name]
-    return f"{len(service.placeable)} of {len(service.backends)} back ends take new flows"
+    return f"{len(service.eligible_backends)} of {len(service.backends)} back ends take new flows"
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -93,7 +93,7 @@
     names = {holder.name for holder in holders if holder is not None}
     for service in base.services_by_name.values():
         if service.name not in specs:
-            names.update(backend.name for backend in service.placeable[:1])
+            names.update(backend.name for backend in service.eligible_backends[:1])
             continue
         witnesses = _ServiceWitnesses()
         for block in blocks(service.backends):
@@ -142,7 +142,7 @@
 
     def _is_reachable(self, name: str) -> bool:
         service = self._base.services_by_name[name]
-        if any(backend.name not in self._replaced for backend in service.placeable):
+        if any(backend.name not in self._replaced for backend in service.eligible_backends):
             return True
         locations = self._base.locations
         return any(
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -110,7 +110,7 @@
         if self._queue.now > self._balance_until:
             return
         for service in self._world.compiled.services_by_name.values():
-            names = {backend.name: backend.slots for backend in service.placeable}
+            names = {backend.name: backend.slots for backend in service.eligible_backends}
             self.balance.sample([means[name] / slots for name, slots in names.items() if name in means])
 
     def _sample_isolation(self) -> None:
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -99,7 +99,7 @@
         self._locations = resolve_locations(others)
         specs = {item.metadata.name: item.spec for item in others if isinstance(item, Service)}
         backends: dict[str, list[CompiledBackend]] = {name: [] for name in specs}
-        placeable: dict[str, list[CompiledBackend]] = {name: [] for name in specs}
+        eligible_backends: dict[str, list[CompiledBackend]] = {name: [] for name in specs}
         for block in blocks(resources):
             for resource in block:
                 if isinstance(resource, Backend) and resource.spec.service in specs:
@@ -107,10 +107,10 @@
                     backend = compile_backend(specs[owner], resource, self._locations)
                     backends[owner].append(backend)
                     if backend.accepts_new_flows:
-                        placeable[owner].append(backend)
+                        eligible_backends[owner].append(backend)
             yield len(block)
         services = [
-            compile_service(name, specs[name], tuple(backends[name]), tuple(placeable[name]))
+            compile_service(name, specs[name], tuple(backends[name]), tuple(eligible_backends[name]))
             for name in specs
         ]
         self.services_by_name: Mapping[str, CompiledService] = {item.name: item for item in services}
--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -38,7 +38,7 @@
     address: str
     spec: ServiceSpec
     backends: tuple[CompiledBackend, ...]
-    placeable: tuple[CompiledBackend, ...]
+    eligible_backends: tuple[CompiledBackend, ...]
     """Back ends that may take new flows: permitted, active, weight above 0."""
 
 
@@ -87,11 +87,11 @@
     name: str,
     spec: ServiceSpec,
     backends: tuple[CompiledBackend, ...],
-    placeable: tuple[CompiledBackend, ...],
+    eligible_backends: tuple[CompiledBackend, ...],
 ) -> CompiledService:
     """Return a service with its back ends.
 
     :param backends: sorted by name.
-    :param placeable: those that take new flows, sorted by name.
+    :param eligible_backends: those that take new flows, sorted by name.
     """
-    return CompiledService(name, spec.address, spec, backends, placeable)
+    return CompiledService(name, spec.address, spec, backends, eligible_backends)
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -143,11 +143,11 @@
         yield len(backends) // COPIED_PER_UNIT
         if former is not None and kept is former.backends:
             added = [backend for backend in present if backend.accepts_new_flows]
-            placeable = edited(former.placeable, _backend_name, names, added)
+            eligible_backends = edited(former.eligible_backends, _backend_name, names, added)
         else:
-            placeable = tuple(backend for backend in backends if backend.accepts_new_flows)
-        yield len(placeable) // COPIED_PER_UNIT
-        self.services[name] = compile_service(name, spec, backends, placeable)
+            eligible_backends = tuple(backend for backend in backends if backend.accepts_new_flows)
+        yield len(eligible_backends) // COPIED_PER_UNIT
+        self.services[name] = compile_service(name, spec, backends, eligible_backends)
 
     def _drop(self, name: str, backends: Sequence[CompiledBackend]) -> None:
         self.services.pop(name, None)
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -44,7 +44,7 @@
 def _balance(
     service: CompiledService, executed: collections.Counter[str], left_out: Collection[str]
 ) -> ServiceBalance:
-    eligible = [backend for backend in service.placeable if backend.name not in left_out]
+    eligible = [backend for backend in service.eligible_backends if backend.name not in left_out]
     total = sum(executed[backend.name] for backend in eligible)
     slots = sum(backend.slots for backend in eligible)
     if not total:
