--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -21,7 +21,7 @@
 from sloepond.resources.compiled import CompiledConfiguration
 from sloepond.resources.content import ResourceKey, resource_key, updated_content_slices
 from sloepond.resources.model import ConfigurationSnapshot, Resource
-from sloepond.resources.sharing import share_values_slices
+from sloepond.resources.sharing import intern_values_slices
 from sloepond.resources.slices import Slices, blocks
 
 REPORTED_FINDINGS = 3
@@ -130,7 +130,7 @@
 def _judge(
     base: CompiledConfiguration, generation: int, digest: str, delta: ConfigurationDelta
 ) -> Slices[Verdict]:
-    yield from share_values_slices(delta.changed)
+    yield from intern_values_slices(delta.changed)
     content = yield from updated_content_slices(base.content, generation, delta.changed, delta.removed)
     if content.digest != digest:
         return Verdict(Outcome.MISMATCH, DIGEST_MISMATCH, content.digest)
--- a/sloepond/resources/sharing.py
+++ b/sloepond/resources/sharing.py
@@ -21,7 +21,7 @@
 _NO_LABELS: dict[str, str] = {}
 
 
-def share_values_slices(resources: Iterable[Resource]) -> Slices[None]:
+def intern_values_slices(resources: Iterable[Resource]) -> Slices[None]:
     """Replace values of back ends by equal ones that are kept once; no value changes."""
     for block in blocks(resources):
         for resource in block:
