--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -29,7 +29,12 @@
 from sloepond.core.configuration.validation import findings_after
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
-from sloepond.resources.content import make_snapshot, only_backends, resource_key, updated_content_slices
+from sloepond.resources.content import (
+    changes_only_backends,
+    make_snapshot,
+    resource_key,
+    updated_content_slices,
+)
 from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
     API_VERSION,
@@ -130,7 +135,7 @@
     """Back ends that a change leaves equal stay the same objects, unless all is compiled anew."""
     declared = sum(isinstance(item, Backend) for item in base.content.resources)
     is_indexed = declared == len(base.backends_by_name)
-    if not is_indexed and not only_backends(delta.changed, delta.removed):
+    if not is_indexed and not changes_only_backends(delta.changed, delta.removed):
         return
     changed = {item.metadata.name for item in delta.changed} | {key.name for key in delta.removed}
     before, after = base.backends_by_name, updated.backends_by_name
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -17,7 +17,7 @@
 from sloepond.core.configuration.delta import ConfigurationDelta
 from sloepond.resources.compiled import CompiledConfiguration
 from sloepond.resources.compiled_items import CompiledBackend, is_place_permitted
-from sloepond.resources.content import ResourceKey, find_resource, only_backends, without_backends
+from sloepond.resources.content import ResourceKey, changes_only_backends, find_resource, without_backends
 from sloepond.resources.findings import Finding
 from sloepond.resources.locations import resolve_locations
 from sloepond.resources.model import (
@@ -59,7 +59,7 @@
     base: CompiledConfiguration, delta: ConfigurationDelta, resources: Sequence[Resource]
 ) -> Slices[tuple[Finding, ...]]:
     """Do the work of `findings_after` in slices."""
-    is_small = base.generation > 0 and only_backends(delta.changed, delta.removed)
+    is_small = base.generation > 0 and changes_only_backends(delta.changed, delta.removed)
     if is_small and (yield from _BackendChange(base, delta).is_right()):
         return ()
     others = without_backends(resources)
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -22,9 +22,9 @@
     GenerationContent,
     ResourceKey,
     backend_count,
+    changes_only_backends,
     content_of,
     make_snapshot,
-    only_backends,
     without_backends,
 )
 from sloepond.resources.index_update import IndexUpdate, removed_names
@@ -163,7 +163,7 @@
         Back ends of a service that is not declared are in no index, so where
         there are some, a change of services compiles all from the start.
         """
-        if only_backends(changed, removed):
+        if changes_only_backends(changed, removed):
             return True
         return backend_count(self.content.resources) == len(self.backends_by_name)
 
--- a/sloepond/resources/content.py
+++ b/sloepond/resources/content.py
@@ -38,7 +38,7 @@
     resources: SortedItems[Resource]
 
 
-def only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
+def changes_only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
     """Return whether a change concerns back ends alone."""
     return all(isinstance(resource, Backend) for resource in changed) and all(
         key.kind == _BACKEND_KIND for key in removed
