--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -27,7 +27,7 @@
 from sloepond.api.resource_status import with_status
 from sloepond.api.status import BalancerStatus
 from sloepond.cli import endpoints, exit_codes
-from sloepond.cli.fleet import combine, lagging
+from sloepond.cli.fleet import combine_statuses, lagging
 from sloepond.cli.main import run
 from sloepond.core.status import PeerReport
 from sloepond.resources.compiled import CompiledConfiguration
@@ -356,7 +356,7 @@
             best = heard[name][name] if name in heard else max(known[name] for known in heard.values())
             if best < generation:
                 expected.add(name)
-        behind = {report.name for report in lagging(combine(statuses), generation)}
+        behind = {report.name for report in lagging(combine_statuses(statuses), generation)}
         assert behind == expected, (behind, expected)
 
     check()
--- a/sloepond/cli/fleet.py
+++ b/sloepond/cli/fleet.py
@@ -36,7 +36,7 @@
 UNKNOWN_STATE = "unknown"
 
 
-def combine(statuses: Sequence[BalancerStatus]) -> tuple[BalancerReport, ...]:
+def combine_statuses(statuses: Sequence[BalancerStatus]) -> tuple[BalancerReport, ...]:
     """Return one report for each balancer that answered or is in the view of one that did.
 
     What a balancer says of itself wins.  Of what others say, the highest epoch
--- a/sloepond/cli/operator.py
+++ b/sloepond/cli/operator.py
@@ -18,7 +18,7 @@
 )
 from sloepond.cli.exit_codes import BAD_INPUT, OK, REFUSED, UNREACHABLE
 from sloepond.cli.failures import CommandFailure, report_failure
-from sloepond.cli.fleet import combine
+from sloepond.cli.fleet import combine_statuses
 from sloepond.cli.rendering import OutputFormat, print_findings, print_fleet, print_resources
 from sloepond.resources.model import Kind, Resource
 
@@ -145,7 +145,7 @@
         report_failure(failure)
     if not answer.statuses:
         return UNREACHABLE
-    print_fleet(combine(answer.statuses), output)
+    print_fleet(combine_statuses(answer.statuses), output)
     return OK
 
 
--- a/sloepond/cli/rollout.py
+++ b/sloepond/cli/rollout.py
@@ -9,7 +9,7 @@
 from sloepond.cli.balancer_access import BalancerAccess, FleetAnswer
 from sloepond.cli.exit_codes import NOT_IN_FORCE
 from sloepond.cli.failures import CommandFailure
-from sloepond.cli.fleet import BalancerReport, combine, lagging
+from sloepond.cli.fleet import BalancerReport, combine_statuses, lagging
 
 POLL_INTERVAL_S = 0.2
 
@@ -49,7 +49,7 @@
     """Return whether `generation` is in force on all balancers that are heard of."""
     if not answer.statuses:
         return answer.failures[0]
-    reports = combine(answer.statuses)
+    reports = combine_statuses(answer.statuses)
     behind = lagging(reports, generation)
     if behind:
         text = ", ".join(_describe(report) for report in behind)
