--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -23,7 +23,7 @@
 from sloepond.runtime.forwarding.http_client import HttpClient, HttpConnection
 from sloepond.runtime.forwarding.http_exchange import HttpExchange
 from sloepond.runtime.forwarding.log_writer import LogWriter
-from sloepond.runtime.forwarding.reachability_check import CHECK_S, ReachabilityCheck
+from sloepond.runtime.forwarding.reachability_check import CHECK_TIMEOUT_S, ReachabilityCheck
 from sloepond.runtime.forwarding.store_client import StoreClient
 
 CLOCK = "sloepond.runtime.forwarding.log_writer.monotonic_seconds"
@@ -213,7 +213,7 @@
     loop, context.results, context.failures = SimulatedLoop(), [], []
     with mock.patch(CONNECT, connect):
         ReachabilityCheck(loop, CHECKED, OTHER, context.results.append, context.failures.append)
-        ends_at = loop.clock() + 2 * CHECK_S
+        ends_at = loop.clock() + 2 * CHECK_TIMEOUT_S
         loop.follow_deadline(lambda: ends_at, loop.stop)
         loop.run()
 
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -34,7 +34,7 @@
 from sloepond.core.forwarding.state.backend_records import BackendState, Endpoint
 from sloepond.core.forwarding.state.backends import BackendDirectory
 from sloepond.runtime.forwarding.event_loop import EventLoop
-from sloepond.runtime.forwarding.reachability_check import CHECK_S, ReachabilityCheck
+from sloepond.runtime.forwarding.reachability_check import CHECK_TIMEOUT_S, ReachabilityCheck
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 ALL = range(1, 8)
@@ -245,7 +245,7 @@
     """Return what one check finds, and make sure that it tells so once."""
     loop, results, failures = EventLoop(), [], []
     ReachabilityCheck(loop, endpoint, control, results.append, failures.append)
-    ends_at = loop.clock() + 2 * CHECK_S
+    ends_at = loop.clock() + 2 * CHECK_TIMEOUT_S
     loop.follow_deadline(lambda: ends_at, loop.stop)
     loop.run()
     assert len(results) == 1 and failures == [], (results, failures)
--- a/sloepond/runtime/forwarding/reachability_check.py
+++ b/sloepond/runtime/forwarding/reachability_check.py
@@ -26,7 +26,7 @@
 Both have to be made.  Without a control two living back ends seemed gone on one day, while the
 balancer's own link of 10 Mbit/s was full; with one none did (trial).
 """
-CHECK_S = 0.1
+CHECK_TIMEOUT_S = 0.1
 """How long a check takes at most, in seconds; a connection between halls is made in about 3 ms.
 
 On a day of silent back ends worth was 0.945 with 0.4 s, 0.960 with 0.16 s and 0.973 with 0.1 s
@@ -45,7 +45,7 @@
     """One check of one back end.
 
     :param control: address of another back end; None if there is none.
-    :param report: called once with the result, `CHECK_S` after the start at the latest.
+    :param report: called once with the result, `CHECK_TIMEOUT_S` after the start at the latest.
     :param report_failure: called for each connection that this process had no resources for.
     """
 
@@ -64,7 +64,7 @@
         self._control_reached = 0
         self._is_reported = False
         now = loop.clock()
-        self._ends_at = now + CHECK_S
+        self._ends_at = now + CHECK_TIMEOUT_S
         for delay_s in TRIES_S:
             loop.start(self._try(endpoint, now + delay_s))
         if control is not None:
