--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -24,7 +24,7 @@
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, RouteConfiguration, Share
-from sloepond.platform.packet_codec import FLAG_ACK, FLAG_SYN, HEAD, PlatformPacketCodec
+from sloepond.platform.packet_codec import FLAG_ACK, FLAG_SYN, HEADER, PlatformPacketCodec
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.forwarding.data_path import DataPath
 from sloepond.runtime.forwarding.log_writer import LogWriter
@@ -128,7 +128,7 @@
 
 def client_packet(number: int, flags: int, data: bytes, token: int) -> bytes:
     """Return a client's packet."""
-    return HEAD.pack(1, 1, 1, 1000 + number, 443, 0xC6120001, 1, len(data), flags, 0, token) + data
+    return HEADER.pack(1, 1, 1, 1000 + number, 443, 0xC6120001, 1, len(data), flags, 0, token) + data
 
 
 def bound_socket() -> socket.socket:
--- a/sloepond/platform/packet_codec.py
+++ b/sloepond/platform/packet_codec.py
@@ -13,7 +13,7 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.runtime.forwarding.drivers import PacketCodec
 
-HEAD = struct.Struct(">IIIHHIIHBBI")
+HEADER = struct.Struct(">IIIHHIIHBBI")
 """seq, ack, src, sport, dport, dst, sum, len, flags, pad, echo; big-endian.
 
 `src` and `sport` are the caller's, `dst` and `dport` the route's.  `ack` of an opening packet
@@ -45,10 +45,10 @@
 
     def decode(self, datagram: bytes) -> Segment | None:
         """Return the head of a caller's packet, None if it is too short or `len` doesn't fit."""
-        if len(datagram) < HEAD.size:
+        if len(datagram) < HEADER.size:
             return None
-        seq, ack, src, sport, dport, dst, _, length, flags, _, token = HEAD.unpack_from(datagram)
-        if length != len(datagram) - HEAD.size:
+        seq, ack, src, sport, dport, dst, _, length, flags, _, token = HEADER.unpack_from(datagram)
+        if length != len(datagram) - HEADER.size:
             return None
         is_opening = flags & (FLAG_SYN | FLAG_ACK) == FLAG_SYN
         is_closing = flags & FLAG_FIN != 0
@@ -58,18 +58,18 @@
     def encode(self, datagram: bytes, backend: ForwardingBackend) -> bytes:
         """Return the packet with the identity of the back end before it and the routing token in it."""
         head = datagram[:TOKEN_OFFSET]
-        return b"".join((backend.prefix, head, backend.token_bytes, datagram[HEAD.size :]))
+        return b"".join((backend.prefix, head, backend.token_bytes, datagram[HEADER.size :]))
 
     def encode_reset(self, segment: Segment) -> bytes:
         """Return a reset from the route's endpoint to the caller; its sum is 0, as the platform allows."""
         route, route_port = segment.destination, segment.destination_port
         caller, caller_port = segment.source, segment.source_port
         sequence = segment.acknowledgement
-        return HEAD.pack(sequence, 0, route, route_port, caller_port, caller, 0, 0, FLAG_RST, 0, 0)
+        return HEADER.pack(sequence, 0, route, route_port, caller_port, caller, 0, 0, FLAG_RST, 0, 0)
 
     def request_id(self, datagram: bytes) -> str:
         """Return the value of the request's id header, empty if there is none in this packet."""
-        start = datagram.find(REQUEST_ID_HEADER, HEAD.size)
+        start = datagram.find(REQUEST_ID_HEADER, HEADER.size)
         if start < 0:
             return ""
         start += len(REQUEST_ID_HEADER)
