--- a/sloepond/platform/__init__.py
+++ b/sloepond/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls; nothing that decides."""
+"""Adapter to the platform: its names, packet and store formats; makes no decisions."""
--- a/sloepond/platform/balancer.py
+++ b/sloepond/platform/balancer.py
@@ -1,4 +1,4 @@
-"""A balancer on the platform: the forwarding service with the platform's formats."""
+"""Runs the forwarding service with the platform's packet, store and settings formats."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def run_balancer(settings: ForwardingSettings, descriptors: BoundDescriptors, signals: int) -> None:
-    """Run until SIGTERM has stopped it.
+    """Run until a planned stop is complete.
 
-    :param signals: descriptor that receives the number of each signal as a byte.
+    :param signals: descriptor that yields the number of each received signal as one byte.
     """
     _, reply_port = split_address(settings.edge)
     drivers = PlatformDrivers(
