--- a/features/forwarding/platform.feature
+++ b/features/forwarding/platform.feature
@@ -1,27 +1,27 @@
-Feature: The platform's names and formats
+Feature: The platform's packet, store and settings formats
 
-  Scenario: A packet is read and sent on as the platform's page shows
-    Then platform packets follow the example of the page
+  Scenario: A packet is decoded and forwarded as in the platform's documentation
+    Then platform packets match the documented example
 
-  Scenario: Only the token is changed in a packet
-    Then platform property: a packet sent on differs in the token only
+  Scenario: Forwarding a packet changes only its token
+    Then platform property: a forwarded packet differs in its token only
 
-  Scenario: Datagrams that are no packets are dropped
+  Scenario: Datagrams that are not packets are dropped
     Then platform property: any datagram is decoded or dropped
 
-  Scenario: Settings files are read, unknown fields ignored
-    Then platform settings are read from lines
+  Scenario: Settings files are parsed and unknown fields ignored
+    Then platform settings are parsed from lines
 
-  Scenario: The store's answers are read, whatever they hold
+  Scenario: Every response of the store is decoded or reported as a failure
     Then platform documents become routes and back ends
-    And platform property: any answer of the store becomes an event
+    And platform property: any response of the store becomes an event
 
-  Scenario: An answer in any pieces is one answer
-    Then platform property: a response cut anywhere is the same response
+  Scenario: A response is parsed alike in whatever pieces it arrives
+    Then platform property: a response split anywhere is the same response
 
-  Scenario: A list of many pages is read whole
-    Then platform pages are put together under the first revision
-    And platform pages that go on failing end the read
+  Scenario: A list of several pages is read completely
+    Then platform pages are merged under the revision of the first page
+    And a platform read fails after repeated failures of a page
 
-  Scenario: Nothing outside the adapter names the platform
-    Then the platform's names stand in the adapter only
+  Scenario: The platform's names occur only in its adapter
+    Then the platform's names occur in the adapter only
--- a/features/steps/forwarding_platform_steps.py
+++ b/features/steps/forwarding_platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the platform's names and formats."""
+"""Steps on the platform's packet, store and settings formats."""
 
 from __future__ import annotations
 
@@ -88,18 +88,18 @@
 
 
 def operator_page(revision, configuration=CONFIGURATION, evacuated=()):
-    """Return the body of an answer with what operators have written."""
+    """Return the body of a response with the items that operators have written."""
     items = [item("op/config", configuration, 412)]
     items.extend(item(f"op/evacuate/{zone}", b"{}", 413) for zone in evacuated)
     return encode({"items": items, "more": False, "at": revision})
 
 
 def encode(answer):
-    """Return an answer's body."""
+    """Return the body of a response."""
     return msgspec.json.encode(answer)
 
 
-@then("platform packets follow the example of the page")
+@then("platform packets match the documented example")
 def example_packets(context):
     segment = CODEC.decode(SYN)
     assert segment.is_opening and not segment.is_closing and not segment.is_reset
@@ -114,7 +114,7 @@
     assert sent[36:40] == token_of(0x7F3A91C2).to_bytes(4, "big")
 
 
-@then("platform property: a packet sent on differs in the token only")
+@then("platform property: a forwarded packet differs in its token only")
 def only_the_token(context):
     @PROPERTY
     @for_all(st.binary(min_size=32, max_size=32), st.binary(max_size=200), st.integers(1, 2**64 - 1))
@@ -140,7 +140,7 @@
     check()
 
 
-@then("platform settings are read from lines")
+@then("platform settings are parsed from lines")
 def settings_lines(context):
     read = parse_settings(SETTINGS)
     assert (read.name, read.hall, read.ip) == ("front-osu-hall-1", "osu-hall", "10.1.0.10")
@@ -165,8 +165,8 @@
     assert read.evacuated == ("osu-hall",)
     assert read.configuration.cold_starts == (ColdStart("a", 2.0, 3.0),)
     assert read.configuration.routes[1].regions == ("accra",)
-    for told, regions in ((b'"accra"', ("accra",)), (b"null", ()), (b"[]", ())):
-        other = operator_page(1, CONFIGURATION.replace(b'["accra"]', told))
+    for written, regions in ((b'"accra"', ("accra",)), (b"null", ()), (b"[]", ())):
+        other = operator_page(1, CONFIGURATION.replace(b'["accra"]', written))
         assert STORE.decode_page(Subject.ROUTES, other).event.configuration.routes[1].regions == regions
     first, second = read.configuration.routes
     assert first.shares == (Share("a", 90), Share("b", 10))
@@ -192,7 +192,7 @@
     assert changed.halls == (EvacuationChange("tema-hall", 33, True), EvacuationChange("osu-hall", 34, False))
 
 
-@then("platform property: any answer of the store becomes an event")
+@then("platform property: any response of the store becomes an event")
 def any_answer(context):
     good = operator_page(530)
     bodies = st.one_of(
@@ -221,7 +221,7 @@
     )
 
 
-@then("platform property: a response cut anywhere is the same response")
+@then("platform property: a response split anywhere is the same response")
 def cut_response(context):
     whole = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 11\r\n\r\nhello world"
 
@@ -246,10 +246,10 @@
         exchange.receive(b"")
     except HttpSyntaxError:
         return
-    raise AssertionError("an answer that ends early looks complete")
+    raise AssertionError("a truncated response was taken for a complete one")
 
 
-@then("platform pages are put together under the first revision")
+@then("platform pages are merged under the revision of the first page")
 def pages(context):
     paged = PagedRead(ReadSubject(Subject.BACKENDS), STORE, retries=2)
     assert paged.target == "/api/kv-range?path_prefix=servers/"
@@ -266,7 +266,7 @@
     assert event.revision == 8 and [r.name for r in event.records] == ["i-1", "i-2"]
 
 
-@then("the platform's names stand in the adapter only")
+@then("the platform's names occur in the adapter only")
 def names_in_adapter(context):
     root = pathlib.Path(__file__).parents[2] / "sloepond"
     adapter = root / "platform"
@@ -277,7 +277,7 @@
     assert lines < ADAPTER_LINES
 
 
-@then("platform pages that go on failing end the read")
+@then("a platform read fails after repeated failures of a page")
 def pages_fail(context):
     paged = PagedRead(ReadSubject(Subject.BACKENDS, may_be_stale=True), STORE, retries=1)
     assert paged.target == "/api/kv-range?path_prefix=servers/&stale=1"
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -13,7 +13,7 @@
 FILE_VARIABLE = "SLOEPOND_NODE_FILE"
 """Environment variable with the path of the settings file."""
 DEFAULT_FILE = "/etc/sloepond/node.conf"
-REGION_FIELD_PREFIX = "zones."
+ZONE_PREFIX = "zones."
 """Prefix of the fields that give a hall's region: `zones.HALL=REGION`."""
 MS_PER_S = 1000.0
 FILE_NAMES = {"hall": "zone"}
@@ -116,11 +116,7 @@
 
 def _regions(fields: dict[str, str]) -> dict[str, str]:
     """Return the region of each hall."""
-    return {
-        name.removeprefix(REGION_FIELD_PREFIX): fields[name]
-        for name in fields
-        if name.startswith(REGION_FIELD_PREFIX)
-    }
+    return {name.removeprefix(ZONE_PREFIX): fields[name] for name in fields if name.startswith(ZONE_PREFIX)}
 
 
 def _capacity(file: SettingsText) -> float:
