--- a/features/steps/forwarding_client_steps.py
+++ b/features/steps/forwarding_client_steps.py
@@ -20,9 +20,9 @@
 from sloepond.core.forwarding.state.backend_records import Endpoint
 from sloepond.platform.store import PlatformStoreCodec
 from sloepond.runtime.forwarding.event_loop import EventLoop
-from sloepond.runtime.forwarding.http_client import LONGEST_CALL_S, HttpClient, HttpConnection
+from sloepond.runtime.forwarding.http_client import MAXIMUM_RESPONSE_S, HttpClient, HttpConnection
 from sloepond.runtime.forwarding.http_exchange import HttpExchange, HttpFailure, HttpResponse
-from sloepond.runtime.forwarding.http_message import BodyReader, HttpSyntaxError, quote, take_head
+from sloepond.runtime.forwarding.http_message import BodyReader, HttpSyntaxError, extract_head, quote
 from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.store_client import StoreClient
 
@@ -96,7 +96,7 @@
 @then("forwarding gives the answer up after the longest time of a call")
 def gives_up_long(context):
     assert context.answer is HttpFailure.TIMED_OUT
-    assert abs(context.took_s - LONGEST_CALL_S) < INTERVAL_S
+    assert abs(context.took_s - MAXIMUM_RESPONSE_S) < INTERVAL_S
 
 
 def read_routes_in_halves(context, halves):
@@ -257,11 +257,11 @@
         buffer, head = bytearray(), None
         for part in pieces(data, cuts):
             buffer += part
-            head = head or take_head(buffer)
-        assert head.words == ("GET", expected.target.decode(), "HTTP/1.1")
+            head = head or extract_head(buffer)
+        assert head.start_line == ("GET", expected.target.decode(), "HTTP/1.1")
         reader = BodyReader(head.content_length, head.is_chunked)
-        reader.take(buffer)
-        assert reader.is_whole and reader.body == body and not buffer
+        reader.consume(buffer)
+        assert reader.is_complete and reader.body == body and not buffer
 
     check()
 
--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -109,7 +109,7 @@
 @when("forwarding sends 500 resets through that socket within a second")
 def sends_often(context):
     for _ in range(500):
-        context.data_path.reset((segment(STREAM),))
+        context.data_path.send_resets((segment(STREAM),))
         context.logs.now += 0.001
 
 
--- a/features/steps/forwarding_loop_model.py
+++ b/features/steps/forwarding_loop_model.py
@@ -79,12 +79,12 @@
         self.simulated = SimulatedSelector()
         super().__init__(lambda: self.simulated.now, self.simulated)
 
-    def run_to_end(self, routine):
+    def run_to_end(self, coroutine):
         """Run a coroutine to its end; return what it returns."""
         results = []
 
         async def keep():
-            results.append(await routine)
+            results.append(await coroutine)
 
         self.start(keep())
         for _ in range(READ_FOR_EVER):
--- a/features/steps/forwarding_platform_steps.py
+++ b/features/steps/forwarding_platform_steps.py
@@ -209,16 +209,16 @@
     @PROPERTY
     @for_all(answers, st.sampled_from(tuple(Subject)))
     def check(answer, subject):
-        assert isinstance(PagedRead(ReadSubject(subject), STORE).answered(answer), events)
+        assert isinstance(PagedRead(ReadSubject(subject), STORE).handle_response(answer), events)
         if isinstance(answer, HttpResponse):
             assert isinstance(STORE.decode_watch(WatchSubject(subject, 1, 1.0), answer.body), events)
 
     check()
-    throttled = PagedRead(ReadSubject(Subject.ROUTES), STORE).answered(HttpResponse(429, b""))
+    throttled = PagedRead(ReadSubject(Subject.ROUTES), STORE).handle_response(HttpResponse(429, b""))
     assert throttled == StoreCallFailed(Subject.ROUTES, StoreFailure.THROTTLED, False)
-    assert PagedRead(ReadSubject(Subject.ROUTES), STORE).answered(HttpResponse(404, b"")) == RoutesRead(
-        0, None
-    )
+    assert PagedRead(ReadSubject(Subject.ROUTES), STORE).handle_response(
+        HttpResponse(404, b""),
+    ) == RoutesRead(0, None)
 
 
 @then("platform property: a response split anywhere is the same response")
@@ -254,15 +254,15 @@
     paged = PagedRead(ReadSubject(Subject.BACKENDS), STORE, retries=2)
     assert paged.target == "/api/kv-range?path_prefix=servers/"
     first = encode({"items": [item("servers/i-1", SERVER, 3)], "more": True, "at": 8})
-    assert paged.answered(HttpResponse(200, first)) is None
+    assert paged.handle_response(HttpResponse(200, first)) is None
     assert paged.target == "/api/kv-range?path_prefix=servers/&after=servers/i-1"
     for _ in range(2):
-        assert paged.answered(HttpResponse(429, b"")) is None
+        assert paged.handle_response(HttpResponse(429, b"")) is None
         assert paged.target.endswith("&after=servers/i-1")
-    assert paged.wait_s == 0.2
+    assert paged.delay_s == 0.2
     last = encode({"items": [item("servers/i-2", SERVER, 9)], "more": False, "at": 12})
-    event = paged.answered(HttpResponse(200, last))
-    assert paged.wait_s == 0.0
+    event = paged.handle_response(HttpResponse(200, last))
+    assert paged.delay_s == 0.0
     assert event.revision == 8 and [r.name for r in event.records] == ["i-1", "i-2"]
 
 
@@ -282,9 +282,9 @@
     paged = PagedRead(ReadSubject(Subject.BACKENDS, may_be_stale=True), STORE, retries=1)
     assert paged.target == "/api/kv-range?path_prefix=servers/&stale=1"
     failed = StoreCallFailed(Subject.BACKENDS, StoreFailure.THROTTLED, False)
-    assert paged.answered(HttpResponse(429, b"")) == failed
+    assert paged.handle_response(HttpResponse(429, b"")) == failed
     first = encode({"items": [item("servers/i-1", SERVER, 3)], "more": True, "at": 8})
-    assert paged.answered(HttpResponse(200, first)) is None
+    assert paged.handle_response(HttpResponse(200, first)) is None
     assert paged.target.endswith("&after=servers/i-1&stale=1")
-    assert paged.answered(HttpResponse(429, b"")) is None
-    assert paged.answered(HttpResponse(429, b"")) == failed
+    assert paged.handle_response(HttpResponse(429, b"")) is None
+    assert paged.handle_response(HttpResponse(429, b"")) == failed
--- a/sloepond/runtime/forwarding/assembly.py
+++ b/sloepond/runtime/forwarding/assembly.py
@@ -1,7 +1,7 @@
 """Builds a forwarding balancer from its settings, its sockets and a platform's formats.
 
-Owns nothing: each part belongs to the service that is returned.  Relies on sockets that are
-bound already (`binding`) and on the adapter of a platform for packets, store and settings file.
+Owns nothing; the returned service owns all parts.  Relies on sockets that are already bound
+(`binding`) and on a platform's adapter for the formats of packets, store and settings file.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 ) -> ForwardingService:
     """Return a balancer that is ready to run, and log its start.
 
-    :param signals: descriptor that receives the number of each signal as a byte.
+    :param signals: descriptor that yields the number of each received signal as one byte.
     """
     node = _node(settings)
     logs = LogWriter(node.counters)
@@ -61,7 +61,7 @@
 
 
 def _slow_start_limit(settings: ForwardingSettings) -> SlowStartLimit | None:
-    """Return the limit of flows to back ends that have just started, None if the settings name none."""
+    """Return the limit of new flows to cold back ends, None if the settings set none."""
     if settings.cold_slack_per_s is None:
         return None
     return SlowStartLimit(settings.cold_factor, settings.cold_slack_per_s)
--- a/sloepond/runtime/forwarding/binding.py
+++ b/sloepond/runtime/forwarding/binding.py
@@ -1,11 +1,11 @@
-"""Binds a balancer's sockets before anything else is loaded.
+"""Binds a balancer's sockets before the rest of the code is imported.
 
-What callers send to a port that is not bound is lost.  `socket` loads enumerations and
-selectors, which doubles the time to here, so this module uses the C module under it and
-hands on descriptors; `sloepond.runtime.forwarding.process` makes sockets of them.
+Packets that arrive before a port is bound are lost.  Importing `socket` also imports enumerations
+and selectors, which doubles the time until the sockets are bound, so this module uses the C module
+`_socket` and returns descriptors; `sloepond.runtime.forwarding.process` turns them into sockets.
 
-Owns nothing after it returns.  Relies on addresses of the form `ip:port` and, for the
-short time to here, on importing nothing but `_socket` and `process`.
+Owns nothing after it returns.  Relies on addresses of the form `ip:port`.  Must import nothing but
+`_socket` and `process`, so that the sockets are bound early.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 )
 
 RECEIVE_BUFFER_BYTES = 1024 * 1024
-"""Room for what arrives while the rest is loaded, in bytes.
+"""Receive buffer for packets that arrive while the rest is imported, in bytes.
 
-Not measured: the system counts some 2 kB for a packet, so this holds some hundreds, which is more
-than a balancer gets in the 0.1 s that loading takes on a whole core.
+The kernel accounts about 2 kB for a packet, so the buffer holds some hundreds, more than a balancer
+receives in the 0.1 s that the imports take on a whole core.
 """
 BACKLOG = 64
-"""Connections that may wait to be accepted.
+"""Connections in the listen queue: as many as `http_server` serves at once.
 
-Not measured: as many as `http_server` serves at once; beyond it a client's SYN is sent again.
+Beyond it the kernel drops a client's SYN and the client retransmits it.
 """
 
 
 def bind_sockets(settings: ForwardingSettings) -> BoundDescriptors:
     """Bind all sockets of a balancer.
 
-    :raises OSError: if an address cannot be bound; that of the metrics only sets a reason.
+    :raises OSError: if an address cannot be bound, except that of the metrics, whose failure is returned.
     :raises ValueError: if an address has no port.
     """
     peer = f"{settings.ip}:{settings.peer_port}"
@@ -57,7 +57,7 @@
 
 
 def _listen_if_possible(address: str) -> int | NotBound:
-    """Return a listening descriptor, or why there is none: a balancer without metrics still forwards."""
+    """Return a listening descriptor, or the reason for its absence: metrics are optional."""
     if not address:
         return NotBound("the settings name no address")
     try:
--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -1,8 +1,8 @@
-"""The data path: reads callers' packets from a socket, has the node decide, and sends them on.
+"""The data path: reads callers' packets from a socket and forwards them as the node decides.
 
 Owns the callers' socket.  Relies on the node for every decision and on the adapter's codec for the
-format.  Nothing blocks: a batch of datagrams is read after each wait, and a packet that must
-wait is handed to the node as an event.
+packet format.  Never blocks: it reads at most one batch of datagrams each time the socket is readable,
+and hands a packet that has to be queued to the node as an event.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 class DataPath:
     """Forwards callers' packets.
 
-    :ivar report: takes events about packets that wait and back ends that may be gone; set by the service.
-    :param edge: bound, non-blocking UDP socket for callers' packets; they also leave through it.
-    :param logs: for a line about each decision, as far as its rate allows.
+    :ivar report: called with events about queued openings, unknown tokens and suspected back ends; set by
+        the service.
+    :param edge: bound, non-blocking UDP socket that receives callers' packets; all packets are sent from it.
+    :param logs: receives a line about each decision, within its rate limit.
     """
 
     def __init__(self, edge: Socket, codec: PacketCodec, node: ForwardingNode, logs: LogWriter) -> None:
@@ -42,25 +43,25 @@
         self._refusal_counters = {refusal: f"refused_{refusal.value}" for refusal in Refusal}
 
     def drain(self, now: float) -> int:
-        """Handle the packets that have arrived, one batch at most.
+        """Handle the packets in the socket's buffer, one batch at most.
 
-        :param now: time of all these decisions, in seconds of the loop's clock.
-        :returns: how many datagrams were read.
+        :param now: time of all decisions in the batch, in seconds of the loop's clock.
+        :returns: number of datagrams read.
         """
         receive = self._edge.recv
-        for taken in range(BATCH_DATAGRAMS):
+        for count in range(BATCH_DATAGRAMS):
             try:
                 datagram = receive(MAXIMUM_DATAGRAM_BYTES)
             except BlockingIOError:
-                return taken
+                return count
             except OSError as error:
                 self._failures.receive_failed(error)
-                return taken
-            self.packet(datagram, now)
+                return count
+            self.handle_packet(datagram, now)
         return BATCH_DATAGRAMS
 
-    def drop_waiting(self) -> None:
-        """Drop and count what has arrived: it has waited too long."""
+    def drop_buffered(self) -> None:
+        """Drop and count all packets in the socket's buffer, because they are too old."""
         while True:
             try:
                 self._edge.recv(MAXIMUM_DATAGRAM_BYTES)
@@ -71,8 +72,8 @@
                 return
             self._counters.packets_waited_too_long += 1
 
-    def packet(self, datagram: bytes, now: float) -> None:
-        """Decide on one packet of a caller and carry the decision out."""
+    def handle_packet(self, datagram: bytes, now: float) -> None:
+        """Have the node decide on one packet of a caller and carry out the decision."""
         self._counters.packets_received += 1
         segment = self._codec.decode(datagram)
         if segment is None:
@@ -81,7 +82,7 @@
         decision = self._node.decide(segment, now)
         backend = decision.backend
         if decision.queue:
-            self._logs.packet_waits(segment, self._node)
+            self._logs.flow_queued(segment, self._node)
             self.report(OpeningQueued(segment, datagram))
             return
         if backend is None:
@@ -98,7 +99,7 @@
             if request_id:
                 self._logs.request_seen(request_id, segment, backend)
 
-    def reset(self, segments: Iterable[Segment]) -> None:
+    def send_resets(self, segments: Iterable[Segment]) -> None:
         """Send a reset to the caller of each segment."""
         for segment in segments:
             self._counters.resets_sent += 1
@@ -110,7 +111,7 @@
         setattr(self._counters, name, getattr(self._counters, name) + 1)
         self._logs.packet_refused(segment, decision.refusal, self._node)
         if decision.reset:
-            self.reset((segment,))
+            self.send_resets((segment,))
         elif decision.lookup:
             self.report(UnknownTokenReceived(segment.token, datagram))
 
@@ -122,4 +123,4 @@
 
 
 def _ignore(event: Event) -> None:
-    """Do nothing: no service is set yet, and no packet is read before that."""
+    """Ignore an event; the service replaces this function before any packet is read."""
--- a/sloepond/runtime/forwarding/datagrams.py
+++ b/sloepond/runtime/forwarding/datagrams.py
@@ -1,7 +1,7 @@
-"""What the two UDP sockets of a balancer share: sizes, and what is noted when a call fails.
+"""Sizes that the two UDP sockets of a balancer share, and how their failed calls are recorded.
 
-Owns nothing.  Relies on the counters of the node and on the log.  The loops that read stay with
-their sockets: a call for each datagram would cost processor time on the data path.
+Owns nothing.  Relies on the node's counters and on the log.  Each socket has its own read loop,
+since a shared one would add a function call per datagram on the data path.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from sloepond.runtime.forwarding.log_writer import LogWriter
 
 BATCH_DATAGRAMS = 64
-"""Datagrams read after one wait, so that timers and the other sockets get their turn.
+"""Datagrams read in one step of the loop, so that timers and the other sockets are not delayed.
 
-Not measured: at 77,000 packets a second of processor time (docs/OPERATIONS.md, start budget) a
-batch takes 0.8 ms of a whole core.
+At 77,000 packets per second of processor time (docs/OPERATIONS.md, start budget) a batch takes 0.8 ms
+of a whole core.
 """
 MAXIMUM_DATAGRAM_BYTES = 2_048
-"""Longest datagram that is read whole, in bytes; of a longer one the rest is lost.
+"""Longest datagram that is read completely, in bytes; a longer one is truncated.
 
-Callers' packets have 1,232 at most, messages between balancers one Ethernet frame.
+Callers' packets have at most 1,232 bytes; a message between balancers fits into one Ethernet frame.
 """
 
 
 class DatagramFailures:
-    """Counts and logs the calls of one UDP socket that fail.
+    """Counts and logs the failed calls of one UDP socket.
 
-    :param subject: what the log calls the socket: `callers` or `peers`.
+    :param subject: name of the socket in log lines, `callers` or `peers`.
     """
 
     def __init__(self, counters: ForwardingCounters, logs: LogWriter, subject: str) -> None:
@@ -35,11 +35,11 @@
         self._subject = subject
 
     def receive_failed(self, error: OSError) -> None:
-        """Note a receive that failed, other than for an empty socket."""
+        """Record a receive that failed for another reason than an empty buffer."""
         self._counters.receives_failed += 1
         self._logs.failure(LogKind.RECEIVE_FAILED, self._subject, error)
 
     def send_failed(self, error: OSError) -> None:
-        """Note a datagram that could not be sent; for its sender it is lost."""
+        """Record a datagram that could not be sent; it is not sent again."""
         self._counters.sends_failed += 1
         self._logs.failure(LogKind.SEND_FAILED, self._subject, error)
--- a/sloepond/runtime/forwarding/drivers.py
+++ b/sloepond/runtime/forwarding/drivers.py
@@ -1,7 +1,7 @@
-"""What a platform's adapter provides: formats of packets, store and settings; nothing that decides.
+"""Interfaces that a platform's adapter implements: formats of packets, store and settings.
 
-Owns only these interfaces and the types they return.  Relies on the core's packets, commands and
-events; the adapter of a platform relies on this module.
+Adapters make no decisions.  Owns only these interfaces and the types that they return.  Relies on
+the core's packets, commands and events; a platform's adapter relies on this module.
 """
 
 from __future__ import annotations
@@ -19,34 +19,34 @@
 
 
 class PacketCodec(abc.ABC):
-    """Format of packets: bytes of datagrams in, heads and datagrams out."""
+    """Packet format: decodes headers of datagrams and encodes datagrams."""
 
     @abc.abstractmethod
     def decode(self, datagram: bytes) -> Segment | None:
-        """Return the head of a caller's packet, None if the datagram holds no packet."""
+        """Return the header of a caller's packet, None if the datagram is not a packet."""
 
     @abc.abstractmethod
     def encode(self, datagram: bytes, backend: ForwardingBackend) -> bytes:
-        """Return the packet as it is sent to a back end."""
+        """Return the datagram that forwards the packet to a back end."""
 
     @abc.abstractmethod
     def encode_reset(self, segment: Segment) -> bytes:
-        """Return a packet that resets the flow of a caller's packet."""
+        """Return a datagram that resets the flow of a caller's packet."""
 
     @abc.abstractmethod
     def request_id(self, datagram: bytes) -> str:
-        """Return the id of the request that begins in a packet, empty if none does; for log lines only."""
+        """Return the id of the request that begins in a packet, empty if none; used in log lines only."""
 
     @abc.abstractmethod
     def caller_endpoint(self, segment: Segment) -> tuple[str, int]:
-        """Return IP address and port that packets for the caller are sent to."""
+        """Return the IP address and port to which packets for the caller are sent."""
 
 
 class ReadPage(msgspec.Struct, frozen=True):
     """One page of a read.
 
-    :ivar event: what it holds, or why it cannot be decoded.
-    :ivar next_page: where the next page begins, empty if this is the last.
+    :ivar event: its content, or `StoreCallFailed` if it cannot be decoded.
+    :ivar next_page: key after which the next page begins, empty for the last page.
     """
 
     event: StoreEvent
@@ -56,7 +56,7 @@
 class StoreCodec(abc.ABC):
     """Keys and formats of the platform's store.
 
-    An answer that cannot be decoded is returned as `StoreCallFailed` with a detail.
+    A response that cannot be decoded is returned as `StoreCallFailed` with a detail.
     """
 
     @abc.abstractmethod
@@ -65,26 +65,26 @@
 
     @abc.abstractmethod
     def watch_target(self, command: WatchSubject) -> str:
-        """Return the target of a GET that waits for changes."""
+        """Return the target of a long-polling GET that waits for changes."""
 
     @abc.abstractmethod
     def probe_target(self) -> str:
-        """Return the target of the cheapest GET, which only shows that the store answers."""
+        """Return the target of the cheapest GET, which only shows that the store responds."""
 
     @abc.abstractmethod
     def decode_page(self, subject: Subject, body: bytes) -> ReadPage:
-        """Return what a page holds."""
+        """Return the content of a page."""
 
     @abc.abstractmethod
     def decode_watch(self, command: WatchSubject, body: bytes) -> StoreEvent:
-        """Return the changes in a watch's answer."""
+        """Return the changes in the response to a watch."""
 
 
 class PlatformDrivers:
-    """All that a balancer needs of a platform.
+    """The adapter of one platform.
 
     :ivar read_settings: reads the settings file; raises OSError, KeyError or ValueError.
-    :ivar file_names: name in the settings file of each setting that has another name in there.
+    :ivar file_names: name in the settings file of each setting whose name differs there.
     """
 
     def __init__(
--- a/sloepond/runtime/forwarding/early_signals.py
+++ b/sloepond/runtime/forwarding/early_signals.py
@@ -1,7 +1,7 @@
-"""Takes the signals of a process before anything else is loaded.
+"""Installs the signal handlers of a process before the rest of the code is imported.
 
-`signal` and `socket` load enumerations and selectors, so this module uses the C modules under them.  Owns
-the handlers of the signals; the event loop reads their numbers from the descriptor.
+`signal` and `socket` import enumerations and selectors, so this module uses the C modules `_signal` and
+`_socket`.  Owns the signal handlers; the event loop reads the signal numbers from the descriptor.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 import _socket
 
 SIGNALS = (_signal.SIGTERM, _signal.SIGINT, _signal.SIGHUP)
-"""Signals that ask for a stop, or for the settings to be read again."""
+"""Signals that request a planned stop or a reload of the settings."""
 
 
 def receive_signals() -> int:
-    """Return a descriptor that becomes readable with the number of each signal received."""
+    """Return a descriptor that yields the number of each received signal as one byte."""
     receiving, sending = _socket.socketpair(_socket.AF_UNIX, _socket.SOCK_STREAM)
     sending.setblocking(False)
     _signal.set_wakeup_fd(sending.detach(), warn_on_full_buffer=False)
@@ -24,4 +24,4 @@
 
 
 def _leave_to_wakeup(number: int, frame: object) -> None:
-    """Do nothing: the event loop reads the number from the wake-up socket."""
+    """Ignore the signal here; the event loop reads its number from the wake-up socket."""
--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -1,8 +1,8 @@
-"""A small event loop: coroutines and callbacks of one thread on a selector.
+"""A small event loop that runs coroutines and callbacks in one thread on a selector.
 
-It stands in for trio, whose loading takes two thirds of a start on a small machine
+It is used instead of trio, whose import takes two thirds of the start time on a small machine
 (docs/adr/0011-lean-event-loop.md).  Owns the selector, the running tasks and their timers; relies
-on a monotonic clock.  Every wait has a deadline, so no coroutine is ever cancelled from outside.
+on a monotonic clock.  Every wait has a deadline, so there is no cancellation.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from sloepond.runtime.clock import monotonic_seconds
 from sloepond.runtime.forwarding.sockets import Socket
 
-LONGEST_SELECT_S = 60.0
-"""Longest single wait for sockets, in seconds; a wait without any deadline is cut into these.
+MAXIMUM_SELECT_S = 60.0
+"""Longest timeout of one `select` call, in seconds; longer waits are split into several calls.
 
-Not measured: `epoll_wait` takes a bounded number of milliseconds, and one wake-up a minute costs nothing.
+`epoll_wait` accepts a bounded number of milliseconds, and one wake-up per minute costs nothing.
 """
 FOR_READING = selectors.EVENT_READ
-"""Event of a wait: there are bytes, a datagram or a connection, or the other end has closed."""
+"""Event of a wait: bytes, a datagram or a connection can be read, or the other end has closed."""
 FOR_WRITING = selectors.EVENT_WRITE
-"""Event of a wait: there is room to write, or a connection is made or refused."""
+"""Event of a wait: the socket can be written to, or its connection is established or refused."""
 
-Routine = Coroutine["Wait", None, None]
-"""A coroutine that the loop runs; it waits by `readable`, `writable` and `sleep_until` only."""
+TaskCoroutine = Coroutine["Wait", None, None]
+"""A coroutine that the loop runs; it may only await `readable`, `writable` and `sleep_until`."""
 
 
 class Wait:
     """What a coroutine waits for.
 
-    :ivar deadline: seconds of the loop's clock, `NEVER` for none.
-    :ivar stream: socket to become ready, None if only the time counts.
+    :ivar deadline: in seconds of the loop's clock, `NEVER` for none.
+    :ivar stream: socket that must become ready, None for a wait on time alone.
     :ivar events: `FOR_READING` or `FOR_WRITING`.
     """
 
@@ -57,7 +57,7 @@
 
 
 async def writable(stream: Socket, deadline: float) -> None:
-    """Wait until a socket can be written to, or until its connection is made or refused.
+    """Wait until a socket can be written to, or until its connection is established or refused.
 
     :raises TimeoutError: if the deadline passes first.
     """
@@ -77,23 +77,23 @@
 class Task:
     """A coroutine that the loop runs.
 
-    :ivar wait: what it waits for, None while it is due to run.
+    :ivar wait: its current wait, None while it is scheduled to run.
     """
 
-    __slots__ = ("routine", "wait")
+    __slots__ = ("coroutine", "wait")
 
-    def __init__(self, routine: Routine) -> None:
-        self.routine = routine
+    def __init__(self, coroutine: TaskCoroutine) -> None:
+        self.coroutine = coroutine
         self.wait: Wait | None = None
 
 
 class EventLoop:
     """Runs coroutines and callbacks until it is stopped.
 
-    An exception that a coroutine or a callback lets through ends the loop.
+    An unhandled exception of a coroutine or a callback ends the loop.
 
-    :param clock: returns seconds of a monotonic clock.
-    :param selector: waits for sockets; by default the best of the system.
+    :param clock: returns the time of a monotonic clock, in seconds.
+    :param selector: waits for sockets; by default the most efficient one of the system.
     """
 
     def __init__(
@@ -108,12 +108,12 @@
         self._due: deque[Task] = deque()
         self._tasks: set[Task] = set()
         self._next_deadline: Callable[[], float] = _never
-        self._on_time: Callable[[], None] = _nothing
+        self._on_time: Callable[[], None] = _ignore_deadline
         self._is_stopped = False
 
-    def start(self, routine: Routine) -> None:
-        """Run a coroutine beside the others; its first step comes after the step under way."""
-        task = Task(routine)
+    def start(self, coroutine: TaskCoroutine) -> None:
+        """Run a coroutine concurrently; its first step follows the current step of the loop."""
+        task = Task(coroutine)
         self._tasks.add(task)
         self._due.append(task)
 
@@ -122,11 +122,11 @@
         self._selector.register(stream, FOR_READING, on_readable)
 
     def unwatch(self, stream: Socket) -> None:
-        """Call the function of a socket no longer."""
+        """Stop calling the function of a watched socket."""
         self._selector.unregister(stream)
 
     def follow_deadline(self, next_deadline: Callable[[], float], on_timer: Callable[[], None]) -> None:
-        """Call a function whenever a deadline that may move has passed; there is one of these.
+        """Call a function whenever a deadline that may move has passed; a loop has only one of these.
 
         :param next_deadline: returns the deadline in seconds of the loop's clock; called before each wait.
         """
@@ -134,11 +134,11 @@
         self._on_time = on_timer
 
     def stop(self) -> None:
-        """End `run` after the step under way."""
+        """End `run` after the current step."""
         self._is_stopped = True
 
     def run(self) -> None:
-        """Run until stopped; coroutines still waiting are closed."""
+        """Run until stopped; then close the coroutines that still wait."""
         try:
             while not self._is_stopped:
                 self.run_once()
@@ -146,8 +146,8 @@
             self._close()
 
     def run_once(self) -> None:
-        """Wait for the next socket or deadline; handle sockets first, then deadlines, then due tasks."""
-        for key, _ in self._selector.select(self._time_to_wait()):
+        """Wait for a socket or deadline; handle sockets first, then deadlines, then scheduled tasks."""
+        for key, _ in self._selector.select(self._select_timeout()):
             if isinstance(key.data, Task):
                 self._resume(key.data)
             else:
@@ -158,11 +158,11 @@
         for _ in range(len(self._due)):
             self._step(self._due.popleft(), None)
 
-    def _time_to_wait(self) -> float:
+    def _select_timeout(self) -> float:
         if self._due:
             return 0.0
         deadline = min(self._next_deadline(), self._timers[0][0] if self._timers else NEVER)
-        return min(LONGEST_SELECT_S, max(0.0, deadline - self.clock()))
+        return min(MAXIMUM_SELECT_S, max(0.0, deadline - self.clock()))
 
     def _expire_waits(self) -> None:
         now = self.clock()
@@ -186,9 +186,9 @@
         task.wait = None
 
     def _step(self, task: Task, error: TimeoutError | None) -> None:
-        """Run a task up to its next wait, or to its end."""
+        """Run a task until its next wait or its end."""
         try:
-            wait = task.routine.send(None) if error is None else task.routine.throw(error)
+            wait = task.coroutine.send(None) if error is None else task.coroutine.throw(error)
         except StopIteration:
             self._tasks.discard(task)
             return
@@ -200,7 +200,7 @@
 
     def _close(self) -> None:
         for task in self._tasks:
-            task.routine.close()
+            task.coroutine.close()
         self._tasks.clear()
         self._selector.close()
 
@@ -209,5 +209,5 @@
     return NEVER
 
 
-def _nothing() -> None:
-    """Do nothing: there is no deadline to follow."""
+def _ignore_deadline() -> None:
+    """Do nothing; used until a deadline is followed."""
--- a/sloepond/runtime/forwarding/http_client.py
+++ b/sloepond/runtime/forwarding/http_client.py
@@ -1,7 +1,7 @@
-"""An HTTP client for one server: GET on connections that are kept open, each call with time limits.
+"""An HTTP client for one server: GET requests on persistent connections, each call with time limits.
 
 Owns the idle connections.  Relies on the event loop to wait and on `http_exchange` for the format.
-Calls run side by side, each on a connection of its own; a failure is a value, none is raised.
+Calls run concurrently, each on its own connection; a failure is returned, never raised.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import READ_BYTES, connect, keep_alive, send_all
 
-LONGEST_CALL_S = 8.0
-"""How long an answer may take after its first bytes, in seconds, however steadily they come.
+MAXIMUM_RESPONSE_S = 8.0
+"""Longest time from the first bytes of a response to its end, in seconds, however steadily bytes arrive.
 
-Not measured: the configuration of 2,588 routes took 1 s on a link of 10 Mbit/s; eight times that
-leaves room for a slower link and still ends a call that trickles on for ever.
+A configuration of 2,588 routes takes 1 s on a link of 10 Mbit/s; eight times that allows for slower
+links and still ends a response that trickles without end.
 """
 
 
 def _ignore(failure: HttpFailure, error: Exception) -> None:
-    """Do nothing: the caller needs no errors."""
+    """Ignore the error of a failed call."""
 
 
 class HttpClient:
-    """Calls one server, one call at a time on each kept connection.
+    """Calls one server, with one call at a time on each connection.
 
     :param server: IP address and port.
-    :param report: called with the error behind each `HttpFailure`, for a log line.
+    :param report: called with the error that caused each `HttpFailure`, for a log line.
     """
 
     def __init__(
@@ -44,16 +44,21 @@
         self._idle: list[HttpConnection] = []
 
     async def get(
-        self, target: str, silence_s: float, first_wait_s: float | None = None
+        self, target: str, silence_timeout_s: float, first_byte_timeout_s: float | None = None
     ) -> HttpResponse | HttpFailure:
-        """Return the response, or why there is none.
+        """Return the response, or the reason for its absence.
 
-        Silence ends the call, not the total time: a large answer takes long on a slow link.
+        A call times out after a silence rather than a total time, since a large response takes long on a
+        slow link.
 
-        :param silence_s: longest wait for the next bytes of the answer, in seconds.
-        :param first_wait_s: the same for the first bytes; `silence_s` if not given.
+        :param silence_timeout_s: longest time between two reads of response bytes, in seconds.
+        :param first_byte_timeout_s: longest time until the first bytes; by default `silence_timeout_s`.
         """
-        deadline = CallDeadline(self._loop, silence_s, silence_s if first_wait_s is None else first_wait_s)
+        deadline = CallDeadline(
+            self._loop,
+            silence_timeout_s,
+            silence_timeout_s if first_byte_timeout_s is None else first_byte_timeout_s,
+        )
         connection: HttpConnection | None = None
         try:
             connection = self._idle.pop() if self._idle else await self._connect(deadline)
@@ -61,18 +66,18 @@
         except (OSError, HttpSyntaxError) as error:
             if connection is not None:
                 connection.close()
-            return self._failed(error)
-        self._keep(connection)
+            return self._handle_error(error)
+        self._release(connection)
         return response
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
 
-    def _failed(self, error: Exception) -> HttpFailure:
-        """Return what an error of a call means; after a time-out the idle connections are closed too."""
+    def _handle_error(self, error: Exception) -> HttpFailure:
+        """Return the failure for an error of a call; after a timeout the idle connections are closed too."""
         if isinstance(error, TimeoutError):
             failure = HttpFailure.TIMED_OUT
             self.close()
@@ -81,7 +86,7 @@
         self._report(failure, error)
         return failure
 
-    def _keep(self, connection: HttpConnection) -> None:
+    def _release(self, connection: HttpConnection) -> None:
         if connection.exchange.is_reusable:
             self._idle.append(connection)
         else:
@@ -95,23 +100,23 @@
 
 
 class CallDeadline:
-    """When a call is given up; each part of the answer postpones it, up to `LONGEST_CALL_S`.
+    """The deadline of a call; each part of the response extends it, up to `MAXIMUM_RESPONSE_S`.
 
-    :ivar at: seconds of the loop's clock.
+    :ivar at: in seconds of the loop's clock.
     """
 
-    def __init__(self, loop: EventLoop, silence_s: float, first_wait_s: float) -> None:
+    def __init__(self, loop: EventLoop, silence_timeout_s: float, first_byte_timeout_s: float) -> None:
         self._loop = loop
-        self._silence_s = silence_s
-        self._latest: float | None = None
-        self.at = loop.clock() + first_wait_s
+        self._silence_timeout_s = silence_timeout_s
+        self._limit: float | None = None
+        self.at = loop.clock() + first_byte_timeout_s
 
     def extend(self) -> None:
-        """Postpone the deadline: bytes of the answer have come."""
+        """Extend the deadline, because bytes of the response have arrived."""
         now = self._loop.clock()
-        if self._latest is None:
-            self._latest = now + LONGEST_CALL_S
-        self.at = min(now + self._silence_s, self._latest)
+        if self._limit is None:
+            self._limit = now + MAXIMUM_RESPONSE_S
+        self.at = min(now + self._silence_timeout_s, self._limit)
 
 
 class HttpConnection:
@@ -124,9 +129,9 @@
     async def get(self, target: str, deadline: CallDeadline) -> HttpResponse:
         """Send a request and return the response.
 
-        :param deadline: extended whenever bytes come.
-        :raises OSError: if the connection fails, `TimeoutError` if it is too slow.
-        :raises HttpSyntaxError: if the server does not speak HTTP, or closes within its response.
+        :param deadline: extended whenever bytes arrive.
+        :raises OSError: if the connection fails, `TimeoutError` after the deadline.
+        :raises HttpSyntaxError: if the response is not HTTP/1.1 or is truncated.
         """
         await send_all(self._stream, self.exchange.request(target), deadline.at)
         response = None
--- a/sloepond/runtime/forwarding/http_exchange.py
+++ b/sloepond/runtime/forwarding/http_exchange.py
@@ -1,6 +1,6 @@
-"""The client's side of one HTTP connection, without I/O: request bytes out, response bytes in.
+"""The client side of one HTTP connection, without I/O: encodes requests and parses responses.
 
-Owns the bytes that are not yet a response.  Relies on `http_message` for heads and bodies.
+Owns the bytes of an incomplete response.  Relies on `http_message` for heads and bodies.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from sloepond.runtime.forwarding.http_message import BodyReader, HttpHead, HttpSyntaxError, take_head
+from sloepond.runtime.forwarding.http_message import BodyReader, HttpHead, HttpSyntaxError, extract_head
 
 INFORMATIONAL = range(100, 200)
-"""Statuses of interim responses (RFC 9110): the final one follows."""
+"""Statuses of interim responses (RFC 9110); the final response follows."""
 WITHOUT_BODY = (204, 304)
 """Statuses of responses without a body, whatever their headers say (RFC 9110)."""
 
 
 class HttpFailure(enum.Enum):
-    """Why a call brought no response."""
+    """Why a call has no response."""
 
     UNREACHABLE = "unreachable"
     TIMED_OUT = "timed_out"
@@ -33,10 +33,10 @@
 
 
 class HttpExchange:
-    """GET after GET on one connection.
+    """Successive GET requests on one connection.
 
     :param host: `ip:port` of the server.
-    :ivar is_reusable: whether another request can be made after the last response.
+    :ivar is_reusable: whether the connection can carry another request after the last response.
     """
 
     def __init__(self, host: str) -> None:
@@ -55,29 +55,29 @@
         return f"GET {target} HTTP/1.1\r\nHost: {self._host}\r\n\r\n".encode("ascii")
 
     def receive(self, data: bytes) -> HttpResponse | None:
-        """Take bytes of the server; return the response once it is whole.
+        """Add received bytes; return the response once it is complete.
 
         :param data: empty if the server has closed the connection.
-        :raises HttpSyntaxError: if the server does not speak HTTP, or closes within its response.
+        :raises HttpSyntaxError: if the response is not HTTP/1.1 or is truncated.
         """
         self._buffer += data
         while self._head is None:
-            head = take_head(self._buffer)
+            head = extract_head(self._buffer)
             if head is None:
                 if not data:
                     raise HttpSyntaxError("the connection closed before a response")
                 return None
             self._begin_response(head)
         assert self._body is not None
-        self._body.take(self._buffer)
-        if not data and not self._body.is_whole:
+        self._body.consume(self._buffer)
+        if not data and not self._body.is_complete:
             self._body.connection_closed()
-        return self._end_response(not data) if self._body.is_whole else None
+        return self._end_response(not data) if self._body.is_complete else None
 
     def _begin_response(self, head: HttpHead) -> None:
-        version, status, _ = head.words
+        version, status, _ = head.start_line
         if not version.startswith("HTTP/1.") or not (status.isascii() and status.isdigit()):
-            raise HttpSyntaxError(f"status line {head.words!r}")
+            raise HttpSyntaxError(f"malformed status line {head.start_line!r}")
         self._status = int(status)
         if self._status in INFORMATIONAL:
             return
--- a/sloepond/runtime/forwarding/http_message.py
+++ b/sloepond/runtime/forwarding/http_message.py
@@ -1,85 +1,85 @@
-"""Heads and bodies of HTTP/1.1 messages, without I/O.
+"""Parses heads and bodies of HTTP/1.1 messages, without I/O.
 
-Understands what the store, the routers' readiness check and a metrics scraper send.  Loading h11
-takes 30% of a start (docs/adr/0011-lean-event-loop.md); properties compare this reader with it.
-Owns and relies on nothing: buffers belong to the callers.
+Supports what the store, the routers' readiness check and metrics scrapers send.  h11 is not used,
+since its import takes 30% of the start time (docs/adr/0011-lean-event-loop.md); property tests compare
+this parser with it.  Owns and relies on nothing; buffers belong to the callers.
 """
 
 from __future__ import annotations
 
 END_OF_LINE = b"\r\n"
 END_OF_HEAD = b"\r\n\r\n"
-LONGEST_HEAD_BYTES = 16_384
-"""Longest head that is read, in bytes; h11 has the same limit."""
-LONGEST_CHUNK_LINE_BYTES = 256
-"""Longest line with the size of a chunk, in bytes, extensions included.
+MAXIMUM_HEAD_BYTES = 16_384
+"""Longest accepted head, in bytes; h11 has the same limit."""
+MAXIMUM_CHUNK_LINE_BYTES = 256
+"""Longest line with the size of a chunk, in bytes: 16 digits and some extensions.
 
-Not measured: 16 digits and some words; it bounds what is kept of a line that never ends.
+It bounds the buffer for a line that never ends.
 """
 HEXADECIMAL = frozenset(b"0123456789abcdefABCDEF")
 
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~/")
-"""Bytes that a query holds unquoted: the unreserved ones of RFC 3986, and the slash."""
+"""Bytes that are not percent-encoded in a query: the unreserved ones of RFC 3986, and the slash."""
 
 
 class HttpSyntaxError(Exception):
-    """What came is not HTTP/1.1, or it breaks off."""
+    """A message is not HTTP/1.1 or is truncated."""
 
 
 class HttpHead:
     """First line and headers of a message.
 
-    :ivar words: the three parts of the first line; the last may be empty.
-    :ivar headers: values by the name in lower case; of several the last.
+    :ivar start_line: the three parts of the first line; the last may be empty.
+    :ivar headers: values by name in lower case; of a repeated header the last value.
     """
 
-    __slots__ = ("words", "headers")
+    __slots__ = ("start_line", "headers")
 
-    def __init__(self, words: tuple[str, str, str], headers: dict[str, str]) -> None:
-        self.words = words
+    def __init__(self, start_line: tuple[str, str, str], headers: dict[str, str]) -> None:
+        self.start_line = start_line
         self.headers = headers
 
     @property
     def content_length(self) -> int | None:
-        """Bytes of the body, None without such a header.
+        """Length of the body in bytes, None if the header is absent.
 
-        :raises HttpSyntaxError: if the header holds no number.
+        :raises HttpSyntaxError: if the header is not a number.
         """
         text = self.headers.get("content-length")
         if text is None:
             return None
         if not (text.isascii() and text.isdigit()):
-            raise HttpSyntaxError(f"content length {text!r}")
+            raise HttpSyntaxError(f"malformed content length {text!r}")
         return int(text)
 
     @property
     def is_chunked(self) -> bool:
-        """Whether the body comes in chunks."""
+        """Whether the body is sent in chunks."""
         return self.headers.get("transfer-encoding", "").lower() == "chunked"
 
     @property
     def closes(self) -> bool:
         """Whether the sender closes the connection after this message."""
         tokens = {token.strip() for token in self.headers.get("connection", "").lower().split(",")}
-        return "close" in tokens or "HTTP/1.0" in self.words
+        return "close" in tokens or "HTTP/1.0" in self.start_line
 
 
-def take_head(buffer: bytearray) -> HttpHead | None:
-    """Return the head at the start of a buffer and remove it, None while it is not whole.
+def extract_head(buffer: bytearray) -> HttpHead | None:
+    """Return the head at the start of a buffer and remove it, None while it is incomplete.
 
-    :raises HttpSyntaxError: if it is no head, or longer than `LONGEST_HEAD_BYTES`.
+    :raises HttpSyntaxError: if it is malformed or longer than `MAXIMUM_HEAD_BYTES`.
     """
     end = buffer.find(END_OF_HEAD)
     if end < 0:
-        if len(buffer) > LONGEST_HEAD_BYTES:
-            raise HttpSyntaxError("head too long")
+        if len(buffer) > MAXIMUM_HEAD_BYTES:
+            raise HttpSyntaxError("the head is too long")
         return None
     lines = bytes(buffer[:end]).decode("latin-1").split("\r\n")
     del buffer[: end + len(END_OF_HEAD)]
-    words = lines[0].split(" ", 2)
-    if len(words) < 2:
-        raise HttpSyntaxError(f"first line {lines[0]!r}")
-    return HttpHead((words[0], words[1], words[2] if len(words) > 2 else ""), _headers(lines[1:]))
+    parts = lines[0].split(" ", 2)
+    if len(parts) < 2:
+        raise HttpSyntaxError(f"malformed first line {lines[0]!r}")
+    return HttpHead((parts[0], parts[1], parts[2] if len(parts) > 2 else ""), _headers(lines[1:]))
 
 
 def _headers(lines: list[str]) -> dict[str, str]:
@@ -87,7 +87,7 @@
     for line in lines:
         name, separator, value = line.partition(":")
         if not separator or not name or name != name.strip():
-            raise HttpSyntaxError(f"header {line!r}")
+            raise HttpSyntaxError(f"malformed header {line!r}")
         headers[name.lower()] = value.strip()
     return headers
 
@@ -95,95 +95,95 @@
 class BodyReader:
     """Collects the body that follows a head.
 
-    :param length: bytes of the body, None if it is chunked or ends with the connection.
-    :ivar is_whole: whether all of it has come.
+    :param length: length of the body in bytes, None if it is chunked or ends with the connection.
+    :ivar is_complete: whether the whole body has been received.
     """
 
     def __init__(self, length: int | None, is_chunked: bool) -> None:
-        self._left = length
+        self._remaining = length
         self._is_chunked = is_chunked
         self._parts: list[bytes] = []
-        self._chunk_left = 0
+        self._chunk_remaining = 0
         self._is_in_trailer = False
-        self.is_whole = length == 0 and not is_chunked
+        self.is_complete = length == 0 and not is_chunked
 
     @property
     def body(self) -> bytes:
-        """What has come up to now."""
+        """The part of the body received so far."""
         return b"".join(self._parts)
 
-    def take(self, buffer: bytearray) -> None:
-        """Remove from a buffer what belongs to the body.
+    def consume(self, buffer: bytearray) -> None:
+        """Move the bytes of the body out of a buffer.
 
         :raises HttpSyntaxError: if chunks are malformed.
         """
         if self._is_chunked:
-            while not self.is_whole and self._take_chunk(buffer):
+            while not self.is_complete and self._consume_chunk(buffer):
                 continue
-        elif self._left is None:
+        elif self._remaining is None:
             self._move(buffer, len(buffer))
         else:
-            self._left -= self._move(buffer, self._left)
-            self.is_whole = self._left == 0
+            self._remaining -= self._move(buffer, self._remaining)
+            self.is_complete = self._remaining == 0
 
     def connection_closed(self) -> None:
-        """Note that nothing more comes.
+        """End the body, because the connection has closed.
 
-        :raises HttpSyntaxError: if the body is not whole.
+        :raises HttpSyntaxError: if the body is incomplete.
         """
-        if self._is_chunked or self._left is not None:
+        if self._is_chunked or self._remaining is not None:
             raise HttpSyntaxError("the connection closed within a body")
-        self.is_whole = True
+        self.is_complete = True
 
-    def _move(self, buffer: bytearray, most: int) -> int:
-        """Move bytes from a buffer to the body; return how many."""
-        part = bytes(buffer[:most])
+    def _move(self, buffer: bytearray, maximum: int) -> int:
+        """Move at most `maximum` bytes from a buffer to the body; return how many."""
+        part = bytes(buffer[:maximum])
         del buffer[: len(part)]
         if part:
             self._parts.append(part)
         return len(part)
 
-    def _take_chunk(self, buffer: bytearray) -> bool:
-        """Take one line or a part of one chunk; return whether there was something."""
-        if self._chunk_left > len(END_OF_LINE):
-            taken = self._move(buffer, self._chunk_left - len(END_OF_LINE))
-            self._chunk_left -= taken
-            return taken > 0
-        if self._chunk_left:
-            return self._take_chunk_end(buffer)
-        line = _take_line(buffer)
+    def _consume_chunk(self, buffer: bytearray) -> bool:
+        """Consume one line or a part of one chunk; return whether the buffer held one."""
+        if self._chunk_remaining > len(END_OF_LINE):
+            moved = self._move(buffer, self._chunk_remaining - len(END_OF_LINE))
+            self._chunk_remaining -= moved
+            return moved > 0
+        if self._chunk_remaining:
+            return self._consume_chunk_end(buffer)
+        line = _extract_line(buffer)
         if line is None:
             return False
         if self._is_in_trailer:
-            self.is_whole = not line
+            self.is_complete = not line
             return True
         self._begin_chunk(line)
         return True
 
-    def _take_chunk_end(self, buffer: bytearray) -> bool:
+    def _consume_chunk_end(self, buffer: bytearray) -> bool:
         if len(buffer) < len(END_OF_LINE):
             return False
         if not buffer.startswith(END_OF_LINE):
-            raise HttpSyntaxError("a chunk is longer than it says")
+            raise HttpSyntaxError("a chunk is longer than its stated size")
         del buffer[: len(END_OF_LINE)]
-        self._chunk_left = 0
+        self._chunk_remaining = 0
         return True
 
     def _begin_chunk(self, line: bytes) -> None:
         size = line.partition(b";")[0].strip()
         if not size or not HEXADECIMAL.issuperset(size):
-            raise HttpSyntaxError(f"chunk size {line!r}")
+            raise HttpSyntaxError(f"malformed chunk size {line!r}")
         data_bytes = int(size, 16)
         self._is_in_trailer = data_bytes == 0
-        self._chunk_left = data_bytes + len(END_OF_LINE) if data_bytes else 0
+        self._chunk_remaining = data_bytes + len(END_OF_LINE) if data_bytes else 0
 
 
-def _take_line(buffer: bytearray) -> bytes | None:
-    """Return the line at the start of a buffer and remove it, None while it is not whole."""
+def _extract_line(buffer: bytearray) -> bytes | None:
+    """Return the line at the start of a buffer and remove it, None while it is incomplete."""
     end = buffer.find(END_OF_LINE)
     if end < 0:
-        if len(buffer) > LONGEST_CHUNK_LINE_BYTES:
-            raise HttpSyntaxError("line too long")
+        if len(buffer) > MAXIMUM_CHUNK_LINE_BYTES:
+            raise HttpSyntaxError("the line of a chunk size is too long")
         return None
     line = bytes(buffer[:end])
     del buffer[: end + len(END_OF_LINE)]
@@ -191,5 +191,5 @@
 
 
 def quote(text: str) -> str:
-    """Return a text percent-encoded for a query, as `urllib.parse.quote` does, which takes long to load."""
+    """Return a text percent-encoded like `urllib.parse.quote`, whose module takes long to import."""
     return "".join(chr(byte) if byte in UNRESERVED else f"%{byte:02X}" for byte in text.encode())
--- a/sloepond/runtime/forwarding/http_server.py
+++ b/sloepond/runtime/forwarding/http_server.py
@@ -1,7 +1,7 @@
-"""An HTTP server for readiness and metrics: GET requests one after the other on each connection.
+"""An HTTP server for readiness and metrics, with one request at a time on each connection.
 
-Owns the connections while they are served.  Relies on a function that returns the page of a
-target, and on `streams` to accept and close.
+Owns the accepted connections.  Relies on a function that returns the page of a target, and on
+`streams` to accept and close connections.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.runtime.forwarding.event_loop import EventLoop, readable
-from sloepond.runtime.forwarding.http_message import BodyReader, HttpHead, HttpSyntaxError, take_head
+from sloepond.runtime.forwarding.http_message import BodyReader, HttpHead, HttpSyntaxError, extract_head
 from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import Acceptor, send_all
 
 READ_BYTES = 8_192
-"""Bytes read at once, in bytes.  Not measured: requests have some hundreds."""
-IDLE_S = 30.0
-"""How long a connection may be idle between two requests, or take for one, in seconds.
+"""Maximum size of one read, in bytes; requests have some hundreds."""
+IDLE_TIMEOUT_S = 30.0
+"""Longest time from one response to the end of the next, in seconds.
 
-Not measured: twice the interval of a usual metrics scrape, so that a scraper keeps its connection.
+It is twice the usual interval of metrics scrapes, so that a scraper keeps its connection.
 """
 MAXIMUM_CONNECTIONS = 64
-"""Connections served at once on one port.
+"""Concurrent connections on one port: some routers and scrapers keep one each.
 
-Not measured: some routers and scrapers keep one each; it bounds descriptors (4,100 on most machines).
+It bounds the use of descriptors, of which most machines allow 4,100.
 """
 REASONS = {200: "OK", 503: "Service Unavailable"}
-"""Reason phrases of the statuses that are answered."""
+"""Reason phrases of the statuses that are sent."""
 
 
 class Page(msgspec.Struct, frozen=True):
-    """A response: status, body and the type of its content."""
+    """A response: status, body and content type."""
 
     status: int
     body: bytes = b""
@@ -45,10 +45,10 @@
 
 
 class PageServer:
-    """Answers requests on a listening socket, whatever their method.
+    """Answers requests on a listening socket, regardless of their method.
 
     :param source: called for each request.
-    :param counters: counts requests that are not HTTP and connections that fail.
+    :param counters: counts malformed requests and failed connections.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
     async def _serve(self, stream: Socket) -> None:
         buffer = bytearray()
         while True:
-            deadline = self._loop.clock() + IDLE_S
+            deadline = self._loop.clock() + IDLE_TIMEOUT_S
             try:
                 request = await _next_request(stream, buffer, deadline)
             except HttpSyntaxError:
@@ -70,23 +70,23 @@
                 return
             if request is None:
                 return
-            await send_all(stream, _encode(self._source(request.words[1])), deadline)
+            await send_all(stream, _encode(self._source(request.start_line[1])), deadline)
             if request.closes:
                 return
 
 
 async def _next_request(stream: Socket, buffer: bytearray, deadline: float) -> HttpHead | None:
-    """Return the head of the next whole request, None if the other end closes; its body is dropped."""
+    """Return the head of the next complete request and drop its body, None if the other end closes."""
     head: HttpHead | None = None
     body: BodyReader | None = None
     while True:
         if head is None:
-            head = take_head(buffer)
+            head = extract_head(buffer)
             if head is not None:
                 body = BodyReader(head.content_length or 0, head.is_chunked)
         if head is not None and body is not None:
-            body.take(buffer)
-            if body.is_whole:
+            body.consume(buffer)
+            if body.is_complete:
                 return head
         await readable(stream, deadline)
         data = stream.recv(READ_BYTES)
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output: bounded in rate, never blocking.
+"""Structured log lines on standard output: limited in rate, never blocking.
 
-Each line is one JSON object; docs/OPERATIONS.md lists the kinds.  A line beyond the rate, or for which
-the pipe has no room, is dropped and counted.  Owns the rate limits.  Relies on the steady clock and
-on nothing that decides: what is logged is passed in.
+Each line is one JSON object; docs/OPERATIONS.md lists the kinds.  A line that exceeds the rate limit or
+finds the pipe full is dropped and counted.  Owns the rate limits.  Relies on the monotonic clock; all
+content of the lines is passed in.
 """
 
 from __future__ import annotations
@@ -19,17 +19,14 @@
 from sloepond.runtime.clock import monotonic_seconds
 
 LINES_PER_S = 200.0
-"""Lines a second that may be written in the long run.
-
-Not measured: at about 300 bytes a line it bounds the log to 60 kB a second.
-"""
+"""Sustained rate of log lines; at about 300 bytes per line it bounds the log to 60 kB per second."""
 BURST_LINES = 400
-"""Lines that may be written at once.  Not measured: two seconds of `LINES_PER_S`."""
+"""Lines that may exceed the sustained rate in a burst: two seconds of `LINES_PER_S`."""
 FAILURE_INTERVAL_S = 10.0
-"""Time between two lines about the same lasting failure, in seconds.
+"""Interval between two lines about the same persistent failure, in seconds.
 
-Not measured: short enough to show whoever follows the log that the failure goes on, and few
-beside `LINES_PER_S`.  A counter gives the rate.
+It is short enough to show a reader of the log that the failure persists, and adds few lines compared
+with `LINES_PER_S`.  A counter gives the rate of the failure.
 """
 STANDARD_OUTPUT = 1
 """File descriptor."""
@@ -39,10 +36,10 @@
 class LogLine(msgspec.Struct, frozen=True, omit_defaults=True):
     """One line.
 
-    :ivar at: seconds since the start of the process, by the steady clock.
+    :ivar at: seconds since the start of the process, by the monotonic clock.
     :ivar kind: a value of `LogKind`.
-    :ivar subject: what the line is about, such as the name of a back end.
-    :ivar detail: `name=value` pairs: what decided, with age or version.
+    :ivar subject: the object of the line, such as the name of a back end.
+    :ivar detail: `name=value` pairs: the input of the decision, with its age or version.
     """
 
     at: float
@@ -52,11 +49,11 @@
 
 
 class LogWriter:
-    """Writes lines of the data path and of the node.
+    """Writes the log lines of the data path and of the node.
 
-    Lines about decisions end with the versions and ages of the routes and back ends behind them.
+    Lines about decisions end with the versions and ages of the routes and back ends that they used.
 
-    :param counters: counts lines that were dropped.
+    :param counters: counts dropped lines.
     :param descriptor: file descriptor to write to; made non-blocking.
     """
 
@@ -67,7 +64,7 @@
         self._allowed = float(BURST_LINES)
         self._refilled_at = self._started
         self._encoder = msgspec.json.Encoder()
-        self._failures: dict[tuple[LogKind, str], float] = {}
+        self._failures_written_at: dict[tuple[LogKind, str], float] = {}
         os.set_blocking(descriptor, False)
 
     def write(self, command: WriteLog) -> None:
@@ -75,15 +72,15 @@
         self._write(command.kind, command.subject, command.detail)
 
     def failure(self, kind: LogKind, subject: str, reason: Exception | str) -> None:
-        """Write a line about a failure that may repeat, at most one in `FAILURE_INTERVAL_S`.
+        """Write a line about a failure that may repeat, at most one per `FAILURE_INTERVAL_S`.
 
-        :param subject: one of a fixed few, such as the name of a socket: each is remembered.
+        :param subject: one of a small fixed set, such as the name of a socket, since each one is kept.
         """
         now = monotonic_seconds()
-        written_at = self._failures.get((kind, subject))
+        written_at = self._failures_written_at.get((kind, subject))
         if written_at is not None and now - written_at < FAILURE_INTERVAL_S:
             return
-        self._failures[kind, subject] = now
+        self._failures_written_at[kind, subject] = now
         text = f"{type(reason).__name__}: {reason}" if isinstance(reason, Exception) else reason
         self._write(kind, subject, f"reason={text}")
 
@@ -98,34 +95,34 @@
                 f"backend_flows={backend.flows} in_flight={backend.in_flight} latency_s={latency} "
                 f"{node.describe_state(now)}"
             )
-            self._put(LogKind.FLOW_PLACED, flow_name(segment), detail)
+            self._emit(LogKind.FLOW_PLACED, flow_name(segment), detail)
 
     def request_seen(self, request_id: str, segment: Segment, backend: ForwardingBackend) -> None:
-        """Write a line that leads from a request's id to its flow and back end."""
+        """Write a line that maps a request's id to its flow and back end."""
         if self._may_write():
             detail = (
                 f"flow={flow_name(segment)} backend={backend.name} state={backend.state.name.lower()} "
                 f"in_flight={backend.in_flight}"
             )
-            self._put(LogKind.REQUEST_SEEN, request_id, detail)
+            self._emit(LogKind.REQUEST_SEEN, request_id, detail)
 
-    def packet_waits(self, segment: Segment, node: ForwardingNode) -> None:
-        """Write a line about a new flow that waits for room at the back ends."""
+    def flow_queued(self, segment: Segment, node: ForwardingNode) -> None:
+        """Write a line about a new flow that is queued for spare capacity of the back ends."""
         if self._may_write():
             detail = f"copy={segment.acknowledgement} {node.describe_state(monotonic_seconds())}"
-            self._put(LogKind.FLOW_WAITS, flow_name(segment), detail)
+            self._emit(LogKind.FLOW_WAITS, flow_name(segment), detail)
 
     def packet_refused(self, segment: Segment, refusal: Refusal, node: ForwardingNode) -> None:
-        """Write a line about a packet that is not forwarded, and why."""
+        """Write a line about a packet that is not forwarded, with the reason."""
         if self._may_write():
             detail = (
                 f"reason={refusal.value} token={segment.token:08x} {node.describe_state(monotonic_seconds())}"
             )
-            self._put(LogKind.PACKET_REFUSED, flow_name(segment), detail)
+            self._emit(LogKind.PACKET_REFUSED, flow_name(segment), detail)
 
     def _write(self, kind: LogKind, subject: str, detail: str) -> None:
         if self._may_write():
-            self._put(kind, subject, detail)
+            self._emit(kind, subject, detail)
 
     def _may_write(self) -> bool:
         now = monotonic_seconds()
@@ -138,7 +135,7 @@
         self._allowed -= 1.0
         return True
 
-    def _put(self, kind: LogKind, subject: str, detail: str) -> None:
+    def _emit(self, kind: LogKind, subject: str, detail: str) -> None:
         line = LogLine(round(monotonic_seconds() - self._started, 4), kind.value, subject, detail)
         try:
             os.write(self._descriptor, self._encoder.encode(line) + b"\n")
--- a/sloepond/runtime/forwarding/metrics.py
+++ b/sloepond/runtime/forwarding/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of a forwarding balancer as text, in the exposition format of Prometheus.
+"""Metrics of a forwarding balancer in the text exposition format of Prometheus.
 
-Owns the names and labels of metrics: the prefix, and `_total` behind each counter.  Relies on the
-node for every value.  `zone` in a name is the platform's word for hall; dashboards use these names.
+Owns the names and labels of metrics: the prefix, and the suffix `_total` of each counter.  Relies on
+the node for every value.  `zone` in a name is the platform's word for hall; dashboards use these names.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 PREFIX = "sloepond_"
 CONTENT_TYPE = "text/plain; version=0.0.4"
-"""Type that scrapers expect of this format."""
+"""Content type of this format."""
 
 
 def metrics_page(node: ForwardingNode, now: float) -> Page:
@@ -51,7 +51,7 @@
 
 
 def _backend_lines(node: ForwardingNode, now: float) -> list[str]:
-    """Return the requests in flight at each back end, and the latency of those that were seen lately."""
+    """Return the requests in flight at each back end, and the latency of those that were used recently."""
     in_flight = [
         f'{PREFIX}backend_in_flight{{backend="{backend.name}",state="{backend.state.name.lower()}"}} '
         f"{backend.in_flight}"
@@ -66,7 +66,7 @@
 
 
 def _histogram_lines(name: str, histogram: LatencyHistogram) -> list[str]:
-    """Return the lines of one histogram, in seconds."""
+    """Return the lines of one histogram of seconds."""
     bounded = zip(BOUNDS_S, histogram.cumulative(), strict=True)
     lines = [f"# TYPE {name} histogram"]
     lines.extend(f'{name}_bucket{{le="{bound}"}} {count}' for bound, count in bounded)
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -1,8 +1,8 @@
-"""Messages between balancers: datagrams, and TCP streams for answers that are too large for one.
+"""Messages between balancers: datagrams, and TCP streams for answers that exceed one datagram.
 
-Owns the sockets for peers and their encoding (MessagePack).  Relies on the node for what to send
-and for the answers to peers' requests.  What is lost is not sent again here: the node's next
-heartbeat, gossip or request makes up for it.
+Owns the sockets for peers and the encoding (MessagePack).  Relies on the node for what to send and
+for the answers to peers' requests.  Lost messages are not retransmitted here; the node's next
+heartbeat, gossip or request replaces them.
 """
 
 from __future__ import annotations
@@ -51,24 +51,21 @@
 from sloepond.runtime.forwarding.streams import Acceptor, connect, keep_alive, read_to_end, send_all
 
 FETCH_TIMEOUT_S = 2.5
-"""How long one exchange on a stream may take, in seconds.
+"""Timeout of one exchange on a stream, in seconds; after it the node asks another peer.
 
-Not measured: a snapshot of 3,000 back ends has about 0.3 MB, 0.3 s on a link of 10 Mbit/s; a peer
-that takes longer than this is given up for another one.
+A snapshot of 3,000 back ends has about 0.3 MB, which takes 0.3 s on a link of 10 Mbit/s.
 """
 MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024
-"""Largest answer that is read, in bytes.
+"""Largest answer that is read, in bytes: twice a snapshot of 300,000 back ends.
 
-Not measured: twice what a snapshot of 300,000 back ends would take; it bounds what a broken peer costs
-in memory.
+It bounds the memory that a faulty peer can use.
 """
 MAXIMUM_REQUEST_BYTES = 256
-"""Largest request on a stream that is read, in bytes; each is a tag and at most one number."""
+"""Largest request that is read from a stream, in bytes; a request is a tag and at most one number."""
 MAXIMUM_STREAMS = 8
-"""Streams of peers served at once; one more is closed, and its peer asks another balancer.
+"""Concurrent streams of peers; a further one is closed, and its peer asks another balancer.
 
-Not measured: it bounds the copies of a snapshot in memory and the load on the link while a whole
-hall starts.
+It bounds the encoded snapshots in memory and the load on the link while a whole hall starts.
 """
 _BYTE_COUNTERS: dict[type[PeerMessage], str] = {
     Heartbeat: "heartbeat_bytes_sent",
@@ -82,15 +79,15 @@
     RequestUnanswered: "failure_bytes_sent",
     BackendFailing: "failure_bytes_sent",
 }
-"""Counter of the bytes of each kind of message, without the headers of IP and UDP."""
+"""Counter of the bytes sent in each type of message, without IP and UDP headers."""
 
 
 class PeerChannel:
-    """Sends and receives messages of peers.
+    """Exchanges messages with peers.
 
-    :param datagrams: bound UDP socket; peers use the same port.
+    :param datagrams: bound UDP socket; all peers use the same port.
     :param streams: listening TCP socket on the same port.
-    :param dispatch: takes an event for each message and answer that arrives.
+    :param dispatch: called with an event for each received message and answer.
     """
 
     def __init__(
@@ -109,16 +106,16 @@
         self._dispatch = dispatch
         self._logs = logs
         self._encoder = msgspec.msgpack.Encoder()
-        self._messages = msgspec.msgpack.Decoder(PeerMessage)
-        self._snapshot = msgspec.msgpack.Decoder(Snapshot)
-        self._deltas = msgspec.msgpack.Decoder(tuple[RouteDelta, ...])
+        self._message_decoder = msgspec.msgpack.Decoder(PeerMessage)
+        self._snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
+        self._delta_decoder = msgspec.msgpack.Decoder(tuple[RouteDelta, ...])
         self._failures = DatagramFailures(node.counters, logs, "peers")
-        self._requests = msgspec.msgpack.Decoder(StreamRequest)
+        self._request_decoder = msgspec.msgpack.Decoder(StreamRequest)
         loop.watch(datagrams, self._receive)
         Acceptor(loop, streams, self._serve, MAXIMUM_STREAMS, node.counters)
 
     def send(self, command: SendToPeer) -> None:
-        """Send a datagram; one that cannot be sent is counted and lost."""
+        """Send a datagram; one that cannot be sent is counted and dropped."""
         datagram = self._encoder.encode(command.message)
         try:
             self._datagrams.sendto(datagram, (command.ip, self._port))
@@ -130,7 +127,7 @@
         setattr(counters, counter, getattr(counters, counter) + len(datagram))
 
     async def fetch(self, command: FetchSnapshot | FetchRoutes) -> None:
-        """Fetch routes or a snapshot from a peer; if that fails, the node asks another one later."""
+        """Fetch routes or a snapshot from a peer; after a failure the node asks another one later."""
         try:
             event = await self._fetch(command)
         except (OSError, msgspec.MsgspecError) as error:
@@ -144,9 +141,9 @@
     async def _fetch(self, command: FetchSnapshot | FetchRoutes) -> SnapshotReceived | RoutesReceived:
         if isinstance(command, FetchRoutes):
             received = await self._request(command.ip, RoutesRequest(command.version))
-            return RoutesReceived(command.ip, self._deltas.decode(received))
+            return RoutesReceived(command.ip, self._delta_decoder.decode(received))
         received = await self._request(command.ip, SnapshotRequest())
-        return SnapshotReceived(command.ip, self._snapshot.decode(received))
+        return SnapshotReceived(command.ip, self._snapshot_decoder.decode(received))
 
     def _receive(self) -> None:
         for _ in range(BATCH_DATAGRAMS):
@@ -158,14 +155,14 @@
                 self._failures.receive_failed(error)
                 return
             try:
-                message = self._messages.decode(datagram)
+                message = self._message_decoder.decode(datagram)
             except msgspec.MsgspecError:
                 self._node.counters.peer_messages_malformed += 1
                 continue
             self._dispatch(PeerMessageReceived(source[0], message))
 
     async def _request(self, ip: str, request: StreamRequest) -> bytes:
-        """Return the bytes that a peer answers; empty if it knows nothing newer."""
+        """Return the bytes of a peer's answer; empty if the peer has nothing newer."""
         deadline = self._loop.clock() + FETCH_TIMEOUT_S
         with await connect(Endpoint(ip, self._port), deadline) as stream:
             keep_alive(stream)
@@ -180,7 +177,7 @@
         deadline = self._loop.clock() + FETCH_TIMEOUT_S
         received = await read_to_end(stream, MAXIMUM_REQUEST_BYTES, deadline)
         try:
-            request = self._requests.decode(received)
+            request = self._request_decoder.decode(received)
         except msgspec.MsgspecError:
             self._node.counters.peer_messages_malformed += 1
             return
@@ -189,7 +186,7 @@
         self._node.counters.stream_bytes_sent += len(answer)
 
     def _encode_answer(self, request: StreamRequest) -> bytes:
-        """Return the answer, empty if nothing is known here."""
+        """Return the answer, empty if the node has nothing to send."""
         if isinstance(request, RoutesRequest):
             deltas = self._node.routes_since(request.version)
             return self._encoder.encode(deltas) if deltas else b""
--- a/sloepond/runtime/forwarding/process.py
+++ b/sloepond/runtime/forwarding/process.py
@@ -1,8 +1,8 @@
-"""What a balancer's process begins with: its settings and its bound sockets.
+"""The settings and bound sockets with which a balancer's process starts.
 
-Both are needed before anything slow is loaded, so this module imports nothing at first;
-even `typing` would take a tenth of the time until the sockets are bound.  Owns these types;
-relies on nothing.
+Both are needed before the slow imports, so this module imports nothing when it is loaded; even
+`typing` would take a tenth of the time until the sockets are bound.  Owns these types; relies on
+nothing.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 def split_address(address: str) -> tuple[str, int]:
     """Return the host and the port of `ip:port`.
 
-    `runtime.addresses.parse_address` also reads IPv6; it loads `socket`, which this module must not.
+    `runtime.addresses.parse_address` supports IPv6 too, but imports `socket`, which this module must not.
 
     :raises ValueError: if there is no port.
     """
@@ -24,29 +24,29 @@
 
 
 class ForwardingSettings:
-    """Settings of a forwarding balancer as they are read from the file; an object doesn't change.
+    """Settings of a forwarding balancer as read from the file; not modified afterwards.
 
     Addresses are `ip:port`.
 
     :ivar name: name of this machine.
     :ivar hall: hall of this machine.
     :ivar ip: address of this machine, without a port.
-    :ivar edge: address that receives callers' packets, by UDP.
-    :ivar readiness: address of the readiness check, by HTTP.
+    :ivar edge: UDP address that receives callers' packets.
+    :ivar readiness: HTTP address of the readiness check.
     :ivar store: address of the platform's store.
-    :ivar metrics: address of the metrics, by HTTP; empty for none.
-    :ivar peer_port: port of every balancer for messages between them; 0 has the system choose one,
-        which no peer knows.
-    :ivar seeds: IP addresses of balancers that may be up.
-    :ivar capacity: processor of this machine in usual cores.
+    :ivar metrics: HTTP address of the metrics; empty for none.
+    :ivar peer_port: port that all balancers use for messages between them; with 0 the system chooses
+        one, which peers cannot know.
+    :ivar seeds: IP addresses of other balancers, which may be down.
+    :ivar capacity: processing capacity of this machine in standard cores.
     :ivar regions: region of each hall.
-    :ivar cold_factor: limit of new flows to a back end just after its start, as a multiple of what
-        its service is said to bear then.
-    :ivar cold_slack_per_s: new flows a second added to that limit; None for no limit.
-    :ivar kill_after_s: seconds from SIGTERM to SIGKILL, 0 if not known.
-    :ivar change_limit_s: seconds within which a change has to be in force, 0 if not known.
-    :ivar ignored: fields of the settings file whose values cannot be used, each with the reason;
-        their defaults apply.
+    :ivar cold_factor: limit of new flows to a cold back end, as a multiple of the rate that the
+        configuration states for its service.
+    :ivar cold_slack_per_s: new flows per second added to that limit; None for no limit.
+    :ivar kill_after_s: seconds from SIGTERM to SIGKILL, 0 if unknown.
+    :ivar change_limit_s: seconds within which a change must be in force, 0 if unknown.
+    :ivar ignored: fields of the settings file whose values cannot be used, with the reasons; their
+        defaults apply.
     """
 
     __slots__ = (
@@ -92,13 +92,13 @@
         self.ignored = ignored or {}
 
     def differences(self, other: ForwardingSettings) -> tuple[str, ...]:
-        """Return the names of the settings that are not alike."""
+        """Return the names of the settings that differ."""
         names = (name for name in self.__slots__ if name != "ignored")
         return tuple(name for name in names if getattr(self, name) != getattr(other, name))
 
 
 class NotBound:
-    """Stands for a socket that could not be bound.
+    """Placeholder for a socket that could not be bound.
 
     :ivar reason: the error, for a log line.
     """
@@ -110,13 +110,13 @@
 
 
 class BoundDescriptors:
-    """Descriptors of non-blocking sockets, bound so that nothing sent to them is lost.
+    """Descriptors of bound non-blocking sockets.
 
     :ivar edge: UDP, callers' packets.
     :ivar readiness: TCP, listening.
     :ivar peer_datagrams: UDP, messages of other balancers.
     :ivar peer_streams: TCP, listening for balancers that fetch routes or a snapshot.
-    :ivar metrics: TCP, listening, or why metrics are not served.
+    :ivar metrics: TCP, listening, or the reason why metrics are not served.
     """
 
     __slots__ = ("edge", "readiness", "peer_datagrams", "peer_streams", "metrics")
@@ -132,9 +132,9 @@
 
 
 class BoundSockets:
-    """The sockets of `BoundDescriptors`; see there for the use of each.
+    """The sockets of `BoundDescriptors`, which documents their use.
 
-    :ivar signals: readable, receives the number of each signal as a byte.
+    :ivar signals: yields the number of each received signal as one byte.
     """
 
     __slots__ = ("edge", "readiness", "peer_datagrams", "peer_streams", "metrics", "signals")
--- a/sloepond/runtime/forwarding/reachability_check.py
+++ b/sloepond/runtime/forwarding/reachability_check.py
@@ -1,8 +1,9 @@
-"""Checks whether a back end can be reached: connections are opened and closed, nothing is sent.
+"""Checks whether a back end can be reached by opening TCP connections, without sending data.
 
-Another back end, the control, is tried at the same time: silence of the first one means that it is
-gone only if every connection to the control is made.  Otherwise it may be this balancer's own link.
-Owns the connections of one check.  Relies on the node to choose back end and control and to judge.
+Another back end, the control, is checked at the same time.  If the first one doesn't respond, it counts
+as unreachable only if every connection to the control was established; otherwise this balancer's own
+link may be the cause.  Owns the connections of one check.  Relies on the node to choose the back end
+and the control and to act on the result.
 """
 
 from __future__ import annotations
@@ -15,29 +16,28 @@
 from sloepond.runtime.forwarding.event_loop import EventLoop, sleep_until
 from sloepond.runtime.forwarding.streams import connect
 
-TRIES_S = (0.0, 0.03, 0.06)
-"""When connections to the back end are begun, in seconds after the check: a SYN may be lost.
+ATTEMPT_DELAYS_S = (0.0, 0.03, 0.06)
+"""Delays of the connection attempts to the back end after the start of the check, in seconds.
 
-Not measured: three, spread over the first 60 ms, leave the last one 40 ms, over ten round trips.
+There are several because a SYN may be lost.  The last attempt has 40 ms left, over ten round trips.
 """
-CONTROL_TRIES_S = (0.0, 0.05)
-"""When connections to the control are begun, in seconds after the check.
+CONTROL_ATTEMPT_DELAYS_S = (0.0, 0.05)
+"""Delays of the connection attempts to the control after the start of the check, in seconds.
 
-Both have to be made.  Without a control two living back ends seemed gone on one day, while the
-balancer's own link of 10 Mbit/s was full; with one none did (trial).
+Both must succeed.  Without a control, live back ends counted as unreachable while the balancer's own
+link of 10 Mbit/s was congested.
 """
 CHECK_TIMEOUT_S = 0.1
-"""How long a check takes at most, in seconds; a connection between halls is made in about 3 ms.
+"""Time limit of a check, in seconds; a connection between halls is established in about 3 ms.
 
-On a day of silent back ends worth was 0.945 with 0.4 s, 0.960 with 0.16 s and 0.973 with 0.1 s
-and a repetition in doubt (trials, one seed).
+A longer limit delays the detection of back ends that don't respond; an undecided check is repeated.
 """
 
-SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-"""Errors of a connection that this process lacks descriptors, memory or ports for.
+RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+"""Errors of a connection for which this process lacks descriptors, memory or ports.
 
-They say nothing about the back end.  Taken for a refusal, they would mark it unreachable and
-reset its resting flows.
+They say nothing about the back end.  Treated as a refused connection, they would mark it unreachable
+and reset its idle flows.
 """
 
 
@@ -45,8 +45,8 @@
     """One check of one back end.
 
     :param control: address of another back end; None if there is none.
-    :param report: called once with the result, `CHECK_TIMEOUT_S` after the start at the latest.
-    :param report_failure: called for each connection that this process had no resources for.
+    :param report: called once with the result, at most `CHECK_TIMEOUT_S` after the start.
+    :param report_failure: called for each connection that failed for lack of resources in this process.
     """
 
     def __init__(
@@ -60,56 +60,56 @@
         self._loop = loop
         self._report = report
         self._report_failure = report_failure
-        self._had_shortage = False
-        self._control_reached = 0
+        self._had_resource_error = False
+        self._control_connections = 0
         self._is_reported = False
         now = loop.clock()
-        self._ends_at = now + CHECK_TIMEOUT_S
-        for delay_s in TRIES_S:
-            loop.start(self._try(endpoint, now + delay_s))
+        self._deadline = now + CHECK_TIMEOUT_S
+        for delay_s in ATTEMPT_DELAYS_S:
+            loop.start(self._attempt(endpoint, now + delay_s))
         if control is not None:
-            for delay_s in CONTROL_TRIES_S:
-                loop.start(self._try_control(control, now + delay_s))
-        loop.start(self._give_up())
+            for delay_s in CONTROL_ATTEMPT_DELAYS_S:
+                loop.start(self._attempt_control(control, now + delay_s))
+        loop.start(self._time_out())
 
-    async def _try(self, endpoint: Endpoint, begins_at: float) -> None:
-        """Try once; an accepted or refused connection decides."""
+    async def _attempt(self, endpoint: Endpoint, begins_at: float) -> None:
+        """Attempt one connection; an accepted or refused one decides the check."""
         await sleep_until(begins_at)
         if self._is_reported:
             return
         try:
-            with await connect(endpoint, self._ends_at):
+            with await connect(endpoint, self._deadline):
                 self._decide(CheckResult.REACHABLE)
         except TimeoutError:
-            return  # Silence decides nothing by itself.
+            return  # A timeout alone does not decide the check.
         except OSError as error:
-            if not self._is_shortage(error):
+            if not self._is_resource_error(error):
                 self._decide(CheckResult.UNREACHABLE)
 
-    async def _try_control(self, endpoint: Endpoint, begins_at: float) -> None:
-        """Try to reach the other back end once."""
+    async def _attempt_control(self, endpoint: Endpoint, begins_at: float) -> None:
+        """Attempt one connection to the control."""
         await sleep_until(begins_at)
         if self._is_reported:
             return
         try:
-            with await connect(endpoint, self._ends_at):
-                self._control_reached += 1
+            with await connect(endpoint, self._deadline):
+                self._control_connections += 1
         except OSError as error:
-            # Whatever the reason, it counts as not reached, and the result stays open.
-            self._is_shortage(error)
+            # For any reason the control counts as not reached, which leaves the result unknown.
+            self._is_resource_error(error)
 
-    def _is_shortage(self, error: OSError) -> bool:
-        """Tell whether a connection failed for want of resources here; report it then."""
-        if error.errno not in SHORTAGES:
+    def _is_resource_error(self, error: OSError) -> bool:
+        """Return whether a connection failed for lack of resources in this process; report it if so."""
+        if error.errno not in RESOURCE_ERRORS:
             return False
-        self._had_shortage = True
+        self._had_resource_error = True
         self._report_failure(error)
         return True
 
-    async def _give_up(self) -> None:
-        await sleep_until(self._ends_at)
-        is_control_reached = self._control_reached == len(CONTROL_TRIES_S)
-        is_certain = is_control_reached and not self._had_shortage
+    async def _time_out(self) -> None:
+        await sleep_until(self._deadline)
+        is_control_reached = self._control_connections == len(CONTROL_ATTEMPT_DELAYS_S)
+        is_certain = is_control_reached and not self._had_resource_error
         self._decide(CheckResult.UNREACHABLE if is_certain else CheckResult.UNKNOWN)
 
     def _decide(self, result: CheckResult) -> None:
--- a/sloepond/runtime/forwarding/reloading.py
+++ b/sloepond/runtime/forwarding/reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the balancer runs: read again upon SIGHUP and every few seconds.
+"""Reloads the settings of a running balancer, upon SIGHUP and every few seconds.
 
 Owns the settings in use.  Relies on the adapter to read the file.  A file that cannot be read changes
 nothing and is logged, as is each field that needs a restart or cannot be used.
@@ -14,23 +14,23 @@
 from sloepond.runtime.forwarding.process import ForwardingSettings
 
 CHECK_INTERVAL_S = 5.0
-"""Time between reads of the settings without a signal, in seconds.
+"""Interval between reads of the settings without a signal, in seconds.
 
-Not measured: seeds and the store's address change rarely, and a read of a small file costs little.
+Seeds and the store's address change rarely, and reading a small file costs little.
 """
-_TAKEN_WHILE_RUNNING = ("seeds", "store")
-"""Settings that are put in force at once."""
+_APPLIED_WHILE_RUNNING = ("seeds", "store")
+"""Settings that take effect without a restart."""
 _DERIVED = ("metrics",)
-"""Settings that no field of the file holds; the field they follow from is logged instead."""
-_WITHOUT_RESTART = frozenset((*_TAKEN_WHILE_RUNNING, *_DERIVED))
+"""Settings that are derived from another field of the file, which is logged instead."""
+_WITHOUT_RESTART = frozenset((*_APPLIED_WHILE_RUNNING, *_DERIVED))
 
 
 class SettingsReloader:
-    """Reads the settings again and returns what can be changed without a restart.
+    """Reads the settings again and returns the changes that need no restart.
 
-    :param read: reads the settings; raises OSError, KeyError or ValueError if it cannot.
+    :param read: reads the settings; raises OSError, KeyError or ValueError on failure.
     :ivar current: the settings that were read last.
-    :param file_names: name in the settings file of each setting that has another name in there.
+    :param file_names: name in the settings file of each setting whose name differs there.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.current = current
 
     def reload(self) -> SettingsChanged | None:
-        """Return what has changed, None if nothing has or the settings cannot be read."""
+        """Return the changes, None if there are none or the settings cannot be read."""
         try:
             changed = self._read()
         except (OSError, KeyError, ValueError) as error:
@@ -61,7 +61,7 @@
         return SettingsChanged(changed.seeds, changed.store)
 
     def log_ignored(self, settings: ForwardingSettings) -> None:
-        """Write a line for each field that is ignored, unless the last call has written the same."""
+        """Log each ignored field, unless the previous call has logged it with the same reason."""
         for name, reason in settings.ignored.items():
             if self._ignored.get(name) != reason:
                 self._logs.write(WriteLog(LogKind.SETTING_IGNORED, name, f"reason={reason}"))
@@ -71,6 +71,6 @@
         self._logs.write(WriteLog(LogKind.SETTINGS_CHANGED, subject, detail))
 
     def _needs_restart(self, changed: ForwardingSettings) -> str:
-        """Return the fields of the file that have changed and are used from the next start on."""
+        """Return the changed fields of the file that take effect at the next start."""
         names = [name for name in changed.differences(self.current) if name not in _WITHOUT_RESTART]
         return ",".join(self._file_names.get(name, name) for name in names) or "nothing"
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -1,13 +1,13 @@
-"""The forwarding balancer as a process: one event loop around one forwarding node.
+"""The process of a forwarding balancer: one event loop around one forwarding node.
 
-Owns the loop, its sockets and clients, and the stages of the process: packets wait until the node
-knows where they go, then they are forwarded until a planned stop is complete.  Relies on the node
-for all decisions: events go in by `dispatch`, the commands it returns are carried out here.
+Owns the loop, its sockets and clients, and the phases of the process: packets stay in the socket's
+buffer until the node can forward them, and are then forwarded until a planned stop is complete.  Relies
+on the node for all decisions: `dispatch` passes events to it and carries out the commands it returns.
 """
 
 from __future__ import annotations
 
-from _signal import SIGHUP  # `signal` turns its constants into enumerations, 1% of a start.
+from _signal import SIGHUP  # Importing `signal` takes 1% of the start time.
 
 from sloepond.core.forwarding.commands import (
     CheckBackend,
@@ -45,20 +45,20 @@
 from sloepond.runtime.forwarding.reloading import CHECK_INTERVAL_S, SettingsReloader
 from sloepond.runtime.forwarding.store_client import StoreClient
 
-LONGEST_WAIT_S = 1.0
-"""How long packets wait in the socket of a process that doesn't know any routes yet, in seconds.
+STARTUP_DROP_INTERVAL_S = 1.0
+"""Interval at which a process without routes drops the packets in its socket, in seconds.
 
-Not measured: callers send a copy of a packet after 0.2 and 0.6 s, so older ones are of no use.
+Callers retransmit a packet after 0.2 and 0.6 s, so older ones are obsolete.
 """
 SIGNAL_BYTES = 64
-"""Signal numbers read at once from the wake-up socket, a byte each; more stay for the next read."""
+"""Size of one read from the wake-up socket, in bytes: one per signal; the rest is read later."""
 
 
 class ForwardingService:
     """Runs one node on sockets.
 
-    :param sockets: bound; the service doesn't close them, the process ends with it.
-    :param reloader: reads the settings again.
+    :param sockets: bound; the service doesn't close them, since the process ends with it.
+    :param reloader: reads changed settings.
     """
 
     def __init__(
@@ -108,13 +108,13 @@
         self.dispatch(PeersReachable())
 
     def dispatch(self, event: Event) -> None:
-        """Give the node an event and carry out what it returns."""
+        """Pass an event to the node and carry out the commands that it returns."""
         now = self._loop.clock()
         self._carry_out(self._node.handle(event, now))
-        self._note_stage(now)
+        self._update_stage(now)
 
-    def _note_stage(self, now: float) -> None:
-        """Begin to forward once the node can, and log once that it is ready."""
+    def _update_stage(self, now: float) -> None:
+        """Start forwarding as soon as the node can, and log once that the node is ready."""
         if self._node.can_forward and not self._is_forwarding:
             self._is_forwarding = True
             self._loop.watch(self._sockets.edge, self._forward)
@@ -141,10 +141,10 @@
 
     def _send_to_flows(self, command: ReprocessPackets | ResetFlows) -> None:
         if isinstance(command, ResetFlows):
-            self._data_path.reset(command.segments)
+            self._data_path.send_resets(command.segments)
             return
         for datagram in command.datagrams:
-            self._data_path.packet(datagram, self._loop.clock())
+            self._data_path.handle_packet(datagram, self._loop.clock())
 
     def _forward(self) -> None:
         self._data_path.drain(self._loop.clock())
@@ -179,11 +179,11 @@
         counters.store_bytes_received = self._store.bytes_received
 
     async def _drop_expired_packets(self) -> None:
-        """Drop packets that have waited too long for the first routes; their callers sent them again."""
+        """Drop packets that are too old while there are no routes; their callers have retransmitted them."""
         while not self._is_forwarding:
-            await sleep_until(self._loop.clock() + LONGEST_WAIT_S)
+            await sleep_until(self._loop.clock() + STARTUP_DROP_INTERVAL_S)
             if not self._is_forwarding:
-                self._data_path.drop_waiting()
+                self._data_path.drop_buffered()
 
     def _receive_signals(self) -> None:
         for number in self._sockets.signals.recv(SIGNAL_BYTES):
@@ -198,7 +198,7 @@
         if changed is None:
             return
         if changed.store != store:
-            self._store.move(changed.store)
+            self._store.change_address(changed.store)
         self.dispatch(changed)
 
     async def _reload_regularly(self) -> None:
--- a/sloepond/runtime/forwarding/sockets.py
+++ b/sloepond/runtime/forwarding/sockets.py
@@ -1,8 +1,8 @@
-"""The type of all sockets in the balancer's process, on the C module under `socket`.
+"""The type of all sockets in the balancer's process, based on the C module `_socket`.
 
-`socket` turns its constants into enumerations and takes 5% of a start to load (125 to 119 ms of
-processor time without it, median of 80 starts); `_socket` lacks only accepting and `with`.
-Owns and relies on nothing else.  An object of `socket.socket` can be used in its place.
+Importing `socket` takes 5% of the start time, since it turns its constants into enumerations;
+`_socket` lacks only `accept` and `with`.  Owns and relies on nothing else.  A `socket.socket` can be
+used in place of this type.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Socket(_socket.socket):
-    """A socket that can be accepted on and that `with` closes."""
+    """A socket with `accept` that `with` closes."""
 
     __slots__ = ()
 
@@ -30,7 +30,7 @@
     def accept(self) -> tuple[Socket, object]:
         """Return the next connection and the address of its other end.
 
-        :raises BlockingIOError: if none waits; other OSError if it cannot be accepted.
+        :raises BlockingIOError: if there is none; another OSError if it cannot be accepted.
         """
-        descriptor, address = self._accept()  # type: ignore[attr-defined]  # No stub has it.
+        descriptor, address = self._accept()  # type: ignore[attr-defined]  # Missing in the stubs.
         return Socket(self.family, self.type, self.proto, fileno=descriptor), address
--- a/sloepond/runtime/forwarding/store_client.py
+++ b/sloepond/runtime/forwarding/store_client.py
@@ -1,8 +1,8 @@
-"""Calls to the platform's store: reads, watches and probes; every failure is an event, none is raised.
+"""Calls to the platform's store: reads, watches and probes; every failure becomes an event.
 
-Owns the connections to the store.  Relies on `StoreCodec` for formats, on `store_pages` for reads of
-many pages, and on the node, which decides when to call.  The daemon of sloepond's own platform has
-another client (`runtime.platform_client`): it speaks another protocol, on trio and over TLS.
+Owns the connections to the store.  Relies on `StoreCodec` for formats, on `store_pages` for paged
+reads, and on the node, which decides when to call.  The daemon for sloepond's own platform has
+another client (`runtime.platform_client`) with another protocol, on trio and over TLS.
 """
 
 from __future__ import annotations
@@ -28,28 +28,27 @@
 from sloepond.runtime.forwarding.process import split_address
 from sloepond.runtime.forwarding.store_pages import PAGE_RETRIES, STORE_FAILURES, PagedRead, store_failure
 
-SILENCE_S = 0.7
-"""Longest wait for the next bytes of an answer, in seconds.
+SILENCE_TIMEOUT_S = 0.7
+"""Longest time between two reads of response bytes, in seconds.
 
-Counted anew from each part: with 0.7 s for the whole answer a configuration of 1,500 routes never
-arrived on links of 10 Mbit/s (656 breaks of the limit on changes on one day, 0 after; worth 0.848
-to 0.891).  The 0.7 itself: not measured; well above a round trip between halls of 3 ms.
+It restarts with each part: with 0.7 s for the whole response, a configuration of 1,500 routes never
+arrived on links of 10 Mbit/s.  It is well above a round trip between halls of 3 ms.
 """
 WATCH_MARGIN_S = 0.7
-"""How long after the end of its wait a watch is given up, in seconds.  Not measured: as `SILENCE_S`."""
-JITTER = 0.5
-"""Least factor that a wait between pages is drawn with; the largest is 1 more.
+"""Time by which the timeout of a watch exceeds the wait that it requests, in seconds."""
+MINIMUM_JITTER = 0.5
+"""Minimum random factor of the delay before a page is requested again; the maximum is 1 more.
 
-Not measured: the usual half to one and a half keeps balancers that were refused together apart.
+The jitter spreads the retries of balancers that were refused at the same time.
 """
 
 
 class StoreClient:
-    """Makes the calls that the node commands, each on a connection of its own.
+    """Makes the calls that the node commands, concurrent ones on separate connections.
 
     :param address: `ip:port` of the store.
-    :param logs: for a line with the reason of each failure, at a bounded rate.
-    :ivar bytes_received: bytes of the bodies of all answers.
+    :param logs: receives a line with the reason of each failure, at a limited rate.
+    :ivar bytes_received: total size of the bodies of all responses.
     """
 
     def __init__(self, loop: EventLoop, address: str, codec: StoreCodec, logs: LogWriter) -> None:
@@ -59,31 +58,31 @@
         self._client = self._client_for(address)
         self.bytes_received = 0
 
-    def move(self, address: str) -> None:
-        """Use another address for all calls from now on."""
+    def change_address(self, address: str) -> None:
+        """Use another address for all further calls."""
         self._client.close()
         self._client = self._client_for(address)
 
     async def read(self, command: ReadSubject, on_page: Callable[[], None]) -> StoreEvent:
-        """Read everything of a subject.
+        """Read all pages of a subject.
 
-        :param on_page: called after each response that is not the last one.
+        :param on_page: called after each response except the last one.
         """
         paged = PagedRead(command, self._codec, PAGE_RETRIES)
         event: StoreEvent | None = None
         while event is None:
-            if paged.wait_s:
-                await sleep_until(self._loop.clock() + paged.wait_s * (JITTER + random.random()))
-            answer = await self._get(paged.target, SILENCE_S)
-            event = paged.answered(answer)
+            if paged.delay_s:
+                await sleep_until(self._loop.clock() + paged.delay_s * (MINIMUM_JITTER + random.random()))
+            answer = await self._get(paged.target, SILENCE_TIMEOUT_S)
+            event = paged.handle_response(answer)
             if event is None and isinstance(answer, HttpResponse):
                 on_page()
         self._log_undecodable(event)
         return event
 
     async def probe(self) -> StoreProbed:
-        """Find out whether the store answers, and at which revision."""
-        answer = await self._get(self._codec.probe_target(), SILENCE_S)
+        """Check whether the store responds, and at which revision."""
+        answer = await self._get(self._codec.probe_target(), SILENCE_TIMEOUT_S)
         failure = store_failure(answer)
         if isinstance(answer, HttpFailure) or failure is not None:
             return StoreProbed(failure)
@@ -94,7 +93,7 @@
     async def watch(self, command: WatchSubject) -> StoreEvent:
         """Wait for changes of a subject."""
         target = self._codec.watch_target(command)
-        answer = await self._get(target, SILENCE_S, command.wait_s + WATCH_MARGIN_S)
+        answer = await self._get(target, SILENCE_TIMEOUT_S, command.wait_s + WATCH_MARGIN_S)
         failure = store_failure(answer)
         if isinstance(answer, HttpFailure) or failure is not None:
             return StoreCallFailed(command.subject, failure or StoreFailure.REFUSED, True)
@@ -103,9 +102,9 @@
         return event
 
     async def _get(
-        self, target: str, silence_s: float, first_wait_s: float | None = None
+        self, target: str, silence_timeout_s: float, first_byte_timeout_s: float | None = None
     ) -> HttpResponse | HttpFailure:
-        answer = await self._client.get(target, silence_s, first_wait_s)
+        answer = await self._client.get(target, silence_timeout_s, first_byte_timeout_s)
         if isinstance(answer, HttpResponse):
             self.bytes_received += len(answer.body)
             failure = store_failure(answer)
--- a/sloepond/runtime/forwarding/store_pages.py
+++ b/sloepond/runtime/forwarding/store_pages.py
@@ -1,7 +1,7 @@
-"""A read of the store in pages, without I/O: which page comes next, and when the read is whole.
+"""A paged read of the store, without I/O: which page is next, and when the read is complete.
 
 Owns the pages of one read.  Relies on the platform's `StoreCodec` for targets and bodies, and on the
-caller to make the calls and the waits.
+caller to make the calls and to wait between them.
 """
 
 from __future__ import annotations
@@ -26,32 +26,31 @@
     HttpFailure.TIMED_OUT: StoreFailure.TIMED_OUT,
     HttpFailure.MALFORMED: StoreFailure.MALFORMED,
 }
-"""What a call without a response means to the node."""
-# What a response without a page means to the node; any other status is a refusal.
+"""Failure that is reported to the node for a call without a response."""
+# Failure for a response with another status than 200; a status not listed here is a refusal.
 _STATUSES = {429: StoreFailure.THROTTLED, 410: StoreFailure.HISTORY_LOST}
 OK = 200
 NOT_FOUND = 404
-FIRST_WAIT_S = 0.1
-"""Wait before a page is requested again, in seconds; it doubles with each failure in a row.
+INITIAL_RETRY_DELAY_S = 0.1
+"""Delay before a failed page is requested again, in seconds; it doubles with each failure in a row.
 
-Not measured: an answer takes some milliseconds, so the store is spared while it refuses, and a
-single failure delays a start by little.
+A response takes some milliseconds, so the delay reduces the load on a store that refuses, while a
+single failure delays a start only a little.
 """
-LONGEST_WAIT_S = 0.8
-"""Longest of these waits, in seconds.
+MAXIMUM_RETRY_DELAY_S = 0.8
+"""Maximum delay before a failed page is requested again, in seconds.
 
-Not measured: below the second in which the store counts reads, so each new second is tried.
+The store limits reads per second; the delay is below a second, so that there is a retry in each one.
 """
 PAGE_RETRIES = 8
-"""Failures after the first page that one read bears in all.
+"""Failures after the first page that one read tolerates in total.
 
-Not measured: in a row their waits add up to 4.7 s; a store that refuses for longer is left to the
-node's own retries.
+In a row their delays add up to 4.7 s; the node itself retries a read that fails for longer.
 """
 
 
 def store_failure(answer: HttpResponse | HttpFailure) -> StoreFailure | None:
-    """Return why a call has failed, None if its response has the status 200."""
+    """Return why a call has failed, None if the status of its response is 200."""
     if isinstance(answer, HttpFailure):
         return STORE_FAILURES[answer]
     if answer.status == OK:
@@ -60,14 +59,14 @@
 
 
 class PagedRead:
-    """One read of everything of a subject, page by page.
+    """One read of all pages of a subject.
 
-    A page that fails is requested again: a list of many pages isn't begun anew for it.  The first page
-    is not, as the node decides when to try again.
+    A failed page is requested again, so that a list of many pages need not restart.  A failure of the
+    first page fails the read, since the node decides when to retry it.
 
-    :param retries: failures that are borne after the first page.
+    :param retries: failures after the first page that are tolerated.
     :ivar target: target of the next GET.
-    :ivar wait_s: seconds to wait before it; the caller draws 0.5 to 1.5 times that.
+    :ivar delay_s: delay before it, in seconds; the caller multiplies it by a random 0.5 to 1.5.
     """
 
     def __init__(self, command: ReadSubject, codec: StoreCodec, retries: int = 0) -> None:
@@ -81,26 +80,26 @@
         self._pages = 0
         self._revision = 0
         self.target = codec.read_target(command, "")
-        self.wait_s = 0.0
+        self.delay_s = 0.0
 
-    def answered(self, answer: HttpResponse | HttpFailure) -> StoreEvent | None:
-        """Take the answer to `target`; return the event once all pages are there or the read has failed."""
+    def handle_response(self, answer: HttpResponse | HttpFailure) -> StoreEvent | None:
+        """Handle the response to `target`; return an event once the read is complete or has failed."""
         failure = store_failure(answer)
         if isinstance(answer, HttpResponse) and failure is None:
-            self.wait_s = 0.0
-            return self._page(answer.body)
+            self.delay_s = 0.0
+            return self._add_page(answer.body)
         subject = self._command.subject
         is_absent = isinstance(answer, HttpResponse) and answer.status == NOT_FOUND
         if is_absent and subject is Subject.ROUTES:
             return RoutesRead(0, None)
         if self._pages and self._retries > 0:
             self._retries -= 1
-            self.wait_s = min(LONGEST_WAIT_S, max(FIRST_WAIT_S, 2.0 * self.wait_s))
+            self.delay_s = min(MAXIMUM_RETRY_DELAY_S, max(INITIAL_RETRY_DELAY_S, 2.0 * self.delay_s))
             return None
         return StoreCallFailed(subject, failure or StoreFailure.REFUSED, False)
 
-    def _page(self, body: bytes) -> StoreEvent | None:
-        """Take a page; pages are no snapshot, so the revision of the first one counts."""
+    def _add_page(self, body: bytes) -> StoreEvent | None:
+        """Add a page; pages are not a snapshot, so the read has the revision of the first one."""
         page = self._codec.decode_page(self._command.subject, body)
         event = page.event
         if isinstance(event, BackendsRead):
--- a/sloepond/runtime/forwarding/streams.py
+++ b/sloepond/runtime/forwarding/streams.py
@@ -1,7 +1,7 @@
-"""TCP connections on the event loop: connect, accept, read and write, each with a deadline.
+"""TCP connections on the event loop: connect, accept, read and write.
 
 Owns the accepted connections of each `Acceptor`.  Relies on the event loop to wait.  Deadlines are
-times of the loop's clock, in seconds.
+in seconds of the loop's clock.
 """
 
 from __future__ import annotations
@@ -17,54 +17,53 @@
 from sloepond.runtime.forwarding.sockets import Socket
 
 READ_BYTES = 65_536
-"""Bytes read at once from a connection.  Not measured: the default size of a pipe or socket buffer."""
+"""Maximum size of one read from a connection, in bytes: the default size of a socket buffer."""
 ACCEPT_RETRY_S = 0.05
-"""Wait after a connection that could not be accepted, in seconds; mostly descriptors are short.
+"""Delay after a failed accept, in seconds; the usual cause is a lack of descriptors.
 
-Not measured: the waiting connection makes the listener readable at once, so without a pause the
-loop would spin; at 20 tries a second it costs next to nothing.
+The pending connection keeps the listener readable, so without a delay the loop would spin; 20 attempts
+per second cost almost nothing.
 """
-ACCEPTS_A_STEP = 8
-"""Connections accepted in one step of the loop, so that a flood of them doesn't delay packets.
+ACCEPTS_PER_STEP = 8
+"""Connections accepted in one step of the loop, so that many of them don't delay packets.
 
-Not measured: a few system calls each, well below the 0.8 ms of a batch of datagrams.
+Each takes a few system calls; together they stay well below the 0.8 ms of a batch of datagrams.
 """
 
 KEEP_ALIVE_IDLE_S = 1
-"""Idle time after which TCP probes the other end of a connection, in seconds."""
-KEEP_ALIVE_ANSWER_S = 1
-"""How long the other end has to answer the probe, in seconds; silence ends the connection.
+"""Idle time after which TCP sends a keep-alive probe, in seconds."""
+KEEP_ALIVE_TIMEOUT_S = 1
+"""Time for the response to a keep-alive probe, in seconds; without one the connection fails.
 
-Both are the least that the system takes.  A watch whose connection has gone silent is noticed after
-2 s instead of 25.7 s, its own end: on a day with all of them silent twice, 506 breaks of the limit on
-configuration changes fell to 0 (one seed, trial).
+Both are the minimum of the system.  They detect a watch on a dead connection after 2 s, rather than
+after 25.7 s by its own timeout, which is too late for the limit on configuration changes.
 """
-SILENCE_LIMIT_MS = 1000 * (KEEP_ALIVE_IDLE_S + KEEP_ALIVE_ANSWER_S)
-"""How long sent bytes may stay unacknowledged, in milliseconds.
+UNACKNOWLEDGED_TIMEOUT_MS = 1000 * (KEEP_ALIVE_IDLE_S + KEEP_ALIVE_TIMEOUT_S)
+"""Longest time for which sent bytes may stay unacknowledged, in milliseconds.
 
-Keep-alive doesn't probe meanwhile, so a watch sent on a silent connection would wait 25.7 s.
+TCP sends no keep-alive probes meanwhile, so a watch sent on a dead connection would take 25.7 s to fail.
 """
 
 StreamHandler = Callable[[Socket], Coroutine[Wait, None, None]]
-"""Serves one connection, which is closed afterwards; OSError ends it."""
+"""Serves one connection, which is closed afterwards; may raise OSError."""
 
 
 async def connect(server: Endpoint, deadline: float) -> Socket:
     """Return a connection to a server.
 
-    :raises OSError: if it refuses or cannot be reached, or descriptors or ports are short here;
+    :raises OSError: if it refuses or cannot be reached, or this process lacks descriptors or ports;
         `TimeoutError` after the deadline.
     """
     stream = Socket(_socket.AF_INET, _socket.SOCK_STREAM)
     try:
         stream.setblocking(False)
-        begun = stream.connect_ex(server)
-        if begun not in (0, errno.EINPROGRESS):
-            raise OSError(begun, os.strerror(begun))
+        result = stream.connect_ex(server)
+        if result not in (0, errno.EINPROGRESS):
+            raise OSError(result, os.strerror(result))
         await writable(stream, deadline)
-        failed = stream.getsockopt(_socket.SOL_SOCKET, _socket.SO_ERROR)
-        if failed:
-            raise OSError(failed, os.strerror(failed))
+        error_number = stream.getsockopt(_socket.SOL_SOCKET, _socket.SO_ERROR)
+        if error_number:
+            raise OSError(error_number, os.strerror(error_number))
     except BaseException:
         stream.close()
         raise
@@ -72,36 +71,36 @@
 
 
 def keep_alive(stream: Socket) -> None:
-    """Make a connection fail with a time-out 2 s after its other end has gone silent."""
+    """Make a connection fail with a timeout 2 s after its other end stops responding."""
     stream.setsockopt(_socket.SOL_SOCKET, _socket.SO_KEEPALIVE, 1)
     stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPINTVL, KEEP_ALIVE_ANSWER_S)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPINTVL, KEEP_ALIVE_TIMEOUT_S)
     stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPCNT, 1)
-    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
+    stream.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
 
 
 async def send_all(stream: Socket, data: bytes, deadline: float) -> None:
-    """Send bytes, as fast as the other end takes them.
+    """Send bytes; wait whenever the socket's buffer is full.
 
     :raises OSError: if the connection fails, `TimeoutError` after the deadline.
     """
-    left = memoryview(data)
-    while left:
+    remaining = memoryview(data)
+    while remaining:
         try:
-            left = left[stream.send(left) :]
+            remaining = remaining[stream.send(remaining) :]
         except BlockingIOError:
             await writable(stream, deadline)
 
 
-async def read_to_end(stream: Socket, most: int, deadline: float) -> bytes:
-    """Return all that the other end sends until it closes.
+async def read_to_end(stream: Socket, maximum_bytes: int, deadline: float) -> bytes:
+    """Return the bytes that the other end sends until it closes.
 
-    :param most: bytes after which reading stops; one read more may be returned.
+    :param maximum_bytes: size at which reading stops; the last read may exceed it.
     :raises OSError: if the connection fails, `TimeoutError` after the deadline.
     """
     parts: list[bytes] = []
     size = 0
-    while size < most:
+    while size < maximum_bytes:
         await readable(stream, deadline)
         part = stream.recv(READ_BYTES)
         if not part:
@@ -112,10 +111,11 @@
 
 
 class Acceptor:
-    """Serves the connections that come to a listening socket, a bounded number at once.
+    """Serves the connections to a listening socket, a limited number concurrently.
 
-    :param listener: non-blocking; watched for as long as the loop runs.
-    :param most: connections served at once; one more is closed and counted, its client tries again.
+    :param listener: non-blocking; watched as long as the loop runs.
+    :param maximum_connections: concurrent connections; a further one is closed and counted, and its
+        client tries again.
     """
 
     def __init__(
@@ -123,19 +123,19 @@
         loop: EventLoop,
         listener: Socket,
         handler: StreamHandler,
-        most: int,
+        maximum_connections: int,
         counters: ForwardingCounters,
     ) -> None:
         self._loop = loop
         self._listener = listener
         self._handler = handler
-        self._most = most
+        self._maximum_connections = maximum_connections
         self._counters = counters
-        self._served = 0
+        self._open_connections = 0
         loop.watch(listener, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_A_STEP):
+        for _ in range(ACCEPTS_PER_STEP):
             try:
                 stream, _ = self._listener.accept()
             except BlockingIOError:
@@ -145,16 +145,16 @@
                 self._loop.unwatch(self._listener)
                 self._loop.start(self._watch_again())
                 return
-            if self._served >= self._most:
+            if self._open_connections >= self._maximum_connections:
                 self._counters.connections_turned_away += 1
                 stream.close()
                 continue
             stream.setblocking(False)
-            self._served += 1
+            self._open_connections += 1
             self._loop.start(self._serve(stream))
 
     async def _watch_again(self) -> None:
-        """Accept again after a pause: the waiting connection would wake the loop at once."""
+        """Accept again after a delay, since the pending connection would wake the loop at once."""
         await sleep_until(self._loop.clock() + ACCEPT_RETRY_S)
         self._loop.watch(self._listener, self._accept)
 
@@ -163,7 +163,7 @@
             with stream:
                 await self._handler(stream)
         except OSError:
-            # The other end has closed or was too slow; only its own call is lost.
+            # The other end has closed or was too slow; other connections are not affected.
             self._counters.connections_broken += 1
         finally:
-            self._served -= 1
+            self._open_connections -= 1
