--- a/features/forwarding/store_client.feature
+++ b/features/forwarding/store_client.feature
@@ -1,39 +1,39 @@
-Feature: Calls to the store wait as long as an answer is coming
+Feature: Calls to the store continue while bytes of the response arrive
 
-  Scenario: A large answer over a slow link arrives whole
-    When forwarding reads an answer of forty parts, one each tenth of a second
-    Then forwarding has the whole answer after four seconds
+  Scenario: A large response over a slow link arrives completely
+    When forwarding reads a response of forty parts, one each tenth of a second
+    Then forwarding has the complete response after four seconds
 
-  Scenario: An answer that stops coming is given up soon
-    When forwarding reads an answer that stops after five parts, one each tenth of a second
-    Then forwarding gives the answer up after the silence it bears
+  Scenario: A response that stalls times out soon
+    When forwarding reads a response that stops after five parts, one each tenth of a second
+    Then forwarding has timed out after the limit on silence
 
-  Scenario: An answer that trickles without end is given up
-    When forwarding reads an answer of ten thousand parts, one each tenth of a second
-    Then forwarding gives the answer up after the longest time of a call
+  Scenario: A response that trickles without end times out
+    When forwarding reads a response of ten thousand parts, one each tenth of a second
+    Then forwarding has timed out after the limit on a response
 
-  Scenario: A read whose answer comes in two halves is finished, not begun anew
-    When forwarding reads routes that come in two halves
-    Then forwarding knows the routes after one request
+  Scenario: A read whose response arrives in two halves is not restarted
+    When forwarding reads routes that arrive in two halves
+    Then forwarding has the routes after one request
 
-  Scenario: A read whose answer stops coming fails
-    When forwarding reads routes of which the second half never comes
-    Then forwarding takes the read as timed out
+  Scenario: A read whose response stalls fails
+    When forwarding reads routes of which the second half never arrives
+    Then forwarding reports the read as timed out
 
-  Scenario: Responses, requests and queries are what the libraries take them to be
-    Then http property: a response is read as h11 reads it, in whatever pieces it comes
-    And http property: bytes that are no response are an error or wait for more, never an answer
-    And http property: a request is read as h11 reads it, in whatever pieces it comes
-    And http property: a text is quoted as the standard library quotes it
+  Scenario: Responses, requests and queries are parsed and encoded as by the libraries
+    Then http property: a response is parsed as by h11, in whatever pieces it arrives
+    And http property: bytes that are not a response are an error or incomplete, never a response
+    And http property: a request is parsed as by h11, in whatever pieces it arrives
+    And http property: a text is percent-encoded as by the standard library
 
-  Scenario: A connection that falls silent while a watch waits is noticed after two seconds
-    Given a listening address that never answers
+  Scenario: A connection that dies during a watch is detected after two seconds
+    Given a listening address that never responds
     When forwarding watches the store at that address
-    Then its connection asks after 1 second of rest and is given up 1 second later
+    Then its connection is probed after 1 second of idle time and fails 1 second later
 
-  Scenario: A call written into a connection that has fallen silent is given up after two seconds
-    The system asks for a sign of life only while nothing waits for its receipt.  A watch asked for
-    on a connection that was silent already would wait for its own end, 25.7 seconds.
-    Given a listening address that never answers
+  Scenario: A call on a connection that is already dead fails after two seconds
+    TCP sends no keep-alive probes while sent bytes are unacknowledged.  Without a limit on that, a
+    watch on a dead connection would only fail at its own timeout, after 25.7 seconds.
+    Given a listening address that never responds
     When forwarding watches the store at that address
-    Then its connection is given up once bytes wait 2000 milliseconds for their receipt
+    Then its connection fails once sent bytes are unacknowledged for 2000 milliseconds
--- a/features/steps/forwarding_client_steps.py
+++ b/features/steps/forwarding_client_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls to the store over slow links, by a simulated clock."""
+"""Steps on calls to the store over slow links, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def silent_log(context):
-    """Return a log that nobody reads."""
+    """Return a log writer on the null device."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     context.add_cleanup(os.close, descriptor)
     return LogWriter(ForwardingCounters(), descriptor)
@@ -51,56 +51,56 @@
 
 
 def answer_in_parts(loop, data_parts):
-    """Return a stream that brings one part in each interval."""
+    """Return a stream that delivers one part per interval."""
     now = loop.clock()
     return SimulatedStream((now + INTERVAL_S * (n + 1), part) for n, part in enumerate(data_parts))
 
 
 def read(context, parts, sent):
-    """Read once; keep the answer and how long it took."""
+    """Read once; record the response and the duration."""
     loop = SimulatedLoop()
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {parts * len(PART)}\r\n\r\n".encode()
     stream = answer_in_parts(loop, [head] + [PART] * sent)
-    begun = loop.clock()
+    started_at = loop.clock()
     context.answer = loop.run_to_end(SlowClient(loop, stream).get("/", SILENCE_S))
-    context.took_s = loop.clock() - begun
+    context.duration_s = loop.clock() - started_at
 
 
-@when("forwarding reads an answer of forty parts, one each tenth of a second")
+@when("forwarding reads a response of forty parts, one each tenth of a second")
 def reads_forty(context):
     read(context, 40, 40)
 
 
-@when("forwarding reads an answer that stops after five parts, one each tenth of a second")
+@when("forwarding reads a response that stops after five parts, one each tenth of a second")
 def reads_stopping(context):
     read(context, 40, 5)
 
 
-@when("forwarding reads an answer of ten thousand parts, one each tenth of a second")
+@when("forwarding reads a response of ten thousand parts, one each tenth of a second")
 def reads_endless(context):
     read(context, 10_000, 10_000)
 
 
-@then("forwarding has the whole answer after four seconds")
+@then("forwarding has the complete response after four seconds")
 def has_whole(context):
     assert context.answer == HttpResponse(200, PART * 40), context.answer
-    assert 4.0 < context.took_s < 4.3
+    assert 4.0 < context.duration_s < 4.3
 
 
-@then("forwarding gives the answer up after the silence it bears")
-def gives_up(context):
+@then("forwarding has timed out after the limit on silence")
+def timed_out_after_silence(context):
     assert context.answer is HttpFailure.TIMED_OUT
-    assert abs(context.took_s - 6 * INTERVAL_S - SILENCE_S) < 0.01
+    assert abs(context.duration_s - 6 * INTERVAL_S - SILENCE_S) < 0.01
 
 
-@then("forwarding gives the answer up after the longest time of a call")
-def gives_up_long(context):
+@then("forwarding has timed out after the limit on a response")
+def timed_out_at_limit(context):
     assert context.answer is HttpFailure.TIMED_OUT
-    assert abs(context.took_s - MAXIMUM_RESPONSE_S) < INTERVAL_S
+    assert abs(context.duration_s - MAXIMUM_RESPONSE_S) < INTERVAL_S
 
 
 def read_routes_in_halves(context, halves):
-    """Read the routes from a store that sends as many halves of its answer."""
+    """Read the routes from a store that sends this many halves of its response."""
     loop = SimulatedLoop()
     value = base64.b64encode(json.dumps({"version": 4, "routes": []}).encode()).decode()
     item = {"key": "op/config", "value": value, "rev": 2}
@@ -114,23 +114,23 @@
     context.event = loop.run_to_end(store.read(ReadSubject(Subject.ROUTES), lambda: None))
 
 
-@when("forwarding reads routes that come in two halves")
+@when("forwarding reads routes that arrive in two halves")
 def two_halves(context):
     read_routes_in_halves(context, 2)
 
 
-@when("forwarding reads routes of which the second half never comes")
+@when("forwarding reads routes of which the second half never arrives")
 def one_half(context):
     read_routes_in_halves(context, 1)
 
 
-@then("forwarding knows the routes after one request")
+@then("forwarding has the routes after one request")
 def one_request(context):
     assert isinstance(context.event, RoutesRead) and context.event.configuration.version == 4
     assert context.stream.sent.count(b"GET ") == 1
 
 
-@then("forwarding takes the read as timed out")
+@then("forwarding reports the read as timed out")
 def timed_out(context):
     assert context.event == StoreCallFailed(Subject.ROUTES, StoreFailure.TIMED_OUT, False)
     assert context.stream.is_closed
@@ -142,7 +142,7 @@
 
 @st.composite
 def responses(draw):
-    """Return the bytes of a response, whole or broken off, and whether the connection then closes."""
+    """Return the bytes of a response, complete or truncated."""
     body = draw(BODIES)
     status = draw(st.sampled_from((200, 204, 404, 410, 429, 503)))
     framing = draw(st.sampled_from(("length", "chunked", "close")))
@@ -174,7 +174,7 @@
 
 
 def pieces(data, cuts):
-    """Return data in pieces of given sizes."""
+    """Yield data in pieces of given sizes."""
     for size in cuts:
         if data[:size]:
             yield data[:size]
@@ -184,7 +184,10 @@
 
 
 def by_h11(parts):
-    """Return what h11 makes of a response that ends with the connection: status, body, or None."""
+    """Return the response parsed by h11 and whether its connection is reusable, None for an error.
+
+    The connection closes after the parts.
+    """
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
     connection.send(h11.EndOfMessage())
@@ -207,7 +210,7 @@
 
 
 def by_exchange(parts):
-    """Return the same by the project's own reader."""
+    """Return the same for the project's own parser."""
     exchange = HttpExchange("a")
     exchange.request("/")
     for data in (*parts, b""):
@@ -220,7 +223,7 @@
     return None
 
 
-@then("http property: a response is read as h11 reads it, in whatever pieces it comes")
+@then("http property: a response is parsed as by h11, in whatever pieces it arrives")
 def read_alike(context):
     @PROPERTY
     @for_all(responses(), CUTS)
@@ -228,12 +231,12 @@
         parts = list(pieces(data, cuts))
         expected, found = by_h11(parts), by_exchange(parts)
         assert (expected and expected[0]) == (found and found[0]), (data, expected, found)
-        assert not (found and found[1] and not expected[1]), "kept a connection that h11 would not"
+        assert not (found and found[1] and not expected[1]), "reused a connection that h11 would not"
 
     check()
 
 
-@then("http property: bytes that are no response are an error or wait for more, never an answer")
+@then("http property: bytes that are not a response are an error or incomplete, never a response")
 def no_answer(context):
     @PROPERTY
     @for_all(st.binary(max_size=80).filter(lambda data: b"HTTP/" not in data), CUTS)
@@ -243,7 +246,7 @@
     check()
 
 
-@then("http property: a request is read as h11 reads it, in whatever pieces it comes")
+@then("http property: a request is parsed as by h11, in whatever pieces it arrives")
 def requests_alike(context):
     targets = st.text("abc/?=&%25-", min_size=1, max_size=30).map(lambda text: "/" + text)
 
@@ -266,8 +269,8 @@
     check()
 
 
-@then("http property: a text is quoted as the standard library quotes it")
-def quoted_alike(context):
+@then("http property: a text is percent-encoded as by the standard library")
+def encoded_alike(context):
     import urllib.parse
 
     @PROPERTY
@@ -278,7 +281,7 @@
     check()
 
 
-@given("a listening address that never answers")
+@given("a listening address that never responds")
 def never_answers(context):
     context.listener = socket.create_server(("127.0.30.8", 0))
     context.add_cleanup(context.listener.close)
@@ -301,18 +304,18 @@
     context.user_timeout = client.user_timeout
 
 
-@then("its connection asks after 1 second of rest and is given up 1 second later")
+@then("its connection is probed after 1 second of idle time and fails 1 second later")
 def keep_alive_options(context):
     assert context.options == (1, 1, 1, 1), context.options
 
 
-@then("its connection is given up once bytes wait {milliseconds:d} milliseconds for their receipt")
+@then("its connection fails once sent bytes are unacknowledged for {milliseconds:d} milliseconds")
 def user_timeout(context, milliseconds):
     assert context.user_timeout == milliseconds, context.user_timeout
 
 
 class RecordingClient(HttpClient):
-    """A client that notes the keep-alive options of its connections."""
+    """A client that records the keep-alive options of its connections."""
 
     def __init__(self, loop, server):
         super().__init__(loop, server)
--- a/features/steps/forwarding_errors_steps.py
+++ b/features/steps/forwarding_errors_steps.py
@@ -46,7 +46,7 @@
 
 
 class LogPipe:
-    """A log whose lines can be read, with a clock that is set by hand."""
+    """A log whose lines can be read, with a manual clock."""
 
     def __init__(self, context, counters):
         self.now = 100.0
@@ -61,7 +61,7 @@
         self._text = b""
 
     def lines(self, kind):
-        """Return all lines of a kind that were written."""
+        """Return all written lines of a kind."""
         try:
             while part := os.read(self._reading, 65_536):
                 self._text += part
@@ -72,7 +72,7 @@
 
 
 def forward_on(context, error):
-    """Make a data path on a socket that fails."""
+    """Create a data path on a socket whose calls fail with an error."""
     context.harness = Harness().configure()
     node = context.harness.node
     context.counters = node.counters
@@ -87,7 +87,7 @@
     forward_on(context, OSError(ERRORS[reason], reason))
 
 
-@given("forwarding on a callers' socket on which nothing waits")
+@given("forwarding on a callers' socket that is empty")
 def socket_empty(context):
     forward_on(context, BlockingIOError(errno.EAGAIN, "Resource temporarily unavailable"))
 
@@ -131,10 +131,10 @@
 
 
 class StandinClient(HttpClient):
-    """A client whose connections bring given bytes, or are refused."""
+    """A client whose connections deliver given bytes or are refused."""
 
-    def bring(self, data):
-        """Have each connection bring these bytes; None where connections are refused."""
+    def deliver(self, data):
+        """Have each connection deliver these bytes; None if connections are refused."""
         self.data = data
 
     async def _connect(self, deadline):
@@ -150,7 +150,7 @@
 
 
 def entry_without_port():
-    """Return a list, and the answer to a watch, with a back end whose address has no port."""
+    """Return the response to a read and to a watch, with a back end whose address has no port."""
     value = base64.b64encode(b'{"service":"a","addr":"10.0.0.1"}').decode()
     items = [{"key": "servers/i-1", "rev": 1, "value": value}]
     return json.dumps({"items": items, "events": items, "more": False, "at": 1})
@@ -159,11 +159,11 @@
 STORES = {
     "answers with status 503": response(503, b""),
     "answers with status 410": response(410, b""),
-    "answers with JSON that breaks off": response(200, b'{"items": ['),
-    "answers with an entry that is none": response(200, entry_without_port().encode()),
+    "answers with truncated JSON": response(200, b'{"items": ['),
+    "answers with an invalid entry": response(200, entry_without_port().encode()),
     "does not speak HTTP": b"220\r\n\r\n",
     "refuses connections": None,
-    "says nothing": b"",
+    "does not respond": b"",
 }
 
 
@@ -174,7 +174,7 @@
     loop = SimulatedLoop()
     store = StoreClient(loop, "10.0.0.1:80", PlatformStoreCodec(), context.logs.writer)
     store._client.__class__ = StandinClient
-    store._client.bring(STORES[does])
+    store._client.deliver(STORES[does])
     call = {
         "reads": lambda: store.read(ReadSubject(Subject.BACKENDS), lambda: None),
         "watches": lambda: store.watch(WatchSubject(Subject.BACKENDS, 1, 1.0)),
@@ -184,8 +184,8 @@
     context.event = loop.run_to_end(call())
 
 
-@then('forwarding has taken that entry as one that cannot be read, for the reason "{reason}"')
-def taken_as_unreadable(context, reason):
+@then('forwarding has reported that entry as unreadable, with the reason "{reason}"')
+def reported_as_unreadable(context, reason):
     event = context.event
     entries = event.unreadable if isinstance(event, BackendsRead) else event.changes
     assert [type(entry) for entry in entries] == [UnreadableBackend], event
@@ -199,7 +199,7 @@
 
 
 CONNECT = "sloepond.runtime.forwarding.reachability_check.connect"
-CHECKED, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
+CHECKED, CONTROL = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
 CONNECT_ERRORS = {
     "Too many open files": errno.EMFILE,
     "Cannot assign address": errno.EADDRNOTAVAIL,
@@ -209,10 +209,10 @@
 
 
 def check_backend(context, connect):
-    """Check a back end by a connect of the test."""
+    """Check a back end with a given `connect`."""
     loop, context.results, context.failures = SimulatedLoop(), [], []
     with mock.patch(CONNECT, connect):
-        ReachabilityCheck(loop, CHECKED, OTHER, context.results.append, context.failures.append)
+        ReachabilityCheck(loop, CHECKED, CONTROL, context.results.append, context.failures.append)
         ends_at = loop.clock() + 2 * CHECK_TIMEOUT_S
         loop.follow_deadline(lambda: ends_at, loop.stop)
         loop.run()
@@ -226,7 +226,7 @@
     check_backend(context, connect)
 
 
-@when("forwarding checks a back end without descriptors while another one is reached")
+@when("forwarding checks a back end without descriptors while the control is reached")
 def descriptors_short(context):
     async def connect(server, deadline):
         if server == CHECKED:
@@ -241,6 +241,6 @@
     assert [each.value for each in context.results] == [result], context.results
 
 
-@then("the check has reported {count:d} failures of its own")
+@then("the check has reported {count:d} failures of this process")
 def check_failures(context, count):
     assert len(context.failures) == count, context.failures
--- a/features/steps/forwarding_loop_model.py
+++ b/features/steps/forwarding_loop_model.py
@@ -1,4 +1,4 @@
-"""An event loop of forwarding on a simulated clock, with simulated streams."""
+"""The forwarding balancer's event loop on a simulated clock, with simulated streams."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from sloepond.runtime.forwarding.event_loop import FOR_READING, EventLoop
 
-READ_FOR_EVER = 10_000
-"""Steps after which a loop that has not come to rest counts as hanging."""
+MAXIMUM_STEPS = 10_000
+"""Steps of the loop after which a coroutine that has not ended counts as hanging."""
 
 
 class SimulatedStream:
-    """A connection that takes everything and brings parts at given moments.
+    """A connection that accepts all data and delivers parts at given times.
 
-    :param parts: moment and bytes of each part, in order; nothing ever comes after them.
+    :param parts: time and bytes of each part, in order; nothing is delivered after them.
     """
 
     def __init__(self, parts=()):
@@ -24,48 +24,48 @@
 
     @property
     def readable_at(self):
-        """Moment at which there is something to read."""
+        """Time at which the next part can be read."""
         return self.parts[0][0] if self.parts else float("inf")
 
     def send(self, data):
-        """Take all of it."""
+        """Accept all of the data."""
         self.sent += bytes(data)
         return len(data)
 
     def recv(self, size):
-        """Return the part that is there."""
+        """Return the next part."""
         return self.parts.popleft()[1][:size]
 
     def close(self):
-        """Note it."""
+        """Record that the stream is closed."""
         self.is_closed = True
 
 
 class SimulatedSelector(selectors.BaseSelector):
-    """Moves the clock to the next thing that happens instead of waiting for it."""
+    """Advances the clock to the next event instead of waiting for it."""
 
     def __init__(self, begins_at=100.0):
         self.now = begins_at
         self.keys = {}
 
     def register(self, fileobj, events, data=None):
-        """Wait for a stream."""
-        assert fileobj not in self.keys, "waited for twice"
+        """Start waiting for a stream."""
+        assert fileobj not in self.keys, "the stream is already registered"
         self.keys[fileobj] = selectors.SelectorKey(fileobj, 0, events, data)
         return self.keys[fileobj]
 
     def unregister(self, fileobj):
-        """Wait for it no longer."""
+        """Stop waiting for a stream."""
         return self.keys.pop(fileobj)
 
     def select(self, timeout=None):
-        """Return the streams that are ready, at the latest after the timeout."""
+        """Return the streams that are ready at the next event or after the timeout."""
         ready_at = min((self._ready_at(key) for key in self.keys.values()), default=float("inf"))
         self.now = max(self.now, min(self.now + timeout, ready_at))
         return [(key, key.events) for key in self.keys.values() if self._ready_at(key) <= self.now]
 
     def get_map(self):
-        """Return what is waited for."""
+        """Return the registered streams."""
         return self.keys
 
     def _ready_at(self, key):
@@ -73,22 +73,22 @@
 
 
 class SimulatedLoop(EventLoop):
-    """An event loop whose time passes only as it waits."""
+    """An event loop whose clock advances only while it waits."""
 
     def __init__(self):
         self.simulated = SimulatedSelector()
         super().__init__(lambda: self.simulated.now, self.simulated)
 
     def run_to_end(self, coroutine):
-        """Run a coroutine to its end; return what it returns."""
+        """Run a coroutine to its end and return its result."""
         results = []
 
-        async def keep():
+        async def record_result():
             results.append(await coroutine)
 
-        self.start(keep())
-        for _ in range(READ_FOR_EVER):
+        self.start(record_result())
+        for _ in range(MAXIMUM_STEPS):
             if results:
                 return results[0]
             self.run_once()
-        raise AssertionError("the coroutine does not end")
+        raise AssertionError("the coroutine did not end")
--- a/features/steps/forwarding_loop_steps.py
+++ b/features/steps/forwarding_loop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the event loop of forwarding."""
+"""Steps on the forwarding balancer's event loop."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     "trio", "h11", "asyncio", "inspect", "dataclasses", "urllib.parse", "logging", "threading",
     "socket", "signal",
 )  # fmt: skip
-"""Modules that take long to load, each seen in a start of an earlier version or of trio."""
+"""Modules that are slow to import: trio, h11 and what they or other modules import."""
 
 
-@then("loop property: each wait ends at its stream's moment or at its deadline, in the order of time")
+@then("loop property: each wait ends when its stream is readable or at its deadline, in the order of time")
 def waits_end(context):
     moments = st.integers(0, 40).map(lambda tenths: 100.0 + tenths / 10)
     streams = st.one_of(st.none(), moments)
@@ -68,18 +68,18 @@
 
 @when("an event loop watches a socket that is sent three datagrams")
 def watches(context):
-    context.taken = []
+    context.received = []
     loop = EventLoop()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver, sender() as source:
         receiver.bind(("127.0.0.1", 0))
         receiver.setblocking(False)
 
-        def take():
-            context.taken.append(receiver.recv(100))
-            if len(context.taken) == 3:
+        def receive():
+            context.received.append(receiver.recv(100))
+            if len(context.received) == 3:
                 loop.stop()
 
-        loop.watch(receiver, take)
+        loop.watch(receiver, receive)
         for number in range(3):
             source.sendto(bytes([number]), receiver.getsockname())
         loop.run()
@@ -92,7 +92,7 @@
 
 @then("the event loop has called back until all three were read")
 def all_read(context):
-    assert context.taken == [bytes([number]) for number in range(3)]
+    assert context.received == [bytes([number]) for number in range(3)]
 
 
 @when("an event loop follows a deadline that moves by 0.3 seconds each time")
@@ -142,7 +142,7 @@
     assert context.closed == ["waiting one"]
 
 
-@when("3 connections come to an event loop that serves 2 at once")
+@when("3 connections reach an event loop that serves 2 at once")
 def connections_come(context):
     context.loop, context.counters = EventLoop(), ForwardingCounters()
     context.listener = socket.create_server(("127.0.0.1", 0))
@@ -161,7 +161,7 @@
 
 
 def connected(context):
-    """Return a connection to the follower of the scenario."""
+    """Return a connection to the listener of the scenario."""
     client = socket.create_connection(context.listener.getsockname(), PATIENCE_S)
     context.add_cleanup(client.close)
     return client
@@ -172,7 +172,7 @@
     end = time.monotonic() + PATIENCE_S
     context.loop.follow_deadline(lambda: context.loop.clock() + 0.01, lambda: None)
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "the condition did not become true in time"
         context.loop.run_once()
 
 
@@ -192,26 +192,26 @@
 
 
 class FullListener(SimulatedStream):
-    """A follower with a connection that cannot be accepted until there are descriptors."""
+    """A listener whose connection cannot be accepted until descriptors are available."""
 
-    def __init__(self, free_at, clock):
+    def __init__(self, available_at, clock):
         super().__init__()
-        self.free_at = free_at
+        self.available_at = available_at
         self.clock = clock
-        self.tries = 0
+        self.attempts = 0
         self.accepted = 0
 
     @property
     def readable_at(self):
-        """A connection waits until it is accepted."""
+        """The listener is readable until the connection is accepted."""
         return float("inf") if self.accepted else 0.0
 
     def accept(self):
-        """Accept a connection that ends at once, or fail for want of descriptors."""
+        """Accept a connection that closes at once, or fail for lack of descriptors."""
         if self.accepted:
             raise BlockingIOError
-        self.tries += 1
-        if self.clock() < self.free_at:
+        self.attempts += 1
+        if self.clock() < self.available_at:
             raise OSError(errno.EMFILE, "too many open files")
         self.accepted += 1
         return socket.socketpair()[0], None
@@ -234,21 +234,21 @@
     context.listener = listener
 
 
-@then("the event loop has tried at most 25 times, and accepts again once it can")
-def tried_few(context):
+@then("the event loop has attempted at most 25 accepts, and accepts again once it can")
+def attempted_few(context):
     assert context.listener.accepted == 1
-    assert context.listener.tries <= 25
-    assert context.counters.accepts_failed == context.listener.tries - 1
+    assert context.listener.attempts <= 25
+    assert context.counters.accepts_failed == context.listener.attempts - 1
 
 
-@then("the balancer on the platform loads neither trio nor h11 nor what takes as long")
-def loads_little(context):
+@then("the balancer on the platform imports neither trio nor h11 nor another slow module")
+def imports_no_slow_module(context):
     loaded = modules_after("sloepond.platform.balancer")
     assert "sloepond.runtime.forwarding.service" in loaded
     assert not loaded.intersection(HEAVY_MODULES), loaded.intersection(HEAVY_MODULES)
 
 
-@then("the balancer on the platform loads next to nothing before it binds its sockets")
+@then("the balancer on the platform imports almost nothing before it binds its sockets")
 def binds_first(context):
     loaded = modules_after("sloepond.platform.settings, sloepond.runtime.forwarding.binding")
     heavy = (*HEAVY_MODULES, "msgspec", "typing", "re", "random", "json", "enum", "socket")
@@ -257,8 +257,8 @@
 
 
 def modules_after(names):
-    """Return the modules that are loaded once those named have been."""
-    # The platform's build installs no typing_extensions, which msgspec would load.
+    """Return the modules that are loaded after an import of the named ones."""
+    # The platform's build has no typing_extensions, which msgspec would import.
     program = f"import sys; sys.modules['typing_extensions'] = None; import {names}; print(*sys.modules)"
     paths = os.pathsep.join([str(REPOSITORY), *filter(None, sys.path)])
     run = subprocess.run(
--- a/features/steps/forwarding_metrics_steps.py
+++ b/features/steps/forwarding_metrics_steps.py
@@ -25,18 +25,18 @@
     }
 
 
-def see(harness, after_s, packet):
-    """Let time pass, then let a packet pass."""
+def observe(harness, after_s, packet):
+    """Advance the clock, then have the node decide on a packet."""
     harness.now += after_s
     return harness.node.decide(packet, harness.now)
 
 
-@when("forwarding sees a flow open in 4 ms and a request answered in 30 ms")
-def opens_and_asks(context):
+@when("forwarding observes a flow opened in 4 ms and a request answered in 30 ms")
+def opening_and_request(context):
     harness = context.harness
-    token = see(harness, 0.0, segment(STREAM, opening=True)).backend.token
-    see(harness, 0.004, segment(token=token, length=100, acknowledgement=1))
-    see(harness, 0.030, segment(token=token, acknowledgement=500))
+    token = observe(harness, 0.0, segment(STREAM, opening=True)).backend.token
+    observe(harness, 0.004, segment(token=token, length=100, acknowledgement=1))
+    observe(harness, 0.030, segment(token=token, acknowledgement=500))
 
 
 @then("the forwarding metrics count 1 opening up to 0.005 s and 1 request up to 0.05 s")
@@ -52,11 +52,11 @@
     assert abs(found[("sloepond_request_seconds_sum", "")] - 0.034) < 0.0041
 
 
-@when("forwarding sees a request without an answer")
-def asks_in_vain(context):
+@when("forwarding observes a request without an answer")
+def request_unanswered(context):
     harness = context.harness
-    see(harness, 0.0, segment(token=1, length=100, acknowledgement=1))
-    see(harness, 0.2, segment(token=1, length=100, acknowledgement=1))
+    observe(harness, 0.0, segment(token=1, length=100, acknowledgement=1))
+    observe(harness, 0.2, segment(token=1, length=100, acknowledgement=1))
 
 
 @then("the forwarding metrics count no request")
@@ -64,16 +64,16 @@
     assert samples(context)[("sloepond_request_seconds_count", "")] == 0
 
 
-@when("forwarding sees three requests to one back end answered in 300 ms")
+@when("forwarding observes three requests to one back end answered in 300 ms")
 def three_answered(context):
     for port in (2000, 2001, 2002):
-        see(context.harness, 0.0, segment(port=port, token=1, acknowledgement=7))
-        see(context.harness, 0.0, segment(port=port, token=1, length=100, acknowledgement=7))
-        see(context.harness, 0.3, segment(port=port, token=1, acknowledgement=8))
+        observe(context.harness, 0.0, segment(port=port, token=1, acknowledgement=7))
+        observe(context.harness, 0.0, segment(port=port, token=1, length=100, acknowledgement=7))
+        observe(context.harness, 0.3, segment(port=port, token=1, acknowledgement=8))
 
 
-def told_latencies(context):
-    """Return the latencies told by the name of the back end."""
+def reported_latencies(context):
+    """Return the reported latencies by name of the back end."""
     text = metrics_page(context.harness.node, context.harness.now).body.decode()
     return {
         sample.labels["backend"]: sample.value
@@ -83,19 +83,19 @@
     }
 
 
-@then("the forwarding metrics tell a latency of 0.3 s for that back end only")
+@then("the forwarding metrics report a latency of 0.3 s for that back end only")
 def one_latency(context):
-    assert told_latencies(context) == {record(1).name: 0.3}
+    assert reported_latencies(context) == {record(1).name: 0.3}
 
 
-@then("the forwarding metrics tell none 20 seconds later")
+@then("the forwarding metrics report none 20 seconds later")
 def no_latency(context):
     context.harness.now += 20.0
-    assert told_latencies(context) == {}
+    assert reported_latencies(context) == {}
 
 
-@then("forwarding property: counts of a histogram only grow with its bounds and end at the total")
-def adds_up(context):
+@then("forwarding property: counts of a histogram increase with its bounds up to the total")
+def histograms_cumulative(context):
     @PROPERTY
     @for_all(st.lists(st.floats(0.0, 20.0)))
     def check(latencies):
--- a/features/steps/forwarding_standins.py
+++ b/features/steps/forwarding_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for the platform: a store, targets, a router's client."""
+"""Stand-ins for the platform on loopback addresses: a store, targets and a client behind a router."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 import time
 import urllib.parse
 
-HEAD = struct.Struct(">IIIHHIIHBBI")
+HEADER = struct.Struct(">IIIHHIIHBBI")
 SYN, ACK = 16, 8
 ROUTE = ("198.18.0.1", 443)
 METRICS_PORT = 9464
 PATIENCE_S = 20.0
 POLL_S = 0.02
 PARTS = 5
-"""Parts in which answers are sent."""
+"""Number of parts in which the store sends a response."""
 REPOSITORY = pathlib.Path(__file__).parents[2]
 
 
@@ -37,18 +37,18 @@
 
 
 def wait_for(condition, what):
-    """Wait until a condition holds, generously; a wait that ends is a failure."""
+    """Return the result of a condition once it is true; fail after `PATIENCE_S`."""
     end = time.monotonic() + PATIENCE_S
     while time.monotonic() < end:
         result = condition()
         if result:
             return result
         time.sleep(POLL_S)
-    raise AssertionError(f"waited in vain for {what}")
+    raise AssertionError(f"timed out waiting for {what}")
 
 
 class StoreStandin:
-    """Answers reads of a key and of a prefix; watches end empty after their wait."""
+    """Answers reads of a key and of a prefix; watches return no changes after their wait."""
 
     def __init__(self, host, configuration, servers):
         self.items = {"op/config": configuration}
@@ -80,7 +80,7 @@
         return {"key": key, "value": value, "rev": 3, "made": 1, "lease": 0}
 
     def answer(self, handler):
-        """Answer one call, once answers are let through."""
+        """Answer one call, once answering is enabled."""
         self.answering.wait(PATIENCE_S)
         if self.silent.is_set():
             self.closing.wait(PATIENCE_S)
@@ -108,14 +108,14 @@
                 self.closing.wait(self.pause_s)
 
     def close(self):
-        """End all calls."""
+        """End all calls and the server."""
         self.closing.set()
         self.server.shutdown()
         self.server.server_close()
 
 
 class TargetStandin:
-    """Takes datagrams, and accepts connections at the same address as targets do."""
+    """Receives datagrams and, like a target, accepts connections at the same address."""
 
     def __init__(self, host):
         port = free_port(host)
@@ -126,8 +126,8 @@
         self.address = "{}:{}".format(*self.socket.getsockname())
         self.received = []
 
-    def take(self):
-        """Return all datagrams received up to now."""
+    def drain(self):
+        """Return all datagrams received so far."""
         while True:
             try:
                 self.received.append(self.socket.recv(4096))
@@ -139,12 +139,12 @@
     """Return a client's packet."""
     source = struct.unpack(">I", socket.inet_aton(client))[0]
     destination = struct.unpack(">I", socket.inet_aton(route[0]))[0]
-    head = HEAD.pack(7, ack, source, port, route[1], destination, 0xABCD, len(data), flags, 0, echo)
-    return head + data
+    header = HEADER.pack(7, ack, source, port, route[1], destination, 0xABCD, len(data), flags, 0, echo)
+    return header + data
 
 
 class BalancerProcess:
-    """`python -m sloepond.platform` with a settings file of its own."""
+    """`python -m sloepond.platform` with its own settings file."""
 
     def __init__(self, folder, host, ports, store, seeds, settings_lines=""):
         edge, readiness, peer = ports
@@ -173,7 +173,7 @@
             )
 
     def get(self, address, target):
-        """Return status and body of a GET, None where nobody answers."""
+        """Return status and body of a GET, None if there is no response."""
         connection = http.client.HTTPConnection(*address, timeout=5)
         try:
             connection.request("GET", target)
@@ -185,7 +185,7 @@
             connection.close()
 
     def is_ready(self):
-        """Ask for readiness as the router does."""
+        """Return whether the readiness check succeeds, as requested by the router."""
         assert self.process.poll() is None, self.log.read_text()
         answer = self.get(self.readiness, "/api/readiness")
         return answer is not None and answer[0] == 200
@@ -195,7 +195,7 @@
         self.process.send_signal(number)
 
     def end(self):
-        """End it, whatever it does."""
+        """Kill the process if it runs, and wait for its end."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
         self.process.wait()
@@ -245,15 +245,15 @@
         self.client.sendto(datagram, balancer.edge)
 
     def target_of(self, mark):
-        """Return the target that has received a datagram with a mark, and the datagram."""
+        """Return the target that received a datagram that contains `mark`, and the datagram."""
         for target in self.targets:
-            for datagram in target.take():
+            for datagram in target.drain():
                 if mark in datagram:
                     return target, datagram
         return None
 
     def close(self):
-        """End everything that was started."""
+        """End all processes and close all sockets."""
         for balancer in self.balancers:
             balancer.end()
         self.store.close()
