--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -2,7 +2,7 @@
 
 It is used instead of trio, whose import takes two thirds of the start time on a small machine
 (docs/adr/0011-lean-event-loop.md).  Owns the selector, the running tasks and their timers; relies
-on a monotonic clock.  Every wait has a deadline, so there is no cancellation.
+on a monotonic clock.  Every wait has a deadline, so coroutines are not cancelled from outside.
 """
 
 from __future__ import annotations
