--- a/features/steps/runtime_dispatcher_steps.py
+++ b/features/steps/runtime_dispatcher_steps.py
@@ -37,8 +37,8 @@
 def step_sleep(context, seconds):
     context.node = SleepingNode(seconds)
     context.sent = []
-    writers = {SendToBackend: context.sent.append, SendToCaller: context.sent.append}
-    dispatcher = Dispatcher(context.node, context.node.clock, writers, logbook.Logger("dispatcher"))
+    handlers = {SendToBackend: context.sent.append, SendToCaller: context.sent.append}
+    dispatcher = Dispatcher(context.node, context.node.clock, handlers, logbook.Logger("dispatcher"))
     dispatcher.dispatch(TimerFired())
 
 
--- a/sloepond/runtime/__init__.py
+++ b/sloepond/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: sockets, clock, platform reader, probes and logs around the core."""
+"""The balancer processes: sockets, clocks, platform access, settings, signals and logs around the core."""
--- a/sloepond/runtime/activity.py
+++ b/sloepond/runtime/activity.py
@@ -1,8 +1,7 @@
-"""Whether a balancer is busy with more than its routine.
+"""Whether a balancer is idle, that is, handles only routine events.
 
-An idle balancer wakes for polls of the platform only.  These need no
-precise timers, so the daemon then lets timers coalesce; each wake of an idle
-process costs more than the work it does.
+An idle balancer wakes only to poll the platform.  That needs no precise timers, so the daemon lets
+timers coalesce, since each wake-up of an idle process costs more than its work.
 """
 
 from __future__ import annotations
@@ -15,14 +14,14 @@
 )
 
 ACTIVE_S = 2.0
-"""Time after an event that is no routine during which timers are precise, in seconds."""
+"""Time after a non-routine event during which timers are precise, in seconds."""
 
 RENEWAL_S = 0.5
-"""Time after such an event in which further ones are not looked at, in seconds."""
+"""Time after a non-routine event during which further ones are not checked, in seconds."""
 
 _ROUTINE_EVENTS = frozenset({ConfigurationReadUnchanged, MachineListRead, TimerFired})
 
 
 def is_routine(event: Event) -> bool:
-    """Return whether an idle balancer gets this event too."""
+    """Return whether an idle balancer receives this event too."""
     return type(event) in _ROUTINE_EVENTS
--- a/sloepond/runtime/addresses.py
+++ b/sloepond/runtime/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses as the core writes them (`ip:port`) and as sockets take them.
+"""Converts addresses between the core's text form (`ip:port`) and that of sockets.
 
-Holds no state but a cache of parsed addresses.
+Owns only a cache of parsed addresses.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import socket
 
 SocketAddress = tuple[str, int]
-"""Host and port as the socket module takes them."""
+"""Host and port, as in the socket module."""
 
 _CACHED_ADDRESSES = 65_536
 
@@ -18,7 +18,7 @@
 def parse_address(address: str) -> SocketAddress:
     """Return the socket address of `127.0.0.1:7000` or `[::1]:7000`.
 
-    :raises ValueError: where the text is not of that form.
+    :raises ValueError: if the text is not of that form.
     """
     host, _, port = address.rpartition(":")
     if not host:
@@ -27,7 +27,7 @@
 
 
 def format_address(address: tuple[str, int] | tuple[str, int, int, int]) -> str:
-    """Return the text of a socket address."""
+    """Return a socket address as text."""
     host = address[0]
     if ":" in host:
         return f"[{host}]:{address[1]}"
--- a/sloepond/runtime/clock.py
+++ b/sloepond/runtime/clock.py
@@ -1,7 +1,4 @@
-"""The clocks of the daemon.
-
-Relies on the operating system's clocks.
-"""
+"""The clocks of balancer processes, read from the operating system."""
 
 from __future__ import annotations
 
@@ -13,10 +10,9 @@
 
 
 monotonic_seconds: Callable[[], float] = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-"""Returns seconds since the machine started, the time it was suspended included.
+"""Returns seconds since the machine started, including the time for which it was suspended.
 
-A process that wakes from a suspension of its machine must notice how old its knowledge is,
-so the clock must not stand still meanwhile.
+The clock must advance during a suspension, so that a resumed process detects that its state is old.
 """
 
 
--- a/sloepond/runtime/command_writer.py
+++ b/sloepond/runtime/command_writer.py
@@ -1,7 +1,7 @@
-"""Carrying out the node's commands without waiting.
+"""Carries out the node's commands without blocking.
 
-Owns which part carries out which command.  Relies on the sender for datagrams, on the reader
-for the platform and on the logger for changes of state.
+Owns the mapping from commands to their handlers.  Relies on the sender for datagrams, on the reader
+for the platform and on the logger for state transitions.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 )
 
 
-CommandWriters = Mapping[type, Callable[[Any], None]]
-"""What carries out a command, by its type.
+CommandHandlers = Mapping[type, Callable[[Any], None]]
+"""Handlers of commands by type.
 
-They raise for what cannot be encoded or addressed; the dispatcher counts that.
+A handler raises if the command cannot be encoded or addressed; the dispatcher counts that.
 """
 
 
@@ -44,7 +44,7 @@
     """Carries out commands.
 
     :param complete_stop: ends the daemon.
-    :ivar writers: what carries out each type of command.
+    :ivar handlers: the handler of each type of command.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
     ) -> None:
         self._logger = logger
         self._complete_stop = complete_stop
-        self.writers: CommandWriters = {
+        self.handlers: CommandHandlers = {
             SendToCaller: sender.send_to_caller,
             SendToBackend: sender.send_to_backend,
             SendToPeer: sender.send_to_peer,
             ReadConfiguration: reader.read_configuration,
             ReadMachineList: reader.read_machine_list,
             RecordTransition: self._record_transition,
-            CompleteStop: self._end,
+            CompleteStop: self._handle_complete_stop,
         }
 
     def _record_transition(self, command: RecordTransition) -> None:
         log = self._logger.warning if command.kind in _WARNINGS else self._logger.info
         log("{}", command.detail, extra={"kind": command.kind.value, "subject": command.subject})
 
-    def _end(self, command: CompleteStop) -> None:
+    def _handle_complete_stop(self, command: CompleteStop) -> None:
         self._complete_stop()
--- a/sloepond/runtime/daemon.py
+++ b/sloepond/runtime/daemon.py
@@ -1,7 +1,7 @@
-"""The balancer daemon: tasks around one node.
+"""The balancer daemon: the tasks that run one node.
 
-Owns the tasks, the exit code and the limit of a planned stop.  Relies on `Pipeline` for
-everything between sockets and node.
+Owns the tasks, the exit code and the time limit of a planned stop.  Relies on `Pipeline` for
+the path between the sockets and the node.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from sloepond.wire.authentication import Authenticator
 
 STOP_GRACE_S = 5.0
-"""Time after the stop deadline at which the daemon ends even if the node has not."""
+"""Time from the stop deadline until the daemon ends although the node has not completed its stop."""
 
 Extension = Callable[["BalancerDaemon"], Awaitable[None]]
-"""A task run beside the daemon's own, such as the operators' API."""
+"""An additional task of the daemon, such as the operators' API."""
 
 
 class BalancerDaemon:
     """One balancer on sockets.
 
-    :param make_node: makes the node.
+    :param make_node: creates the node.
     :ivar pipeline: the node and its sockets.
-    :raises OSError: where an address cannot be bound.
+    :raises OSError: if an address cannot be bound.
     """
 
     def __init__(self, settings: BalancerSettings, make_node: NodeFactory, logger: logbook.Logger) -> None:
@@ -58,21 +58,21 @@
 
     @property
     def node(self) -> Node:
-        """The core."""
+        """The node of the core."""
         return self.pipeline.node
 
     @property
     def traffic(self) -> TrafficMeter:
-        """Bytes exchanged with peers."""
+        """Counts of the bytes exchanged with peers."""
         return self.pipeline.traffic
 
     @property
     def authenticator(self) -> Authenticator:
-        """Takes other keys at any time."""
+        """The authenticator, whose keys can be replaced at any time."""
         return self.pipeline.authenticator
 
     async def run(self, *extensions: Extension) -> ExitCode:
-        """Run until a stop is complete; tasks of `extensions` run beside."""
+        """Run, together with the tasks of `extensions`, until a stop is complete."""
         try:
             with self._cancel_scope:
                 async with contextlib.AsyncExitStack() as stack:
@@ -84,7 +84,7 @@
         return self._exit_code
 
     def request_stop(self) -> None:
-        """Start a planned stop; the daemon ends when the node has completed it."""
+        """Start a planned stop; the daemon ends once the node has completed it."""
         self._is_stopping.set()
         self.pipeline.dispatch(StopRequested())
         self._deadlines.adjust()
@@ -107,11 +107,11 @@
                 nursery.start_soon(self._run_extension, extension)
 
     async def _run_extension(self, extension: Extension) -> None:
-        """Run a task whose failure must not end the data path."""
+        """Run an additional task; its failure must not end the data path."""
         try:
             await extension(self)
         except Exception:
-            self.logger.exception("a task beside the data path failed and has ended")
+            self.logger.exception("an additional task of the daemon failed and has ended")
 
     async def _receive(self, source: DatagramSocket) -> None:
         while True:
--- a/sloepond/runtime/datagram_socket.py
+++ b/sloepond/runtime/datagram_socket.py
@@ -1,6 +1,7 @@
-"""A non-blocking UDP socket that is drained in batches and never waits to send.
+"""A non-blocking UDP socket that is read in batches and never blocks to send.
 
-Owns the socket.  Relies on the kernel's buffers: what they cannot hold is lost and counted.
+Owns the socket.  Relies on the kernel's buffers: datagrams that exceed them are lost, and those that
+cannot be sent are counted.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 from sloepond.runtime.addresses import SocketAddress, address_family, parse_address
 
 BATCH_DATAGRAMS = 64
-"""Datagrams read after one wait, so that no socket starves the others."""
+"""Maximum datagrams read in a batch, so that no socket starves the others."""
 
 RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
-"""Kernel buffer asked for; the kernel grants what its own limit allows."""
+"""Requested receive buffer; the kernel reduces it to its own limit."""
 
 
 class DatagramSocket:
     """A bound UDP socket.
 
     :param address: `ip:port` to bind to.
-    :param maximum_bytes: largest datagram taken; one byte more is read, so that
-        the decoder sees that it is oversized.
-    :param counters: `sends_dropped` counts datagrams dropped since the kernel's
-        buffer was full, `sends_failed` those it refused for another reason.
-    :raises OSError: where the address cannot be bound.
+    :param maximum_bytes: largest accepted datagram; one byte more is read, so that the decoder
+        detects a larger one.
+    :param counters: `sends_dropped` counts datagrams dropped because the kernel's buffer was full,
+        `sends_failed` those that the kernel refused for another reason.
+    :raises OSError: if the address cannot be bound.
     """
 
     def __init__(self, address: str, maximum_bytes: int, counters: Counters | None = None) -> None:
@@ -59,7 +60,7 @@
         await trio.lowlevel.wait_readable(self._socket)
 
     def receive_batch(self) -> Iterator[tuple[bytes, SocketAddress]]:
-        """Yield datagrams that are there already, with their source, at most 64."""
+        """Yield the received datagrams with their sources, at most `BATCH_DATAGRAMS`."""
         receive = self._socket.recvfrom
         size = self._maximum_bytes + 1
         for _ in range(BATCH_DATAGRAMS):
@@ -68,13 +69,13 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The kernel reports here that an earlier datagram did not arrive.
+                # The kernel reports the failed delivery of an earlier datagram here.
                 self._counters.sends_failed += 1
                 return
             yield received
 
     def send(self, datagram: bytes, address: SocketAddress) -> None:
-        """Send without waiting; a datagram that cannot be sent is counted and dropped."""
+        """Send without blocking; a datagram that cannot be sent is counted and dropped."""
         try:
             self._socket.sendto(datagram, address)
         except BlockingIOError:
--- a/sloepond/runtime/deadline_task.py
+++ b/sloepond/runtime/deadline_task.py
@@ -1,4 +1,4 @@
-"""Waits for the next deadline of the node, which may move at any time."""
+"""Runs a function at the next deadline of the node, which may move at any time."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from sloepond.core.deadlines import NEVER
 
-MINIMUM_WAIT_S = 0.001
-"""Shortest wait between two calls, so that a deadline in the past cannot spin."""
+MINIMUM_DELAY_S = 0.001
+"""Minimum delay between two calls, in seconds, so that a deadline in the past does not spin."""
 
 IDLE_RESOLUTION_S = 0.05
 """Deadlines of an idle balancer are rounded up to multiples of this, in seconds."""
 
 
 class DeadlineTask:
-    """Calls `fire` whenever the next deadline has come.
+    """Calls `fire` whenever the next deadline has passed.
 
-    :param clock: returns seconds of the clock the deadlines are in.
+    :param clock: returns the time of the deadlines' clock, in seconds.
     :param next_deadline: returns the next deadline, infinity for none.
-    :param is_idle: returns whether deadlines may be late by `IDLE_RESOLUTION_S`.
+    :param is_idle: returns whether calls may be late by up to `IDLE_RESOLUTION_S`.
     """
 
     def __init__(
@@ -38,10 +38,10 @@
         self._scope: trio.CancelScope | None = None
 
     def adjust(self) -> None:
-        """Follow a deadline that has moved; called whenever events were handled.
+        """Reschedule after the deadline may have moved; to be called after events were handled.
 
-        What is due already is done at once: an idle balancer that was woken for
-        another reason then need not wake again for it.
+        A deadline that has already passed is handled immediately, so that an idle balancer that is awake
+        for another reason need not wake again for it.
         """
         if self._scope is None:
             return
@@ -63,5 +63,5 @@
 
     def _trio_deadline(self) -> float:
         deadline = self._rounded(self._next_deadline())
-        wait = max(deadline - self._clock(), MINIMUM_WAIT_S)
-        return trio.current_time() + wait
+        delay_s = max(deadline - self._clock(), MINIMUM_DELAY_S)
+        return trio.current_time() + delay_s
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -1,7 +1,7 @@
-"""Hands events to the node and its commands to the writer; never raises.
+"""Passes events to the node and carries out its commands; never raises.
 
-Owns when the balancer was last busy and which failures were logged.  Relies on the node for
-decisions and on `command_writer` to carry them out.
+Owns the time of the last activity and the set of logged failures.  Relies on the node for decisions
+and on `command_writer` to carry them out.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 from sloepond.core.events import Event
 from sloepond.core.node import Node
 from sloepond.runtime.activity import ACTIVE_S, RENEWAL_S, is_routine
-from sloepond.runtime.command_writer import CommandWriters
+from sloepond.runtime.command_writer import CommandHandlers
 
 MAXIMUM_HANDLING_S = 0.5
-"""Time after which packets to back ends are stale and dropped, in seconds.
+"""Longest time to handle an event, in seconds; after it the resulting packets to back ends are dropped.
 
-A process that was paused between deciding and sending may send to a back end that has left
-meanwhile; the caller sends again.  Not measured.
+A process that was paused between a decision and the send could send to a back end that has left in
+the meantime.  The caller retransmits.
 """
 
 
 class Dispatcher:
     """Runs the node.
 
-    :param clock: returns seconds; the node's clock.
-    :param writers: what carries out each type of command.
+    :param clock: returns the time of the node's clock, in seconds.
+    :param handlers: the handler of each type of command.
     """
 
     def __init__(
         self,
         node: Node,
         clock: Callable[[], float],
-        writers: CommandWriters,
+        handlers: CommandHandlers,
         logger: logbook.Logger,
     ) -> None:
         self._handle = node.handle
         self._node = node
         self._clock = clock
-        self._writers = writers
+        self._handlers = handlers
         self._logger = logger
         self._active_until = clock() + ACTIVE_S
         self._renew_from = 0.0
         self._logged_failures: set[tuple[type, type]] = set()
 
     def is_idle(self) -> bool:
-        """Return whether there were only routine events for a while."""
+        """Return whether there were only routine events for the last `ACTIVE_S`."""
         return self._clock() > self._active_until
 
     def start(self) -> None:
@@ -56,7 +56,7 @@
         self.carry_out(self._node.start(self._clock()))
 
     def dispatch(self, event: Event) -> None:
-        """Hand over one event and carry out what the node asks for."""
+        """Pass one event to the node and carry out the resulting commands."""
         clock = self._clock
         now = clock()
         if now >= self._renew_from and not is_routine(event):
@@ -68,19 +68,19 @@
             self._record_failure(type(event), error)
             return
         if clock() - now > MAXIMUM_HANDLING_S:
-            commands = self._without_stale(commands)
+            commands = self._drop_stale(commands)
         self.carry_out(commands)
 
     def carry_out(self, commands: list[Command]) -> None:
-        """Carry out commands in order; one that fails does not stop the others."""
-        writers = self._writers
+        """Carry out commands in order; a failed one does not stop the others."""
+        handlers = self._handlers
         for command in commands:
             try:
-                writers[type(command)](command)
+                handlers[type(command)](command)
             except Exception as error:
                 self._record_failure(type(command), error)
 
-    def _without_stale(self, commands: list[Command]) -> list[Command]:
+    def _drop_stale(self, commands: list[Command]) -> list[Command]:
         kept: list[Command] = []
         for command in commands:
             if not isinstance(command, SendToBackend):
@@ -89,12 +89,12 @@
         return kept
 
     def _record_failure(self, subject: type, error: Exception) -> None:
-        """Count a failure; the first one of each kind is logged with its traceback."""
+        """Count a failure; log the first one of each kind with its traceback."""
         self._node.counters.handler_failures += 1
-        kind = (subject, type(error))
-        if kind in self._logged_failures:
+        failure_kind = (subject, type(error))
+        if failure_kind in self._logged_failures:
             return
-        self._logged_failures.add(kind)
+        self._logged_failures.add(failure_kind)
         self._logger.error(
             "handler failed; later failures of this kind are only counted",
             extra={"kind": "handler-failure", "subject": subject.__name__},
--- a/sloepond/runtime/exit_code.py
+++ b/sloepond/runtime/exit_code.py
@@ -1,4 +1,4 @@
-"""How the process ends."""
+"""The exit status of a balancer's process."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
     STOPPED = 0
     """The planned stop was completed."""
     FORCED = 1
-    """A second signal, or the grace after the stop deadline, ended the process."""
+    """A second signal or the end of the grace period after the stop deadline ended the process."""
     REFUSED = 2
-    """The settings were refused or an address could not be bound."""
+    """The settings were invalid or an address could not be bound."""
--- a/sloepond/runtime/logs.py
+++ b/sloepond/runtime/logs.py
@@ -1,6 +1,6 @@
 """Log lines on standard error, as text or JSON.
 
-The daemon writes lines for changes of state only; everything else is counted.
+The daemon logs only state transitions and failures; everything else is counted.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     """One log line in JSON.
 
     :ivar time: UTC time in ISO 8601.
-    :ivar kind: kind of the change of state, empty for other lines.
-    :ivar subject: what changed.
+    :ivar kind: kind of the state transition or failure, empty for other lines.
+    :ivar subject: the object whose state changed.
     """
 
     time: str
@@ -53,7 +53,7 @@
 
 
 def set_log_level(handler: logbook.StreamHandler, level: LogLevel) -> None:
-    """Change the least severe level that is written."""
+    """Set the minimum severity of written lines."""
     handler.level = _LEVELS[level]
 
 
--- a/sloepond/runtime/packet_sender.py
+++ b/sloepond/runtime/packet_sender.py
@@ -1,7 +1,7 @@
-"""Sending packets and messages without waiting.
+"""Sends packets and messages without blocking.
 
-Owns the three sockets of a balancer.  Relies on `wire.edge` for the bytes of packets and on
-the outbox for messages to peers.
+Owns the three sockets of a balancer.  Relies on `wire.edge` to encode packets and on the outbox for
+messages to peers.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 class DaemonSockets:
     """The three UDP sockets of a balancer.
 
-    :raises OSError: where an address cannot be bound.
+    :raises OSError: if an address cannot be bound.
     """
 
     def __init__(self, settings: BalancerSettings, counters: Counters) -> None:
@@ -39,7 +39,7 @@
         return bound
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all sockets."""
         for bound in self._open:
             bound.close()
 
@@ -47,11 +47,11 @@
 class PacketSender:
     """Encodes packets and messages and sends them.
 
-    Methods raise `OverflowError` or `ValueError` for what cannot be encoded or
-    addressed; the dispatcher counts that.
+    Methods raise `OverflowError` or `ValueError` if a packet or message cannot be encoded or addressed;
+    the dispatcher counts that.
 
-    :param fabric_address: `ip:port` replies to callers go to; empty sends them
-        to the caller's own address.
+    :param fabric_address: `ip:port` that receives replies to callers; if empty, they are sent to the
+        caller's own address.
     """
 
     def __init__(self, sockets: DaemonSockets, outbox: PeerOutbox, fabric_address: str = "") -> None:
@@ -71,5 +71,5 @@
         self._send_from_backend(encode_packet(command.packet), parse_address(command.address))
 
     def send_to_peer(self, command: SendToPeer) -> None:
-        """Send a message to another balancer, at the end of the batch."""
+        """Queue a message to another balancer until the end of the batch."""
         self._add_to_outbox(command.address, command.message)
--- a/sloepond/runtime/peer_outbox.py
+++ b/sloepond/runtime/peer_outbox.py
@@ -1,6 +1,6 @@
-"""Messages to peers, gathered so that those of one batch share datagrams.
+"""Collects messages to peers, so that those of one batch share datagrams.
 
-Owns the messages of the present batch.  Relies on the pipeline to flush it after each batch.
+Owns the messages of the current batch.  Relies on the pipeline to flush it after each batch.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class PeerOutbox:
-    """Messages that wait for the end of the batch being handled.
+    """Messages that are sent at the end of the current batch.
 
-    Handling a batch takes milliseconds at most, so nothing waits noticeably; and
-    sealing, sending and receiving a datagram costs more than a message in it.
+    Handling a batch takes a few milliseconds at most, so the delay is negligible, whereas sealing, sending
+    and receiving a datagram costs more than a message in it.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
         self._bundles: dict[str, _Bundle] = {}
 
     def add(self, address: str, message: PeerMessage) -> None:
-        """Keep a message for the balancer at `address` (`ip:port`).
+        """Queue a message to the balancer at `address` (`ip:port`).
 
-        :raises OverflowError: where the message cannot be encoded.
+        :raises OverflowError: if the message cannot be encoded.
         """
         encoded = encode_message(message)
         size = len(encoded)
@@ -63,7 +63,7 @@
         bundle.size += size
 
     def flush(self) -> None:
-        """Send all that waits."""
+        """Send all queued messages."""
         if not self._bundles:
             return
         bundles = self._bundles
--- a/sloepond/runtime/pipeline.py
+++ b/sloepond/runtime/pipeline.py
@@ -1,7 +1,7 @@
-"""One node on three sockets, without tasks: datagrams and time in, datagrams out.
+"""Connects one node to its three sockets, without tasks of its own.
 
-Owns the node and what stands between it and the sockets.  Relies on whoever runs it to wait for
-sockets and time.
+Owns the node and the parts between it and the sockets.  Relies on its caller to wait for sockets and
+deadlines.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 
 class Pipeline:
-    """Everything between the sockets and the node.
+    """The node and the parts between it and the sockets.
 
-    :param make_node: makes the node.
+    :param make_node: creates the node.
     :param reader: carries out reads of the platform.
     :param complete_stop: called when the node has completed a planned stop.
-    :ivar node: the core.
-    :ivar traffic: bytes exchanged with peers.
-    :ivar authenticator: takes other keys at any time.
-    :ivar sockets: read by whoever calls `drain`.
-    :raises OSError: where an address cannot be bound.
+    :ivar node: the node of the core.
+    :ivar traffic: counts of the bytes exchanged with peers.
+    :ivar authenticator: its keys can be replaced at any time.
+    :ivar sockets: the caller of `drain` waits for them.
+    :raises OSError: if an address cannot be bound.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
         self._outbox = PeerOutbox(self.sockets.peer, self.authenticator, self.traffic)
         sender = PacketSender(self.sockets, self._outbox, settings.fabric_address)
         writer = CommandWriter(sender, reader, logger, complete_stop)
-        self.dispatcher = Dispatcher(self.node, monotonic_seconds, writer.writers, logger)
+        self.dispatcher = Dispatcher(self.node, monotonic_seconds, writer.handlers, logger)
         self._receiver = Receiver(
             self.node.counters, self.authenticator, self.traffic, self.dispatcher.dispatch
         )
-        self._takers = {
-            self.sockets.edge: self._receiver.take_from_edge,
-            self.sockets.backend: self._receiver.take_from_backend,
-            self.sockets.peer: self._receiver.take_from_peer,
+        self._datagram_handlers = {
+            self.sockets.edge: self._receiver.handle_caller_datagram,
+            self.sockets.backend: self._receiver.handle_backend_datagram,
+            self.sockets.peer: self._receiver.handle_peer_datagram,
         }
 
     def start(self) -> None:
@@ -80,26 +80,26 @@
         self._outbox.flush()
 
     def dispatch(self, event: Event) -> None:
-        """Take one event that came from elsewhere than the sockets."""
+        """Handle one event that did not come from a socket."""
         self.dispatcher.dispatch(event)
         self._outbox.flush()
 
     def drain(self, source: DatagramSocket) -> int:
-        """Take a batch of datagrams that are there already; return how many there were."""
-        take = self._takers[source]
+        """Handle a batch of received datagrams; return their number."""
+        handle = self._datagram_handlers[source]
         count = 0
         for datagram, address in source.receive_batch():
-            take(datagram, address)
+            handle(datagram, address)
             count += 1
         self._outbox.flush()
         return count
 
     def next_deadline(self) -> float:
-        """Return when `on_timer` is next needed, in seconds of the monotonic clock."""
+        """Return when `on_timer` must be called next, in seconds of the monotonic clock."""
         return self.node.next_deadline()
 
     def on_timer(self) -> None:
-        """Do what is due."""
+        """Handle the deadlines that have passed."""
         now = monotonic_seconds()
         self.traffic.sample(now)
         if self.node.next_deadline() <= now:
--- a/sloepond/runtime/platform_client.py
+++ b/sloepond/runtime/platform_client.py
@@ -1,10 +1,9 @@
-"""Reading the platform's configuration and list of machines over HTTP.
+"""Reads the platform's configuration and machine list over HTTP.
 
-The platform's service is read-only and may be down, stale or wrong: every
-failure is a value with a reason.  Answers are taken only if every field of them
-has its type.
+The platform's service is read-only and may be down, stale or wrong, so every failure is returned as a
+value with a reason.  A response is accepted only if each of its fields has the declared type.
 
-Owns the HTTP client.  Relies on `resources` to decode and check what was read.
+Owns the HTTP client.  Relies on the structs of `resources` and `core` to decode responses.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 
 
 class ReadFailure(msgspec.Struct, frozen=True):
-    """Why a read gave nothing that can be used."""
+    """Why a read has no usable result."""
 
     reason: str
 
@@ -43,7 +42,7 @@
 
 
 NOT_MODIFIED = NotModified("the known generation is the newest")
-"""Returned where the platform has no other generation than the known one."""
+"""Returned if the platform has no other generation than the known one."""
 
 
 class MachineListBody(msgspec.Struct, frozen=True):
@@ -75,17 +74,17 @@
     async def read_configuration(
         self, known_generation: int
     ) -> ConfigurationSnapshot | NotModified | ReadFailure:
-        """Return the platform's configuration, unless it is the known one."""
+        """Return the platform's configuration, unless it is of the known generation."""
         body = await self._read(CONFIGURATION_PATH, {"known_generation": str(known_generation)})
         if not isinstance(body, bytes):
             return body
         return decode_configuration(body)
 
     async def read_machine_list(self) -> tuple[Member, ...] | ReadFailure:
-        """Return the machines the platform believes to be live."""
+        """Return the machines that the platform lists as live."""
         body = await self._read(MACHINES_PATH, {})
         if isinstance(body, NotModified):
-            return ReadFailure("not modified, though no version was named")
+            return ReadFailure("not modified, although no known version was sent")
         if isinstance(body, ReadFailure):
             return body
         decoded = _decode(body, MachineListBody)
@@ -95,19 +94,19 @@
         try:
             with trio.fail_after(self._settings.timeout_s):
                 async with self._client.stream("GET", path, params=query) as response:
-                    return await self._take(response)
+                    return await self._read_body(response)
         except trio.TooSlowError:
-            return ReadFailure(f"no answer within {self._settings.timeout_s} s")
+            return ReadFailure(f"no response within {self._settings.timeout_s} s")
         except (httpx.HTTPError, httpx.InvalidURL, OSError) as error:
             return ReadFailure(f"{type(error).__name__}: {error}")
 
-    async def _take(self, response: httpx.Response) -> bytes | NotModified | ReadFailure:
-        """Read the whole answer, so that the connection can be used again."""
+    async def _read_body(self, response: httpx.Response) -> bytes | NotModified | ReadFailure:
+        """Return the body of a response; read it completely, so that the connection is reusable."""
         body = bytearray()
         async for chunk in response.aiter_bytes():
             body += chunk
             if len(body) > self._settings.body_limit_bytes:
-                return ReadFailure(f"larger than {self._settings.body_limit_bytes} bytes")
+                return ReadFailure(f"the body is larger than {self._settings.body_limit_bytes} bytes")
         if response.status_code == _STATUS_NOT_MODIFIED:
             return NOT_MODIFIED
         if response.status_code != _STATUS_OK:
@@ -116,9 +115,9 @@
 
 
 def decode_configuration(body: bytes) -> ConfigurationSnapshot | ReadFailure:
-    """Return the snapshot in the body of a configuration read, or why there is none.
+    """Return the snapshot in the body of a configuration read, or why it cannot be used.
 
-    The core checks its digest and its resources against each other.
+    The core checks the digest and the references between resources.
     """
     snapshot = _decode(body, ConfigurationSnapshot)
     if isinstance(snapshot, ReadFailure):
@@ -137,7 +136,7 @@
 
 @functools.lru_cache(maxsize=4)
 def _tls_context(settings: PlatformSettings) -> ssl.SSLContext | bool:
-    """Return how servers' certificates are checked; plain HTTP needs no context."""
+    """Return the context that verifies servers' certificates, False for plain HTTP."""
     if not settings.url.startswith("https://"):
         return False
     context = ssl.create_default_context()
--- a/sloepond/runtime/platform_reader.py
+++ b/sloepond/runtime/platform_reader.py
@@ -1,7 +1,7 @@
 """Carries out the node's reads of the platform, one of each kind at a time.
 
-Owns the reads that wait.  Relies on `PlatformClient` for each read and on `dispatch` to hand
-over what it gave.
+Owns the pending reads.  Relies on `PlatformClient` for each read and on `dispatch` to receive its
+result.
 """
 
 from __future__ import annotations
@@ -23,50 +23,50 @@
 from sloepond.resources.model import ConfigurationSnapshot
 from sloepond.runtime.platform_client import NotModified, PlatformClient, ReadFailure
 
-MAXIMUM_WAITING_READS = 1
+MAXIMUM_PENDING_READS = 1
 NO_PLATFORM = "no platform is named in the settings"
 
 
 class PlatformReader:
-    """Starts reads without waiting and reports what they gave as events.
+    """Starts reads without blocking and reports their results as events.
 
-    A read asked for while another of its kind waits is answered by that one.
+    A request made while another of its kind is pending is answered by that one.
 
-    :param client: None where the settings name no platform.
+    :param client: None if the settings name no platform.
     """
 
     def __init__(self, client: PlatformClient | None) -> None:
         self._client = client
-        self._send_configuration, self._wanted_configurations = trio.open_memory_channel[ReadConfiguration](
-            MAXIMUM_WAITING_READS
-        )
-        self._send_machine_list, self._wanted_machine_lists = trio.open_memory_channel[ReadMachineList](
-            MAXIMUM_WAITING_READS
+        self._configuration_sender, self._configuration_requests = trio.open_memory_channel[
+            ReadConfiguration
+        ](MAXIMUM_PENDING_READS)
+        self._machine_list_sender, self._machine_list_requests = trio.open_memory_channel[ReadMachineList](
+            MAXIMUM_PENDING_READS
         )
 
     def read_configuration(self, command: ReadConfiguration) -> None:
-        """Start a read, unless one waits already."""
+        """Request a read, unless one is already pending."""
         with contextlib.suppress(trio.WouldBlock):
-            self._send_configuration.send_nowait(command)
+            self._configuration_sender.send_nowait(command)
 
     def read_machine_list(self, command: ReadMachineList) -> None:
-        """Start a read, unless one waits already."""
+        """Request a read, unless one is already pending."""
         with contextlib.suppress(trio.WouldBlock):
-            self._send_machine_list.send_nowait(command)
+            self._machine_list_sender.send_nowait(command)
 
     async def run(self, dispatch: Callable[[Event], None], counters: Counters) -> None:
         """Carry out reads until cancelled.
 
-        :param dispatch: takes what the reads gave.
-        :param counters: counts reads of the machine list that gave nothing; the
-            list is only a hint, so they are not reported to the node.
+        :param dispatch: called with the event for each result.
+        :param counters: counts failed reads of the machine list; the list is only a hint, so its failures
+            are not reported to the node.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_configuration, dispatch)
             nursery.start_soon(self._run_machine_list, dispatch, counters)
 
     async def _run_configuration(self, dispatch: Callable[[Event], None]) -> None:
-        async for command in self._wanted_configurations:
+        async for command in self._configuration_requests:
             if self._client is None:
                 dispatch(ConfigurationReadFailed(NO_PLATFORM))
                 continue
@@ -74,7 +74,7 @@
             dispatch(_configuration_event(result))
 
     async def _run_machine_list(self, dispatch: Callable[[Event], None], counters: Counters) -> None:
-        async for _ in self._wanted_machine_lists:
+        async for _ in self._machine_list_requests:
             if self._client is None:
                 continue
             result = await self._client.read_machine_list()
--- a/sloepond/runtime/receiver.py
+++ b/sloepond/runtime/receiver.py
@@ -1,6 +1,6 @@
-"""Turning datagrams into events; what cannot be taken is counted and dropped.
+"""Converts datagrams to events; invalid ones are counted and dropped.
 
-Relies on `wire` to decode and authenticate; owns only the choice of counters.
+Owns only the choice of counters.  Relies on `wire` to decode and authenticate.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 
 class Receiver:
-    """Takes datagrams of the three sockets.
+    """Handles the datagrams of the three sockets.
 
-    :param dispatch: takes the event of a valid datagram.
+    :param dispatch: called with the event of each valid datagram.
     """
 
     def __init__(
@@ -46,24 +46,24 @@
         self._traffic = traffic
         self._dispatch = dispatch
 
-    def take_from_edge(self, datagram: bytes, source: SocketAddress) -> None:
-        """Take a caller's datagram that came through the fabric."""
+    def handle_caller_datagram(self, datagram: bytes, source: SocketAddress) -> None:
+        """Handle a caller's datagram, received through the fabric."""
         packet = decode_caller_packet(datagram)
         if isinstance(packet, DecodeFailure):
             self._count_decode_failure(packet)
         else:
             self._dispatch(CallerPacketReceived(packet))
 
-    def take_from_backend(self, datagram: bytes, source: SocketAddress) -> None:
-        """Take a back end's datagram."""
+    def handle_backend_datagram(self, datagram: bytes, source: SocketAddress) -> None:
+        """Handle a back end's datagram."""
         reply = decode_backend_reply(datagram)
         if isinstance(reply, DecodeFailure):
             self._count_decode_failure(reply)
         else:
             self._dispatch(BackendReplyReceived(format_address(source), reply))
 
-    def take_from_peer(self, datagram: bytes, source: SocketAddress) -> None:
-        """Take another balancer's datagram."""
+    def handle_peer_datagram(self, datagram: bytes, source: SocketAddress) -> None:
+        """Handle another balancer's datagram."""
         address = format_address(source)
         opened = self._authenticator.open(datagram, address)
         if isinstance(opened, AuthenticationFailure):
--- a/sloepond/runtime/reloading.py
+++ b/sloepond/runtime/reloading.py
@@ -1,6 +1,6 @@
-"""Reading the settings file again while the daemon runs.
+"""Reloads the settings file while the daemon runs.
 
-Owns which settings are taken over without a restart.  Relies on `settings_file` for the checks.
+Owns the set of settings that take effect without a restart.  Relies on `settings_file` for the checks.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SettingsReloader:
-    """Takes keys and the log level of the file into use; other fields need a restart."""
+    """Applies the keys and the log level of the file; changes of other fields need a restart."""
 
     def __init__(
         self,
@@ -33,18 +33,18 @@
         self._log_handler = log_handler
 
     def reload(self, daemon: BalancerDaemon) -> None:
-        """Read the file; with findings, what is in use stays."""
+        """Read the file and apply it; if there are findings, keep the current settings."""
         checked = load_settings(self._file, self._overrides)
         if checked.settings is None:
             for finding in checked.findings:
-                daemon.logger.error("settings refused, the former ones stay: {}", finding)
+                daemon.logger.error("invalid settings, the current ones stay in use: {}", finding)
             return
         daemon.authenticator.replace_keys(read_key_ring(checked.settings.keys))
         set_log_level(self._log_handler, checked.settings.log.level)
-        daemon.logger.info("settings read again: keys and log level are in use")
+        daemon.logger.info("settings reloaded: the keys and the log level are in use")
         ignored = _changed_fields(daemon.settings, checked.settings) - _RELOADED_FIELDS
         if ignored:
-            daemon.logger.warning("these settings need a restart: {}", ", ".join(sorted(ignored)))
+            daemon.logger.warning("changes of these settings need a restart: {}", ", ".join(sorted(ignored)))
 
 
 def _changed_fields(before: BalancerSettings, after: BalancerSettings) -> set[str]:
--- a/sloepond/runtime/settings.py
+++ b/sloepond/runtime/settings.py
@@ -1,6 +1,6 @@
 """Settings of the daemon; the file is TOML and its tables mirror these structs.
 
-`runtime.unread_settings` adds what a file may hold besides.
+`runtime.unread_settings` adds the settings that a file may contain but that have no effect.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """Least severe log lines written."""
+    """Minimum severity of written log lines."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -23,7 +23,7 @@
 
 
 class LogFormat(enum.StrEnum):
-    """How log lines are written to standard error."""
+    """Format of the log lines on standard error."""
 
     TEXT = "text"
     JSON = "json"
@@ -50,8 +50,8 @@
     :ivar tls_key: path of the private key.
     :ivar read_tokens: bearer tokens that may read.
     :ivar write_tokens: bearer tokens that may also change state.
-    :ivar body_limit_bytes: largest request body taken, in bytes.
-    :ivar watch_limit: watches served at the same time.
+    :ivar body_limit_bytes: largest accepted request body, in bytes.
+    :ivar watch_limit: maximum number of concurrent watches.
     """
 
     tls_certificate: str = ""
@@ -75,12 +75,12 @@
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The platform's read-only service.
 
-    :ivar url: base URL, `http://` or `https://`; empty where there is none and
-        the configuration only comes from peers.
-    :ivar token: bearer token sent, empty for none.
-    :ivar ca_file: path of certificates trusted besides the system's.
-    :ivar timeout_s: seconds until a read fails.
-    :ivar body_limit_bytes: largest answer taken, in bytes.
+    :ivar url: base URL, `http://` or `https://`; empty for none, when the configuration comes only from
+        peers.
+    :ivar token: bearer token that is sent, empty for none.
+    :ivar ca_file: path of certificates that are trusted in addition to the system's.
+    :ivar timeout_s: timeout of a read, in seconds.
+    :ivar body_limit_bytes: largest accepted response body, in bytes.
     """
 
     url: str = ""
@@ -94,17 +94,17 @@
 
 
 class BalancerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything one balancer is told at its start.
+    """All settings of one balancer.
 
     :ivar name: unique among live balancers.
-    :ivar location: where this machine stands.
-    :ivar edge_address: `ip:port` that takes callers' packets from the fabric.
-    :ivar backend_address: `ip:port` that talks to back ends.
-    :ivar peer_address: `ip:port` that talks to other balancers, written as they
-        write it.
+    :ivar location: location of this machine.
+    :ivar edge_address: `ip:port` that receives callers' packets from the fabric.
+    :ivar backend_address: `ip:port` for traffic with back ends.
+    :ivar peer_address: `ip:port` for traffic with other balancers, in the same notation as in their
+        settings.
     :ivar api_address: `ip:port` of the operators' API, empty for none.
-    :ivar fabric_address: `ip:port` replies to callers go to; empty sends them to
-        the caller's own address.
+    :ivar fabric_address: `ip:port` that receives replies to callers; if empty, they are sent to the
+        caller's own address.
     :ivar keys: one key, or two during rotation; the first one signs.
     """
 
--- a/sloepond/runtime/settings_file.py
+++ b/sloepond/runtime/settings_file.py
@@ -1,7 +1,7 @@
-"""Reading the settings file, with flags that override it.
+"""Reads and checks the settings file, with flags that override it.
 
-Relies on `structure` for types, on `settings_rules` for values and on `unread_settings` for the
-form of the file.
+Relies on `structure` for the types, on `settings_rules` for the values and on `unread_settings` for
+the structure of the file.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from sloepond.runtime.unread_settings import FileSettings, find_unread
 
 FLAGS = "flags"
-"""Source named in findings about a value that a flag gave."""
+"""Source in findings about a value that was given by a flag."""
 
 
 class SettingsOverride(msgspec.Struct, frozen=True):
@@ -31,9 +31,9 @@
 
 
 class CheckedSettings(msgspec.Struct, frozen=True):
-    """Settings, or None and the findings that say why not.
+    """Settings, or None and the findings that make them invalid.
 
-    :ivar unread: settings of the file that were accepted but have no effect.
+    :ivar unread: settings of the file that are valid but have no effect.
     """
 
     settings: BalancerSettings | None
@@ -44,8 +44,8 @@
 def load_settings(file: pathlib.Path, overrides: tuple[SettingsOverride, ...] = ()) -> CheckedSettings:
     """Read and check a settings file.
 
-    :param overrides: values of flags, put over those of the file.
-    :returns: settings without findings, or every finding.
+    :param overrides: values of flags, which replace those of the file.
+    :returns: the settings, or all findings.
     """
     try:
         text = file.read_text(encoding="utf-8")
@@ -57,7 +57,7 @@
 def check_settings(text: str, source: str, overrides: tuple[SettingsOverride, ...] = ()) -> CheckedSettings:
     """Check the text of a settings file.
 
-    :param source: name put into findings.
+    :param source: name of the file in findings.
     """
     try:
         document = tomllib.loads(text)
@@ -70,19 +70,19 @@
     findings = reader.findings + _new_findings(reader.findings, settings)
     if findings:
         overridden = {override.path for override in overrides}
-        return CheckedSettings(None, tuple(_place(finding, source, overridden) for finding in findings))
+        return CheckedSettings(None, tuple(_locate(finding, source, overridden) for finding in findings))
     return CheckedSettings(settings, (), find_unread(document))
 
 
-def _new_findings(known: list[FieldFinding], settings: FileSettings) -> list[FieldFinding]:
-    """Return what breaks a rule, except in fields that are known to be wrong."""
-    wrong = {finding.path for finding in known}
-    broken = check_rules(settings) + _check_files(settings)
-    return [finding for finding in broken if not _is_inside(finding.path, wrong)]
+def _new_findings(earlier: list[FieldFinding], settings: FileSettings) -> list[FieldFinding]:
+    """Return the violations of rules, except in fields that are already known to be invalid."""
+    invalid = {finding.path for finding in earlier}
+    violations = check_rules(settings) + _check_files(settings)
+    return [finding for finding in violations if not _is_inside(finding.path, invalid)]
 
 
-def _is_inside(path: FieldPath, wrong: set[FieldPath]) -> bool:
-    return any(path[:length] in wrong for length in range(len(path) + 1))
+def _is_inside(path: FieldPath, invalid: set[FieldPath]) -> bool:
+    return any(path[:length] in invalid for length in range(len(path) + 1))
 
 
 def _override(document: dict[str, Any], override: SettingsOverride) -> None:
@@ -95,7 +95,7 @@
     table[override.path[-1]] = override.value
 
 
-def _place(finding: FieldFinding, source: str, overridden: set[tuple[str, ...]]) -> Finding:
+def _locate(finding: FieldFinding, source: str, overridden: set[tuple[str, ...]]) -> Finding:
     file = FLAGS if finding.path in overridden else source
     return Finding(file, 0, 0, format_path(finding.path), finding.reason)
 
--- a/sloepond/runtime/settings_rules.py
+++ b/sloepond/runtime/settings_rules.py
@@ -1,4 +1,4 @@
-"""Rules on settings beyond the type of each field.
+"""Checks settings beyond the type of each field.
 
 Owns the limits of values.  Relies on `structure` to have checked the types before.
 """
@@ -28,8 +28,8 @@
 MINIMUM_TOKEN_CHARACTERS = 16
 MAXIMUM_REPLICAS = 7
 MAXIMUM_PARTITIONS = 65_536
-LEASE_HEARTBEATS = 2
-"""Heartbeat intervals a lease must at least last."""
+MINIMUM_LEASE_HEARTBEATS = 2
+"""Minimum duration of a lease, in heartbeat intervals."""
 
 _MAY_BE_ZERO = frozenset(
     {
@@ -51,7 +51,7 @@
 
 
 def check_rules(settings: FileSettings) -> list[FieldFinding]:
-    """Return every rule that `settings` break, in the order of the fields."""
+    """Return all violations of rules in `settings`, in the order of the fields."""
     checks: tuple[Callable[[FileSettings], Findings], ...] = (
         _check_name,
         _check_location,
@@ -65,9 +65,9 @@
 
 
 def read_key_ring(keys: tuple[KeySettings, ...]) -> KeyRing:
-    """Return the key ring of settings that were checked.
+    """Return the key ring of checked settings.
 
-    :raises ValueError: where a secret is not hexadecimal.
+    :raises ValueError: if a secret is not hexadecimal.
     """
     return KeyRing(tuple(Key(key.id, bytes.fromhex(key.secret)) for key in keys))
 
@@ -187,8 +187,8 @@
         yield FieldFinding((*path, "suspect_after_s"), "must be above heartbeat_interval_s")
     if not membership.suspect_after_s < membership.evict_after_s:
         yield FieldFinding((*path, "evict_after_s"), "must be above suspect_after_s")
-    if membership.lease_s < LEASE_HEARTBEATS * interval:
-        reason = f"must be at least {LEASE_HEARTBEATS} times heartbeat_interval_s"
+    if membership.lease_s < MINIMUM_LEASE_HEARTBEATS * interval:
+        reason = f"must be at least {MINIMUM_LEASE_HEARTBEATS} times heartbeat_interval_s"
         yield FieldFinding((*path, "lease_s"), reason)
     if len(set(membership.bootstrap)) < len(membership.bootstrap):
         yield FieldFinding((*path, "bootstrap"), "names a member twice")
--- a/sloepond/runtime/signals.py
+++ b/sloepond/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the daemon: planned stop, forced stop, reading the settings again."""
+"""Handles the daemon's signals: planned stop, forced stop and reload of the settings."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class SignalTask:
     """Handles signals until cancelled.
 
-    The first SIGTERM or SIGINT starts a planned stop, the second ends at once.
+    The first SIGTERM or SIGINT starts a planned stop, the second one ends the daemon immediately.
 
     :param reload: called on SIGHUP.
     """
@@ -25,12 +25,12 @@
         self._is_stopping = False
 
     async def run(self, daemon: BalancerDaemon) -> None:
-        """Handle signals for `daemon`."""
+        """Handle the signals of `daemon`."""
         with trio.open_signal_receiver(*_STOP_SIGNALS, signal.SIGHUP) as signals:
             async for received in signals:
-                self._take(received, daemon)
+                self._handle(received, daemon)
 
-    def _take(self, received: int, daemon: BalancerDaemon) -> None:
+    def _handle(self, received: int, daemon: BalancerDaemon) -> None:
         if received == signal.SIGHUP:
             self._reload(daemon)
         elif self._is_stopping:
--- a/sloepond/runtime/structure.py
+++ b/sloepond/runtime/structure.py
@@ -1,4 +1,4 @@
-"""Plain values (of a TOML file) as structs, with every finding and not only the first."""
+"""Converts plain values, such as those of a TOML file, to structs and reports all findings."""
 
 from __future__ import annotations
 
@@ -23,11 +23,10 @@
 
 
 class StructureReader:
-    """Converts plain values, collecting what is wrong.
+    """Converts plain values and collects findings.
 
-    A field that is missing or wrong takes its default, or an empty value where
-    it has none, so that the rest can still be checked.  The result may be used
-    only where there are no findings.
+    A missing or invalid field gets its default, or an empty value if it has none, so that the rest can
+    still be checked.  The result may be used only if there are no findings.
 
     :ivar findings: all findings so far.
     """
@@ -36,7 +35,7 @@
         self.findings: list[FieldFinding] = []
 
     def read_struct(self, value: object, struct_type: type[StructType], path: FieldPath) -> StructType:
-        """Return `value`, which stands at `path`, as a struct."""
+        """Return the value of the field at `path` as a struct."""
         if not isinstance(value, Mapping):
             self._add(path, f"expected a table, got {type(value).__name__}")
             return _empty_struct(struct_type)
--- a/sloepond/runtime/traffic.py
+++ b/sloepond/runtime/traffic.py
@@ -1,7 +1,7 @@
-"""Bytes exchanged with other balancers.
+"""Counts and rates of the bytes exchanged with other balancers.
 
-Owns the totals since the start and the samples that rates are made from.  Relies on the
-receiver and the outbox to add to `TrafficMeter.control`.
+Owns the totals since the start and the samples from which rates are computed.  Relies on the receiver
+and the outbox to add to `TrafficMeter.control`.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 import msgspec
 
 RATE_WINDOW_S = 10.0
-"""Time over which rates are averaged, in seconds."""
+"""Window over which rates are averaged, in seconds."""
 
 SAMPLE_INTERVAL_S = 1.0
-"""Time between samples of the totals, in seconds."""
+"""Interval between samples of the totals, in seconds."""
 
 
 class TrafficClass(enum.Enum):
-    """Why a message is sent.
+    """Purpose of a message.
 
-    Balancers exchange the configuration alone, which is control; `data` and `transfer` stay
-    0 and stay exported for dashboards and commands that name them.
+    Balancers exchange only the configuration, which is `control`.  `data` and `transfer` are always 0
+    and are still exported for dashboards and commands that name them.
     """
 
     CONTROL = "control"
@@ -31,7 +31,7 @@
 
 
 class TrafficTotal(msgspec.Struct):
-    """Datagrams, and bytes of UDP payload with envelopes.
+    """Datagrams sent and received, and bytes of UDP payload including envelopes.
 
     :ivar datagrams: datagrams sent and received.
     """
@@ -42,7 +42,7 @@
 
 
 class TrafficRate(msgspec.Struct, frozen=True):
-    """Bytes of UDP payload a second, averaged over the last seconds."""
+    """Bytes of UDP payload per second, averaged over at most `RATE_WINDOW_S`."""
 
     traffic_class: TrafficClass
     sent_bytes_per_second: float
@@ -50,7 +50,7 @@
 
 
 class _Sample(msgspec.Struct, frozen=True):
-    """Totals at one time; the classes in their declared order."""
+    """Totals at one time, with the classes in their declared order."""
 
     at: float
     sent: tuple[int, ...]
@@ -61,7 +61,7 @@
     """Totals and rates of traffic with peers.
 
     :ivar totals: totals since the start, by class.
-    :ivar control: the totals that all messages count in.
+    :ivar control: the totals to which all messages are added.
     """
 
     def __init__(self) -> None:
@@ -70,16 +70,16 @@
         self.control = self.totals[TrafficClass.CONTROL]
 
     def sample(self, now: float) -> None:
-        """Note the totals at `now`, once in each sample interval; called often."""
+        """Record the totals at `now`, at most once per sample interval."""
         if self._samples and now - self._samples[-1].at < SAMPLE_INTERVAL_S:
             return
-        self._samples.append(self._take_sample(now))
+        self._samples.append(self._current_sample(now))
         while now - self._samples[0].at > RATE_WINDOW_S:
             self._samples.popleft()
 
     def rates(self, now: float) -> tuple[TrafficRate, ...]:
-        """Return the rates since the oldest sample of the last seconds."""
-        newest = self._take_sample(now)
+        """Return the rates since the oldest sample in the window."""
+        newest = self._current_sample(now)
         oldest = self._samples[0] if self._samples else newest
         elapsed = max(newest.at - oldest.at, SAMPLE_INTERVAL_S)
         return tuple(
@@ -91,7 +91,7 @@
             for index, item in enumerate(TrafficClass)
         )
 
-    def _take_sample(self, now: float) -> _Sample:
+    def _current_sample(self, now: float) -> _Sample:
         totals = tuple(self.totals[item] for item in TrafficClass)
         return _Sample(
             at=now,
--- a/sloepond/runtime/unread_settings.py
+++ b/sloepond/runtime/unread_settings.py
@@ -1,11 +1,11 @@
-"""The settings file with what is accepted and checked, but read by no part of a balancer.
+"""Settings that a file may contain and that are checked, but that have no effect.
 
-Earlier versions replicated flows on several balancers, which agreed on who they are.  Files
-written for them stay valid and their values are checked as before, so that an upgrade needs no
-change of files; a balancer says once which settings of its file have no effect.
+They configured the replication of flows and the membership protocol of earlier versions.  Files with
+them stay valid and their values are checked, so that an upgrade needs no change of files; a balancer
+logs once which settings of its file have no effect.
 
-Owns the names, defaults and limits of these settings.  Relies on `runtime.settings` for those
-that are read.
+Owns the names, defaults and limits of these settings.  Relies on `runtime.settings` for those that
+have an effect.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from sloepond.runtime.settings import BalancerSettings
 
 TOKEN_POLICY = "token"
-"""The placement policy that every balancer has."""
+"""The placement policy that balancers implement."""
 
 POLICIES = ("hash", "bounded-load", "two-choices", "hot-cold", "least-loaded", TOKEN_POLICY)
-"""Names of placement policies that are accepted."""
+"""Accepted names of placement policies."""
 
 
 class FileMembershipSettings(MembershipSettings, frozen=True, forbid_unknown_fields=True):
-    """Membership as a file may have it."""
+    """The table `node.membership` as accepted in a file."""
 
     cell: str = "default"
     bootstrap: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
 
 
 class FileStopSettings(StopSettings, frozen=True, forbid_unknown_fields=True):
-    """A planned stop as a file may have it."""
+    """The table `node.stop` as accepted in a file."""
 
     idle_s: float = 3.0
 
@@ -61,7 +61,7 @@
 
 
 class RequestSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Retries and kept answers."""
+    """Retries and cached answers."""
 
     retry_ratio: float = 0.1
     retry_burst: float = 50.0
@@ -87,7 +87,7 @@
 
 
 class FileNodeSettings(NodeSettings, frozen=True, forbid_unknown_fields=True):
-    """The table `node` as a file may have it."""
+    """The table `node` as accepted in a file."""
 
     membership: FileMembershipSettings = FileMembershipSettings()
     stop: FileStopSettings = FileStopSettings()
@@ -98,7 +98,7 @@
 
 
 class FileSettings(BalancerSettings, frozen=True, forbid_unknown_fields=True):
-    """All that a settings file may hold."""
+    """All settings that are accepted in a file."""
 
     node: FileNodeSettings = FileNodeSettings()
 
@@ -106,33 +106,32 @@
 def find_unread(document: Mapping[str, Any]) -> tuple[str, ...]:
     """Return the settings in a valid file that have no effect, as `node.table.field`.
 
-    A placement policy is named with its value: `token` is what every balancer does and is not
-    reported, the other names are.
+    A placement policy is reported with its value, unless it is `token`, which every balancer implements.
 
     :param document: the TOML document.
     """
-    return tuple(_unread_below(document, FileSettings, BalancerSettings, ()))
+    return tuple(_unread_in(document, FileSettings, BalancerSettings, ()))
 
 
-def _unread_below(table: Mapping[str, Any], accepted: Any, read: Any, path: FieldPath) -> Iterator[str]:
-    """Yield what a table gives of the fields of `accepted` that are none of `read`.
+def _unread_in(table: Mapping[str, Any], accepted: Any, read: Any, path: FieldPath) -> Iterator[str]:
+    """Yield the settings in a table that are fields of `accepted` but not of `read`.
 
-    :param read: the struct of what is read of the table, None where nothing is.
+    :param read: the struct of the settings that have an effect, None if none has.
     """
     read_types = _field_types(read) if read is not None else {}
     for name, field_type in _field_types(accepted).items():
         value = table.get(name)
         if isinstance(value, Mapping):
-            yield from _unread_below(value, field_type, read_types.get(name), (*path, name))
+            yield from _unread_in(value, field_type, read_types.get(name), (*path, name))
         elif name in table and name not in read_types:
-            yield from _named(value, (*path, name))
+            yield from _format_setting(value, (*path, name))
 
 
 def _field_types(struct: Any) -> dict[str, Any]:
     return {field.name: field.type for field in msgspec.structs.fields(struct)}
 
 
-def _named(value: object, path: FieldPath) -> Iterator[str]:
+def _format_setting(value: object, path: FieldPath) -> Iterator[str]:
     if path != ("node", "routing", "policy"):
         yield format_path(path)
     elif value != TOKEN_POLICY:
@@ -140,5 +139,5 @@
 
 
 def unread_warning(names: tuple[str, ...]) -> str:
-    """Return the one line that names settings without effect."""
+    """Return the line of text that names settings without effect."""
     return f"these settings have no effect and may be removed: {', '.join(names)}"
