--- a/features/runtime/dispatcher.feature
+++ b/features/runtime/dispatcher.feature
@@ -1,7 +1,7 @@
-Feature: What a process decided on before it slept
+Feature: Commands that a stalled process carries out late
 
-  Scenario Outline: Packets to back ends that took too long are dropped and counted, replies are not
-    When the runtime dispatcher's process sleeps <seconds> s between its decisions and carrying them out
+  Scenario Outline: Late packets to back ends are dropped and counted, replies are sent
+    When the runtime dispatcher's process stalls for <seconds> s between its decisions and carrying them out
     Then the runtime dispatcher sent <packets> packets to back ends, <replies> replies, and counted <stale> stale
 
     Examples:
--- a/features/runtime/settings.feature
+++ b/features/runtime/settings.feature
@@ -1,9 +1,9 @@
-Feature: Settings are checked whole
-  Every finding is reported with its place, and nothing starts before they are gone.
+Feature: All settings are checked before a start
+  Every finding is reported with its field, and a balancer starts only if there are none.
 
-  Scenario: A complete settings file is taken
+  Scenario: A complete settings file is accepted
     Given a runtime settings file that is complete
-    Then the runtime settings are taken
+    Then the runtime settings are accepted
 
   Scenario: All findings are reported together
     Given a runtime settings file that is complete
@@ -37,39 +37,39 @@
       | node.health.minimum_available       |
       | node.requests.retry_burst           |
 
-  Scenario: Keys are checked and never shown
+  Scenario: Keys are checked and never printed
     Given a runtime settings file that is complete
-    When the runtime settings have three keys, two of them wrong
+    When the runtime settings have three keys, two of them invalid
     Then the runtime findings are about
       | path           |
       | keys           |
       | keys[1].id     |
       | keys[2].secret |
-    And the runtime findings show no secret
+    And the runtime findings contain no secret
 
-  Scenario: Flags win over the file and are named in findings
+  Scenario: Flags override the file and are named in findings
     Given a runtime settings file that is complete
-    When the runtime flags give a good name and a bad hall
+    When the runtime flags set a valid name and an invalid hall
     Then the only runtime finding is about the flag
 
   Scenario: No value of any type makes the check raise
     When runtime settings are checked with arbitrary values
-    Then each runtime check gave settings or findings
+    Then each runtime check returned settings or findings
 
-  Scenario: Settings that nothing reads any more are accepted and named once
-    Given a runtime settings file with every setting that was ever accepted
-    Then the runtime settings are taken
-    And the runtime check names each setting without effect, and no other
+  Scenario: Settings without effect are accepted and named once
+    Given a runtime settings file with every setting that any version accepts
+    Then the runtime settings are accepted
+    And the runtime check reports each setting without effect, and no other
     And the runtime settings command accepts the file, with one line that names them
     And a runtime balancer that starts with the file logs one line that names them
 
-  Scenario Outline: Every placement policy that was ever accepted still is
+  Scenario Outline: Every placement policy of earlier versions is accepted
     Given a runtime settings file that is complete
     When the runtime settings have these values
       | path                | value      |
       | node.routing.policy | "<policy>" |
-    Then the runtime settings are taken
-    And the runtime check calls these settings without effect: <unread>
+    Then the runtime settings are accepted
+    And the runtime check reports these settings as without effect: <unread>
 
     Examples:
       | policy       | unread                               |
--- a/features/steps/runtime_daemon.py
+++ b/features/steps/runtime_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon with an echo node, for the steps on the runtime."""
+"""A daemon with an echo node, used by the steps on the runtime."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from sloepond.wire.edge import decode_caller_reply, encode_packet
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=80)
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
 SECRET = "00112233445566778899aabbccddeeff"
 NEW_SECRET = "ff" * 16
 FAIL = b"fail"
@@ -38,7 +38,7 @@
 
 
 class EchoNode:
-    """Echoes callers' packets and notes all other events."""
+    """Echoes callers' packets and records all events."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -65,7 +65,7 @@
     def next_deadline(self):
         return NEVER
 
-    def noted(self, event_type):
+    def recorded(self, event_type):
         return [event for event in self.events if isinstance(event, event_type)]
 
 
@@ -82,7 +82,7 @@
 
 
 class RunningDaemon:
-    """Runs a daemon with an echo node inside one trio run per action."""
+    """Runs a daemon with an echo node, in a new trio run for each action."""
 
     def __init__(self, text=None, extra=""):
         self.text = (text or settings_text()) + extra
@@ -92,7 +92,7 @@
         self.exit_code = None
 
     def run(self, action, *extensions):
-        """Run `action(self)` beside the daemon, then end it."""
+        """Run `action(self)` concurrently with the daemon, then stop the daemon."""
 
         async def main():
             self.daemon = BalancerDaemon(
@@ -100,7 +100,7 @@
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._run_daemon, extensions)
-                with trio.fail_after(WAIT_S):
+                with trio.fail_after(TIMEOUT_S):
                     await action(self)
                 self.daemon.force_stop()
 
--- a/features/steps/runtime_dispatcher_steps.py
+++ b/features/steps/runtime_dispatcher_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the dispatcher of the daemon: what it carries out after a sleep."""
+"""Steps on the commands that the daemon's dispatcher carries out after a stall."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 FLOW = FlowKey("10.0.0.1:7000", "10.0.0.2:9000", 1)
 
 
-class SleepingNode:
-    """Decides on a packet and a reply, and lets the clock go on before it returns them."""
+class StallingNode:
+    """Decides on a packet and a reply, and advances the clock before it returns them."""
 
-    def __init__(self, sleep_s):
+    def __init__(self, stall_s):
         self.now = 100.0
         self.counters = Counters()
-        self._sleep_s = sleep_s
+        self._stall_s = stall_s
 
     def clock(self):
         return self.now
 
     def handle(self, event, now):
-        self.now += self._sleep_s
+        self.now += self._stall_s
         return [
             SendToBackend("10.0.0.3:8000", BackendPacket(CallerPacketKind.OPEN, FLOW)),
             SendToCaller(CallerReply(CallerReplyKind.OPENED, FLOW)),
         ]
 
 
-@when("the runtime dispatcher's process sleeps {seconds:g} s between its decisions and carrying them out")
-def step_sleep(context, seconds):
-    context.node = SleepingNode(seconds)
+@when("the runtime dispatcher's process stalls for {seconds:g} s between its decisions and carrying them out")
+def step_stall(context, seconds):
+    context.node = StallingNode(seconds)
     context.sent = []
     handlers = {SendToBackend: context.sent.append, SendToCaller: context.sent.append}
     dispatcher = Dispatcher(context.node, context.node.clock, handlers, logbook.Logger("dispatcher"))
--- a/features/steps/runtime_peer.py
+++ b/features/steps/runtime_peer.py
@@ -1,4 +1,4 @@
-"""A peer of the daemon under test."""
+"""A peer of the tested daemon."""
 
 from __future__ import annotations
 
--- a/features/steps/runtime_settings_steps.py
+++ b/features/steps/runtime_settings_steps.py
@@ -28,8 +28,8 @@
     context.settings_text, context.overrides = settings_text(), ()
 
 
-@then("the runtime settings are taken")
-def step_taken(context):
+@then("the runtime settings are accepted")
+def step_accepted(context):
     checked = check(context)
     assert checked.findings == () and checked.settings.name == "b1"
 
@@ -40,7 +40,7 @@
     context.overrides = tuple(SettingsOverride(tuple(path), value) for path, value in rows)
 
 
-@when("the runtime settings have three keys, two of them wrong")
+@when("the runtime settings have three keys, two of them invalid")
 def step_keys(context):
     context.settings_text += f"[[keys]]\nid = 1\nsecret = '{SECRET}'\n[[keys]]\nid = 2\nsecret = 'secret!'\n"
 
@@ -53,15 +53,15 @@
     assert found == sorted(row["path"] for row in context.table), found
 
 
-@then("the runtime findings show no secret")
+@then("the runtime findings contain no secret")
 def step_no_secret(context):
     shown = " ".join(map(str, check(context).findings))
     assert SECRET not in shown and "secret!" not in shown
-    taken = check_settings(settings_text(), "test").settings
-    assert SECRET not in repr(taken)
+    accepted = check_settings(settings_text(), "test").settings
+    assert SECRET not in repr(accepted)
 
 
-@when("the runtime flags give a good name and a bad hall")
+@when("the runtime flags set a valid name and an invalid hall")
 def step_flags(context):
     context.overrides = (
         SettingsOverride(("name",), "other"),
@@ -95,6 +95,6 @@
     check_arbitrary()
 
 
-@then("each runtime check gave settings or findings")
+@then("each runtime check returned settings or findings")
 def step_checked(context):
     assert all((item.settings is None) == bool(item.findings) for item in context.checks)
--- a/features/steps/runtime_signal_steps.py
+++ b/features/steps/runtime_signal_steps.py
@@ -40,12 +40,12 @@
     context.running.run(action, SignalTask(reload).run)
 
 
-@when("a runtime daemon gets SIGTERM and its node completes the stop")
+@when("a runtime daemon receives SIGTERM and its node completes the stop")
 def step_sigterm(context):
     run_with_signals(context, [signal.SIGTERM], completes_stop=True)
 
 
-@when("a runtime daemon gets SIGTERM twice before its node completes the stop")
+@when("a runtime daemon receives SIGTERM twice before its node completes the stop")
 def step_sigterm_twice(context):
     run_with_signals(context, [signal.SIGTERM, signal.SIGTERM], completes_stop=False)
 
@@ -53,12 +53,12 @@
 @then("the runtime exit code is {code:d}")
 def step_exit_code(context, code):
     assert context.running.exit_code == code
-    assert len(context.running.node.noted(events.StopRequested)) == 1
+    assert len(context.running.node.recorded(events.StopRequested)) == 1
 
 
-@when("the runtime settings file gets another key and the daemon SIGHUP")
+@when("another key is added to the runtime settings file and the daemon receives SIGHUP")
 def step_sighup(context):
-    async def heard(running):
+    async def receive_offer(running):
         with Peer(running, NEW_SECRET, key_id=2) as peer:
             peer.send(OFFER)
             await running.until(lambda: running.node.events)
@@ -68,10 +68,10 @@
         file.write_text(context.running.text + f"[[keys]]\nid = 2\nsecret = '{NEW_SECRET}'\n")
         handler = create_log_handler(LogSettings())
         reloader = SettingsReloader(file, (), handler)
-        run_with_signals(context, [signal.SIGHUP], False, reloader.reload, heard)
+        run_with_signals(context, [signal.SIGHUP], False, reloader.reload, receive_offer)
 
 
-@then("a runtime peer with the new key is heard")
+@then("a message of a runtime peer with the new key is accepted")
 def step_new_key(context):
     (event,) = context.running.node.events
     assert event.message == OFFER
--- a/features/steps/runtime_steps.py
+++ b/features/steps/runtime_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the daemon: sockets, peers, probes and the platform's client."""
+"""Steps on the daemon's sockets, peers and platform client."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from sloepond.wire.codec import decode_bundle, encode_message
 
 EARLIER_HEARTBEAT = msgspec.msgpack.encode([1, 1, -1, 0, 1, 0, "", 0, []])
-"""A heartbeat (tag 1) as balancers that agreed on views sent it."""
+"""A heartbeat (tag 1) in the format of an earlier version."""
 
 
 @given("a runtime daemon with an echo node")
@@ -44,7 +44,7 @@
     context.running.run(action)
 
 
-@then("the runtime caller gets its echo")
+@then("the runtime caller receives its echo")
 def step_echoed(context):
     assert context.echoed == b"hello"
 
@@ -54,7 +54,7 @@
     assert context.echoed == b"after"
 
 
-@when("the runtime sockets get malformed, oversized and unauthenticated datagrams")
+@when("the runtime sockets receive malformed, oversized and unauthenticated datagrams")
 def step_bad_datagrams(context):
     async def action(running):
         running.send("edge_address", b"\xc1")
@@ -104,9 +104,9 @@
     context.running.run(action)
 
 
-@then("the runtime node got both messages once")
-def step_peer_messages_taken(context):
-    received = context.running.node.noted(events.PeerMessageReceived)
+@then("the runtime node received both messages once")
+def step_peer_messages_received(context):
+    received = context.running.node.recorded(events.PeerMessageReceived)
     assert [event.message for event in received] == [OFFER, REQUEST], received
     assert {event.sender for event in received} == {"b2"}
     assert context.running.node.counters.input_replayed == 1
@@ -120,7 +120,7 @@
     assert totals[TrafficClass.CONTROL].datagrams == 2
 
 
-@when("a runtime peer of an earlier version sends a heartbeat, alone and beside an offer")
+@when("a runtime peer of an earlier version sends a heartbeat, alone and together with an offer")
 def step_earlier_version(context):
     async def action(running):
         with Peer(running) as peer:
@@ -134,15 +134,15 @@
     context.running.run(action)
 
 
-@then("the runtime node got the one message that is of this version")
+@then("the runtime node received only the message of this version")
 def step_one_message(context):
-    received = context.running.node.noted(events.PeerMessageReceived)
+    received = context.running.node.recorded(events.PeerMessageReceived)
     assert [event.message for event in received] == [OFFER], received
     assert context.running.node.counters.input_malformed == 2
 
 
 class Sink:
-    """A socket that keeps what is sent through it."""
+    """A socket that records the sent datagrams."""
 
     def __init__(self):
         self.sent = []
@@ -163,7 +163,7 @@
     outbox.flush()
 
 
-@then("the runtime peers get them in order, in 4 datagrams each")
+@then("the runtime peers receive them in order, in 4 datagrams each")
 def step_outbox_sent(context):
     for host in ("10.0.0.2", "10.0.0.3"):
         ring = KeyRing((Key(1, bytes.fromhex(SECRET)),))
@@ -174,13 +174,13 @@
         assert len(datagrams) == 4 and max(map(len, datagrams)) <= 1_400, list(map(len, datagrams))
 
 
-@given("a runtime daemon beside a stand-in platform")
+@given("a runtime daemon with a stand-in platform")
 def step_platform(context):
     context.platform = PlatformState()
     context.running = RunningDaemon(extra="[platform]\nurl = 'http://{}'\n".format(*free_addresses(1)))
 
 
-@when("the runtime platform gets a configuration and then goes down")
+@when("the runtime platform receives a configuration and then goes down")
 def step_platform_actions(context):
     def read(known_generation):
         context.running.daemon.pipeline.dispatcher.carry_out([commands.ReadConfiguration(known_generation)])
@@ -200,7 +200,7 @@
     context.running.run(action)
 
 
-@then("the runtime node got the configuration, that it is unchanged, and the failure")
+@then("the runtime node received the configuration, that it is unchanged, and the failure")
 def step_platform_events(context):
     read, unchanged, failed = context.running.node.events
     assert read.snapshot == context.platform.latest
@@ -208,7 +208,7 @@
     assert failed == events.ConfigurationReadFailed("status 503")
 
 
-@when("runtime configuration answers of arbitrary content are checked")
+@when("runtime configuration responses of arbitrary content are checked")
 def step_arbitrary_answers(context):
     context.answers = []
     valid = msgspec.json.encode(make_snapshot(1, [Region(API_VERSION, Metadata("accra"))]))
@@ -222,9 +222,9 @@
     decode()
 
 
-@then("each runtime answer was a snapshot or refused with a reason")
+@then("each runtime response was a snapshot or refused with a reason")
 def step_answers(context):
     refused = [answer for _, answer in context.answers if isinstance(answer, ReadFailure)]
     assert refused and all(answer.reason for answer in refused)
-    taken = [answer for _, answer in context.answers if not isinstance(answer, ReadFailure)]
-    assert all(isinstance(answer, ConfigurationSnapshot) for answer in taken)
+    accepted = [answer for _, answer in context.answers if not isinstance(answer, ReadFailure)]
+    assert all(isinstance(answer, ConfigurationSnapshot) for answer in accepted)
--- a/features/steps/runtime_timing_steps.py
+++ b/features/steps/runtime_timing_steps.py
@@ -11,7 +11,7 @@
 
 
 def run_deadline_task(deadlines, is_idle, action):
-    """Run a task on simulated time; return when it fired."""
+    """Run a deadline task on simulated time; return the times at which it fired."""
     fired_at = []
 
     async def main():
@@ -36,7 +36,7 @@
     return fired_at
 
 
-@when("a runtime deadline moves forward while it is waited for")
+@when("a runtime deadline moves to an earlier time during the wait for it")
 def step_deadline(context):
     deadlines = [50.0, NEVER]
 
@@ -52,7 +52,7 @@
     assert context.fired_at == [7.0], context.fired_at
 
 
-@when("a runtime deadline is waited for by an idle and by a busy balancer")
+@when("an idle and a busy balancer wait for a runtime deadline")
 def step_idle_deadline(context):
     def do_nothing(task):
         pass
--- a/features/steps/runtime_unread_settings_steps.py
+++ b/features/steps/runtime_unread_settings_steps.py
@@ -17,7 +17,7 @@
 from sloepond.runtime.settings_file import check_settings
 
 START_S = 30
-"""Time for a balancer to start on a busy machine, and to end, in seconds."""
+"""Timeout for the start and the end of a balancer on a busy machine, in seconds."""
 
 NODE_TABLES = """
 [node]
@@ -73,7 +73,7 @@
 deadline_s = 4.0
 idle_s = 0.0
 """
-"""Every setting of the core that a balancer of any version has accepted."""
+"""Every setting of the table `node` that any version accepts."""
 
 READ = (
     "node.membership.seeds",
@@ -89,7 +89,7 @@
 
 
 def without_effect():
-    """Return the settings of `NODE_TABLES` that nothing reads, in their order."""
+    """Return the settings of `NODE_TABLES` that have no effect, in their order."""
     names = []
     for line in NODE_TABLES.splitlines():
         if line.startswith("["):
@@ -101,29 +101,29 @@
 
 
 def warnings_in(text):
-    """Return the lines that speak of settings without effect."""
+    """Return the lines about settings without effect."""
     return [line for line in text.splitlines() if "no effect" in line]
 
 
 def check_one_warning(text):
-    """Check that exactly one line names all settings without effect, and none that is read."""
+    """Check that exactly one line names all settings without effect, and no other setting."""
     (line,) = warnings_in(text)
     names = line.rpartition(": ")[2].split(", ")
     assert sorted(names) == sorted(without_effect()), names
 
 
-@given("a runtime settings file with every setting that was ever accepted")
+@given("a runtime settings file with every setting that any version accepts")
 def step_every_setting(context):
     context.settings_text, context.overrides = settings_text() + NODE_TABLES, ()
 
 
-@then("the runtime check names each setting without effect, and no other")
+@then("the runtime check reports each setting without effect, and no other")
 def step_unread(context):
     unread = check_settings(context.settings_text, "test").unread
     assert sorted(unread) == sorted(without_effect()), unread
 
 
-@then("the runtime check calls these settings without effect: {names}")
+@then("the runtime check reports these settings as without effect: {names}")
 def step_unread_names(context, names):
     unread = check_settings(context.settings_text, "test", context.overrides).unread
     assert (", ".join(unread) or "none") == names, unread
