--- a/sloepond/wire/__init__.py
+++ b/sloepond/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Encoding of packets and messages, and authentication of peers' datagrams, without I/O."""
+"""Encodes packets and messages and authenticates peers' datagrams, without I/O."""
--- a/sloepond/wire/authentication.py
+++ b/sloepond/wire/authentication.py
@@ -1,12 +1,12 @@
-"""The envelope of datagrams between balancers: who sent it, when, and a keyed tag.
+"""The envelope of datagrams between balancers: the sender, a sequence number and an authentication tag.
 
 Layout of a datagram, numbers big-endian::
 
     key id (1) | length of name (1) | name | incarnation (6) | sequence (5) | body | tag (16)
 
-The tag is keyed BLAKE2b over the addresses it is sent from and to (each with its
-length before it) and everything before the tag, so a datagram that somebody
-sends on, from another address or to another balancer, is refused.
+The tag is a keyed BLAKE2b hash of the source and destination address (each preceded by
+its length) and of all bytes before the tag, so a datagram that is replayed from another
+address or to another balancer is refused.
 The body is authenticated, not encrypted.
 """
 
@@ -62,8 +62,8 @@
 class KeyRing(msgspec.Struct, frozen=True):
     """Keys accepted at the same time, at most 2; the first one signs.
 
-    To rotate: add the new key second everywhere, then put it first everywhere,
-    then take the old one away.
+    To rotate: add the new key as the second one everywhere, then make it the first one everywhere,
+    then remove the old one.
     """
 
     keys: tuple[Key, ...]
@@ -73,7 +73,7 @@
     """An authenticated datagram.
 
     :ivar sender: name of the balancer that sealed it.
-    :ivar body: the encoded message.
+    :ivar body: the encoded bundle of messages.
     """
 
     sender: str
@@ -84,12 +84,12 @@
 class Authenticator:
     """Seals datagrams to peers and opens those from peers.
 
-    :param keys: keys accepted now.
+    :param keys: initial key ring.
     :param name: this balancer's name.
     :param incarnation: this process's incarnation, 0 to 2^48 - 1.
-    :param own_address: peer address `ip:port` datagrams are sent from and to.
-    :raises ValueError: where the key ring, the name or the incarnation does not
-        fit into the envelope; settings are checked before.
+    :param own_address: this balancer's peer address `ip:port`.
+    :raises ValueError: if the key ring, the name or the incarnation does not fit into the envelope; the
+        settings are checked before.
     """
 
     def __init__(self, keys: KeyRing, name: str, incarnation: int, own_address: str) -> None:
@@ -102,12 +102,12 @@
         self.replace_keys(keys)
 
     def replace_keys(self, keys: KeyRing) -> None:
-        """Take another key ring into use; sequence and replay state stay.
+        """Replace the key ring; the sequence number and the replay state are kept.
 
-        :raises ValueError: where the ring holds no key or more than 2.
+        :raises ValueError: if the ring holds no key or more than 2.
         """
         if not 1 <= len(keys.keys) <= MAXIMUM_KEYS:
-            raise ValueError(f"a key ring holds 1 to {MAXIMUM_KEYS} keys")
+            raise ValueError(f"a key ring must hold 1 to {MAXIMUM_KEYS} keys")
         self._hashes = {key.key_id: _keyed_hash(key) for key in keys.keys}
         signing_key = keys.keys[0]
         self._signing_hash = self._hashes[signing_key.key_id]
@@ -116,8 +116,8 @@
     def seal(self, body: bytes, recipient_address: str) -> bytes:
         """Return the datagram that carries `body` to a peer.
 
-        :param recipient_address: peer address `ip:port` it is sent to, written
-            as in the recipient's own settings.
+        :param recipient_address: the recipient's peer address `ip:port`, in the same notation as in its
+            own settings.
         """
         self._sequence += 1
         signed = self._prefix + self._sequence.to_bytes(_SEQUENCE_BYTES, "big") + body
@@ -128,7 +128,7 @@
     def open(self, datagram: bytes, source_address: str) -> OpenedDatagram | AuthenticationFailure:
         """Return the content of a peer's datagram, or why it is refused.
 
-        :param source_address: address `ip:port` it came from.
+        :param source_address: source address `ip:port` of the datagram.
         """
         size = len(datagram)
         if not _MINIMUM_DATAGRAM_BYTES <= size <= MAXIMUM_DATAGRAM_BYTES:
@@ -166,9 +166,9 @@
     """Return the length of the name, the name and the incarnation as bytes."""
     encoded = name.encode()
     if not 1 <= len(encoded) <= MAXIMUM_NAME_BYTES:
-        raise ValueError(f"a name has 1 to {MAXIMUM_NAME_BYTES} bytes")
+        raise ValueError(f"a name must have 1 to {MAXIMUM_NAME_BYTES} bytes")
     if not 0 <= incarnation <= MAXIMUM_INCARNATION:
-        raise ValueError(f"an incarnation is 0 to {MAXIMUM_INCARNATION}")
+        raise ValueError(f"an incarnation must be 0 to {MAXIMUM_INCARNATION}")
     return bytes((len(encoded),)) + encoded + incarnation.to_bytes(_INCARNATION_BYTES, "big")
 
 
--- a/sloepond/wire/codec.py
+++ b/sloepond/wire/codec.py
@@ -1,7 +1,7 @@
-"""Messages between balancers as msgpack bytes.
+"""Encodes messages between balancers as msgpack.
 
-A message is an array whose first element is its tag, so no field names travel.
-A datagram carries a bundle: an array of messages.
+A message is an array whose first element is its tag; field names are not sent.
+A datagram carries a bundle, which is an array of messages.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from sloepond.wire.failures import MALFORMED, OVERSIZED, DecodeFailure
 
 MAXIMUM_MESSAGE_BYTES = 16_384
-"""Largest encoded message or bundle taken, in bytes."""
+"""Largest accepted message or bundle, in bytes."""
 
 MAXIMUM_BUNDLE_BYTES = 1_300
-"""Most bytes of messages put into one datagram, unless a single one is larger.
+"""Maximum size of a bundle of several messages, in bytes; a single message may be larger.
 
 With the envelope it fits into one Ethernet frame.
 """
 
 MAXIMUM_BUNDLE_MESSAGES = 15
-"""Most messages of a bundle, so that its header is one byte."""
+"""Maximum number of messages in a bundle, so that its header is one byte."""
 
 _SHORT_ARRAY = 0x90
 
@@ -36,13 +36,13 @@
 def encode_message(message: PeerMessage) -> bytes:
     """Return the encoded form of a message.
 
-    :raises OverflowError: where an integer does not fit into 64 bits.
+    :raises OverflowError: if an integer does not fit into 64 bits.
     """
     return _ENCODER.encode(message)
 
 
 def decode_message(body: bytes) -> PeerMessage | DecodeFailure:
-    """Return the message in `body`, or why there is none."""
+    """Return the message in `body`, or why it cannot be decoded."""
     if len(body) > MAXIMUM_MESSAGE_BYTES:
         return OVERSIZED
     try:
@@ -52,15 +52,15 @@
 
 
 def encode_bundle(encoded: Sequence[bytes]) -> bytes:
-    """Return the body of a datagram that carries encoded messages.
+    """Return the body of a datagram with encoded messages.
 
-    :param encoded: 1 to 15 messages.
+    :param encoded: 1 to `MAXIMUM_BUNDLE_MESSAGES` messages.
     """
     return bytes((_SHORT_ARRAY | len(encoded),)) + b"".join(encoded)
 
 
 def decode_bundle(body: bytes) -> list[PeerMessage] | DecodeFailure:
-    """Return the messages in the body of a datagram, in order, or why there are none."""
+    """Return the messages in the body of a datagram, in order, or why they cannot be decoded."""
     if len(body) > MAXIMUM_MESSAGE_BYTES:
         return OVERSIZED
     try:
--- a/sloepond/wire/describe.py
+++ b/sloepond/wire/describe.py
@@ -1,4 +1,4 @@
-"""Writes the protocol's document from the typed messages.
+"""Generates the protocol's document from the message types and their doc comments.
 
 `python -m sloepond.wire.describe` prints the text of `docs/PROTOCOL.md`.
 """
@@ -59,14 +59,14 @@
     """Return the structs and enumerations inside messages and packets, each once."""
     outer = (*get_args(messages.PeerMessage), *EDGE_PACKETS)
     found: dict[type, None] = {}
-    waiting = list(outer)
-    while waiting:
-        struct = waiting.pop(0)
+    pending = list(outer)
+    while pending:
+        struct = pending.pop(0)
         for field in msgspec.structs.fields(struct):
             for inner in _named_types(msgspec.inspect.type_info(field.type)):
                 if inner not in found and inner not in outer:
                     found[inner] = None
-                    waiting += [inner] if issubclass(inner, msgspec.Struct) else []
+                    pending += [inner] if issubclass(inner, msgspec.Struct) else []
     return list(found)
 
 
@@ -165,7 +165,7 @@
 
 
 def _read_documentation(struct: type[msgspec.Struct]) -> tuple[str, dict[str, str]]:
-    """Return the text of a doc comment and the meaning of each field in it."""
+    """Return the text of a struct's doc comment and the meaning of each field in it."""
     documentation = inspect.getdoc(struct) or ""
     text, *fields = re.split(r"^:ivar (\w+):", documentation, flags=re.MULTILINE)
     meanings = {
@@ -175,7 +175,7 @@
 
 
 def _notes_below_members(enumeration: type[enum.IntEnum]) -> dict[str, str]:
-    """Return the doc comments that stand below members."""
+    """Return the doc comments below the members of an enumeration."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(enumeration))).body[0]
     assert isinstance(tree, ast.ClassDef)
     notes: dict[str, str] = {}
--- a/sloepond/wire/edge.py
+++ b/sloepond/wire/edge.py
@@ -1,8 +1,8 @@
-"""Stand-in formats towards callers and back ends: msgpack arrays of the core's packets.
+"""Formats of the stand-ins for callers and back ends: msgpack arrays of the core's packets.
 
-Deployments with other formats replace this module; the core only knows the
-structs of `core.packets`.  Every number is checked for its range here, so the
-core never sees one it could not hold or send on.
+Deployments with other formats replace this module; the core uses only the structs of `core.packets`.
+Decoders check the range of every number, so that the core receives none that it cannot store or
+forward.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from sloepond.wire.failures import MALFORMED, OUT_OF_RANGE, OVERSIZED, DecodeFailure
 
 MAXIMUM_PACKET_BYTES = 8_192
-"""Largest datagram taken from or sent to callers and back ends, in bytes."""
+"""Largest datagram from or to callers and back ends, in bytes."""
 
 MAXIMUM_ADDRESS_CHARACTERS = 64
-"""Longest address text in a flow key; an IPv6 address with its port has at most 47."""
+"""Longest address in a flow key; an IPv6 address with its port has at most 47 characters."""
 
 MAXIMUM_ATTEMPT = 2**31 - 1
-"""Largest attempt; the core draws 31-bit numbers for the runs of a request."""
+"""Largest attempt; the core draws random 31-bit numbers for the attempts of a request."""
 
 MAXIMUM_TIMEOUT_MS = 86_400_000
 MAXIMUM_PARTS = 65_535
@@ -46,13 +46,13 @@
 def encode_packet(packet: EdgePacket) -> bytes:
     """Return the encoded form of any packet.
 
-    :raises OverflowError: where an integer does not fit into 64 bits.
+    :raises OverflowError: if an integer does not fit into 64 bits.
     """
     return _ENCODER.encode(packet)
 
 
 def decode_caller_packet(datagram: bytes) -> CallerPacket | DecodeFailure:
-    """Return the packet a caller sent, or why there is none."""
+    """Return the packet that a caller sent, or why it cannot be decoded."""
     if len(datagram) > MAXIMUM_PACKET_BYTES:
         return OVERSIZED
     try:
@@ -65,7 +65,7 @@
 
 
 def decode_backend_packet(datagram: bytes) -> BackendPacket | DecodeFailure:
-    """Return the packet a balancer sent to a back end, or why there is none."""
+    """Return the packet that a balancer sent to a back end, or why it cannot be decoded."""
     if len(datagram) > MAXIMUM_PACKET_BYTES:
         return OVERSIZED
     try:
@@ -78,7 +78,7 @@
 
 
 def decode_caller_reply(datagram: bytes) -> CallerReply | DecodeFailure:
-    """Return the packet a balancer sent to a caller, or why there is none."""
+    """Return the packet that a balancer sent to a caller, or why it cannot be decoded."""
     if len(datagram) > MAXIMUM_PACKET_BYTES:
         return OVERSIZED
     try:
@@ -91,7 +91,7 @@
 
 
 def decode_backend_reply(datagram: bytes) -> BackendReply | DecodeFailure:
-    """Return the packet a back end sent, or why there is none."""
+    """Return the packet that a back end sent, or why it cannot be decoded."""
     if len(datagram) > MAXIMUM_PACKET_BYTES:
         return OVERSIZED
     try:
--- a/sloepond/wire/failures.py
+++ b/sloepond/wire/failures.py
@@ -1,6 +1,6 @@
-"""Fixed values that say why a datagram was refused.
+"""Constants for the reasons why a datagram is refused.
 
-They are returned in place of a decoded value; nothing in `wire` raises on input.
+They are returned in place of a decoded value; nothing in `wire` raises an error for its input.
 """
 
 from __future__ import annotations
@@ -9,29 +9,29 @@
 
 
 class DatagramFailure(Sentinel):
-    """A fixed value that says why a datagram was refused."""
+    """A constant for the reason why a datagram is refused."""
 
     @property
     def reason(self) -> str:
-        """Why the datagram was refused, as one line of text."""
+        """The reason as one line of text."""
         return str(self._name)
 
 
 class DecodeFailure(DatagramFailure):
-    """The content of a datagram could not be taken."""
+    """The content of a datagram could not be decoded."""
 
 
 class AuthenticationFailure(DatagramFailure):
-    """A peer's datagram was not proved to be new and from a holder of a key."""
+    """A peer's datagram could not be authenticated, or was received before."""
 
 
 OVERSIZED = DecodeFailure("larger than the size limit")
 MALFORMED = DecodeFailure("not of the expected structure")
 OUT_OF_RANGE = DecodeFailure("a number or text is out of its range")
 
-ENVELOPE_MALFORMED = AuthenticationFailure("the envelope is cut short or malformed")
+ENVELOPE_MALFORMED = AuthenticationFailure("the envelope is truncated or malformed")
 KEY_UNKNOWN = AuthenticationFailure("sealed with a key that is not in the key ring")
 TAG_WRONG = AuthenticationFailure("the authentication tag is wrong")
-REPLAYED = AuthenticationFailure("the sequence number was seen or is too old")
-INCARNATION_OLD = AuthenticationFailure("from an incarnation older than one already heard")
+REPLAYED = AuthenticationFailure("the sequence number was already received or is too old")
+INCARNATION_OLD = AuthenticationFailure("from an older incarnation than one already received")
 SENDER_SELF = AuthenticationFailure("sent under this balancer's own name")
--- a/sloepond/wire/replay.py
+++ b/sloepond/wire/replay.py
@@ -1,6 +1,6 @@
-"""Which sequence numbers of each peer were seen, in bounded memory.
+"""Detects replayed datagrams by the sequence numbers of each peer, in bounded memory.
 
-Owns a window of sequence numbers for each sender; relies on the envelope to be authentic.
+Owns a window of received sequence numbers for each sender.  Relies on the envelope to be authentic.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 from sloepond.wire.failures import INCARNATION_OLD, REPLAYED, AuthenticationFailure
 
 WINDOW_BITS = 1_024
-"""How far behind the newest sequence number a datagram may arrive."""
+"""Number of sequence numbers, up to the highest, in which a late datagram is accepted."""
 
 MAXIMUM_SENDERS = 4_096
-"""Senders remembered; the one not heard for longest is forgotten first.
+"""Maximum number of senders with a window; the least recently received one is removed first.
 
-Only holders of a key get an entry, so the limit bounds memory against
-mistakes and very large fleets, not against strangers.
+Only holders of a key get a window, so the limit bounds memory against misconfiguration and very large
+fleets rather than against attackers.
 """
 
 _WINDOW_MASK = (1 << WINDOW_BITS) - 1
 
 
 class ReplayWindow:
-    """Sequence numbers seen of one incarnation of one sender.
+    """Received sequence numbers of one incarnation of one sender.
 
-    Bit i of the bitmap is set if `highest - i` was seen.
+    Bit i of the bitmap is set if `highest - i` was received.
     """
 
     __slots__ = ("_bitmap", "_highest", "incarnation")
@@ -36,7 +36,7 @@
         self._bitmap = 0
 
     def accept(self, sequence: int) -> bool:
-        """Mark `sequence` as seen; return whether it was new."""
+        """Mark `sequence` as received; return whether it was new."""
         ahead = sequence - self._highest
         if ahead > 0:
             self._advance(ahead)
@@ -63,9 +63,9 @@
         self._windows: collections.OrderedDict[str, ReplayWindow] = collections.OrderedDict()
 
     def check(self, sender: str, incarnation: int, sequence: int) -> AuthenticationFailure | None:
-        """Mark a datagram as seen.
+        """Mark a datagram as received.
 
-        :returns: None where it is new, otherwise why it is refused.
+        :returns: None if it is new, otherwise why it is refused.
         """
         window = self._windows.get(sender)
         if window is None or incarnation > window.incarnation:
