--- a/features/interfaces/names.feature
+++ b/features/interfaces/names.feature
@@ -1,10 +1,10 @@
-Feature: Names and forms that others rely on stay
+Feature: Public names and formats stay the same
 
-  The names are those of the files beside this one. A name that is added is written there;
-  one that is there is neither changed nor removed.
+  The names are recorded in the files of this directory. A new name is added there;
+  a recorded name is neither changed nor removed.
 
   Scenario Outline: Sets of names
-    Then interfaces: the names of "<what>" are those on record
+    Then interfaces: the names of "<what>" match the record
 
     Examples:
       | what                              |
@@ -23,23 +23,23 @@
       | environment variables             |
       | resources                         |
 
-  Scenario: Log events of its own balancer
-    Then interfaces: its own balancer still has the log events on record
+  Scenario: Log events of sloepond's own balancer
+    Then interfaces: sloepond's own balancer still has the recorded log events
 
-  Scenario: No set of names is left out
-    Then interfaces: every set of names on record is compared
+  Scenario: Every recorded set of names is compared
+    Then interfaces: every recorded set of names is compared
 
   Scenario: The platform's settings file
-    Given interfaces: the settings file of the platform on record
-    Then interfaces: it says what is on record
-    And interfaces: each of its fields that is read changes what it says, and no other does
+    Given interfaces: the recorded settings file of the platform
+    Then interfaces: its settings match the record
+    And interfaces: each of its fields in the record changes the settings, and no other does
 
-  Scenario: The settings file of its own balancer
-    Given interfaces: the settings file of its own balancer on record
-    Then interfaces: it is accepted and what is read from it has the values written
-    And interfaces: a settings file with only the fields that are needed has the defaults on record
-    And interfaces: each policy on record is accepted
-    And interfaces: each wrong setting on record is refused in the words on record
+  Scenario: The settings file of sloepond's own balancer
+    Given interfaces: the recorded settings file of sloepond's own balancer
+    Then interfaces: it is accepted and the settings have the values in the file
+    And interfaces: a settings file with only the required fields has the recorded defaults
+    And interfaces: each recorded policy is accepted
+    And interfaces: each recorded invalid setting is refused with the recorded findings
 
   Scenario: Resources
-    Then interfaces: each example of resources is accepted, as is one with every field
+    Then interfaces: each example of resources and one with every field are accepted
--- a/features/interfaces/wire.feature
+++ b/features/interfaces/wire.feature
@@ -1,31 +1,31 @@
-Feature: What is sent keeps its bytes
+Feature: The bytes on the wire stay the same
 
-  The bytes are those of features/interfaces/wire.json, written once and never again:
-  balancers, back ends, callers and stores of other versions send and take them.
+  The bytes are recorded in features/interfaces/wire.json, which is never rewritten, since
+  balancers, back ends, callers and stores of other versions send and receive them.
 
   Scenario: Datagrams between balancers on the platform
     Given interfaces: a channel between balancers
-    Then interfaces: each datagram between balancers has its bytes
-    And interfaces: each datagram between balancers is received from its bytes
+    Then interfaces: each datagram between balancers has the recorded bytes
+    And interfaces: each datagram between balancers is decoded from the recorded bytes
     And interfaces: there is no other datagram between balancers
 
   Scenario: Streams between balancers on the platform
     Given interfaces: a channel between balancers
-    Then interfaces: each question on a stream has its bytes and takes its answer
-    And interfaces: each question on a stream is answered by its bytes
+    Then interfaces: each request on a stream has the recorded bytes and its answer is decoded
+    And interfaces: each request on a stream is answered with the recorded bytes
 
   Scenario: Packets on the platform
-    Then interfaces: packets to back ends and callers on the platform have their bytes
-    And interfaces: packets of callers on the platform are decoded from their bytes
+    Then interfaces: packets to back ends and callers on the platform have the recorded bytes
+    And interfaces: packets of callers on the platform are decoded from the recorded bytes
 
   Scenario: Requests to the platform's store
-    Then interfaces: requests to the store have their bytes
+    Then interfaces: requests to the store have the recorded bytes
 
-  Scenario: Packets of its own callers and back ends
-    Then interfaces: packets of callers and back ends of its own have their bytes
-    And interfaces: packets of its own are decoded from their bytes
-    And interfaces: numbers in packets of its own keep their meaning
+  Scenario: Packets of sloepond's own callers and back ends
+    Then interfaces: packets of sloepond's own callers and back ends have the recorded bytes
+    And interfaces: sloepond's own packets are decoded from the recorded bytes
+    And interfaces: numbers in sloepond's own packets keep their meaning
 
-  Scenario: Messages between its own balancers
-    Then interfaces: configuration messages between balancers have their bytes
-    And interfaces: configuration messages between balancers are decoded from their bytes
+  Scenario: Messages between sloepond's own balancers
+    Then interfaces: configuration messages between balancers have the recorded bytes
+    And interfaces: configuration messages between balancers are decoded from the recorded bytes
--- a/features/steps/interfaces_channel.py
+++ b/features/steps/interfaces_channel.py
@@ -1,4 +1,4 @@
-"""A channel between balancers on real sockets, and the plain sockets of the peer it speaks to."""
+"""A peer channel on real sockets, and the plain sockets of its peer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import socket
 import threading
 
-from interfaces_values import AnsweringNode, to_ask, to_send
+from interfaces_values import AnsweringNode, to_fetch, to_send
 
 from sloepond.runtime.forwarding.event_loop import EventLoop, sleep_until
 from sloepond.runtime.forwarding.log_writer import LogWriter
@@ -17,12 +17,12 @@
 PEER_IP = "127.0.32.2"
 TIMEOUT_S = 10.0
 WAKE_S = 0.005
-PORT_TRIES = 20
-LARGEST = 65_536
+PORT_ATTEMPTS = 20
+MAXIMUM_BYTES = 65_536
 
 
 class ChannelAndPeer:
-    """Both ends: the channel under test, and sockets that show and send plain bytes."""
+    """Both ends: the tested channel, and sockets that send and receive plain bytes."""
 
     def __init__(self):
         self.datagrams, self.streams, self.peer, self.peer_streams = bound_sockets()
@@ -34,40 +34,40 @@
         self.events = []
         self.loop = EventLoop()
         node = AnsweringNode()
-        self.nothing = os.open(os.devnull, os.O_WRONLY)
-        logs = LogWriter(node.counters, self.nothing)
+        self.null_device = os.open(os.devnull, os.O_WRONLY)
+        logs = LogWriter(node.counters, self.null_device)
         self.channel = PeerChannel(self.loop, self.datagrams, self.streams, node, self.events.append, logs)
 
     def close(self):
         """Close all sockets."""
         for opened in (self.datagrams, self.streams, self.peer, self.peer_streams):
             opened.close()
-        os.close(self.nothing)
+        os.close(self.null_device)
 
     def sent_for(self, message):
         """Return the datagram that is sent for a message."""
         self.channel.send(to_send(PEER_IP, message))
-        return self.peer.recv(LARGEST)
+        return self.peer.recv(MAXIMUM_BYTES)
 
     def event_of(self, datagram):
-        """Return the event of a datagram that arrives."""
+        """Return the event for a received datagram."""
         self.peer.sendto(datagram, (CHANNEL_IP, self.port))
         return self._next_event()
 
-    def asked_and_event(self, question, answer):
-        """Have the channel ask a question; return its bytes and the event of the answer."""
-        asked = []
-        server = threading.Thread(target=self._serve, args=(answer, asked))
+    def request_and_event(self, request, answer):
+        """Have the channel send a request; return its bytes and the event for the answer."""
+        requests = []
+        server = threading.Thread(target=self._serve, args=(answer, requests))
         server.start()
-        self.loop.start(self.channel.fetch(to_ask(PEER_IP, question)))
+        self.loop.start(self.channel.fetch(to_fetch(PEER_IP, request)))
         event = self._next_event()
         server.join()
-        return asked[0], event
+        return requests[0], event
 
-    def answer_to(self, question):
-        """Return the bytes that the channel answers to the bytes of a question."""
+    def answer_to(self, request):
+        """Return the bytes that the channel answers to the bytes of a request."""
         answers = []
-        client = threading.Thread(target=self._ask, args=(question, answers))
+        client = threading.Thread(target=self._request, args=(request, answers))
         client.start()
         self._run(lambda: bool(answers))
         client.join()
@@ -78,33 +78,33 @@
         return self.events.pop()
 
     def _run(self, is_done):
-        """Run the loop, woken every few milliseconds, until something has happened."""
+        """Run the loop, woken every few milliseconds, until a condition holds."""
         self.loop.start(self._wake(is_done))
-        give_up_at = self.loop.clock() + TIMEOUT_S
+        deadline = self.loop.clock() + TIMEOUT_S
         while not is_done():
-            assert self.loop.clock() < give_up_at, "nothing happened"
+            assert self.loop.clock() < deadline, "the condition did not become true in time"
             self.loop.run_once()
 
     async def _wake(self, is_done):
         while not is_done():
             await sleep_until(self.loop.clock() + WAKE_S)
 
-    def _serve(self, answer, asked):
+    def _serve(self, answer, requests):
         stream, _ = self.peer_streams.accept()
         with stream:
-            asked.append(read_all(stream))
+            requests.append(read_all(stream))
             stream.sendall(answer)
 
-    def _ask(self, question, answers):
+    def _request(self, request, answers):
         with socket.create_connection((CHANNEL_IP, self.port), TIMEOUT_S) as stream:
-            stream.sendall(question)
+            stream.sendall(request)
             stream.shutdown(socket.SHUT_WR)
             answers.append(read_all(stream))
 
 
 def bound_sockets():
-    """Return datagram socket and listener of both ends, all on one port that is free for each."""
-    for _ in range(PORT_TRIES):
+    """Return the datagram socket and the listener of both ends, all on the same free port."""
+    for _ in range(PORT_ATTEMPTS):
         with contextlib.ExitStack() as stack:
             port, sockets = 0, []
             try:
@@ -121,9 +121,9 @@
 
 
 def read_all(stream):
-    """Return all that comes until the other end closes."""
+    """Return all bytes that arrive until the other end closes."""
     stream.settimeout(TIMEOUT_S)
     parts = []
-    while part := stream.recv(LARGEST):
+    while part := stream.recv(MAXIMUM_BYTES):
         parts.append(part)
     return b"".join(parts)
--- a/features/steps/interfaces_names.py
+++ b/features/steps/interfaces_names.py
@@ -1,4 +1,4 @@
-"""Collects the names that others rely on, each set as the running code gives it."""
+"""Collects the public names from the running code, in sets as recorded in names.json."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
 OWN_METRIC = "sloepond"
 COMMANDS = ("check", "apply", "get", "watch", "status", "drain", "undrain", "version", "balancer")
 VALUES_OF = ("state", "class", "direction", "le")
-"""Labels whose values are names too."""
+"""Labels whose values are public names too."""
 PEER = PeerReport("b2", "10.1.0.2:7000", "active", 5, 6, "00000000", 20, 1.5, True)
 STATUS = NodeStatus("b1", 99, "h1", "active", 5, ("b1", "b2"), True, 7, "ab", 40, 3, (PEER,))
 
 
 def platform_settings(text):
-    """Return what a settings file of the platform says, by plain names."""
+    """Return the settings in a settings file of the platform, by names that do not depend on the code."""
     read = parse_settings(text)
     return {
         "name": read.name,
@@ -73,7 +73,7 @@
 
 
 def platform_places():
-    """Return where the platform's settings and metrics are found."""
+    """Return the locations of the platform's settings and metrics."""
     return {"variable": FILE_VARIABLE, "default file": DEFAULT_FILE, "metrics port": METRICS_PORT}
 
 
@@ -112,12 +112,12 @@
 
 
 def label_texts(labels):
-    """Return the labels by name, with the values that are names too."""
+    """Return the labels by name, with those values that are public names too."""
     return [f"{label}={labels[label]}" if label in VALUES_OF else label for label in sorted(labels)]
 
 
 def api_state():
-    """Return the least that the operators' API reads of a balancer."""
+    """Return the state of a balancer that the operators' API reads."""
     in_force = CompiledConfiguration(make_snapshot(7, []))
     node = types.SimpleNamespace(
         counters=Counters(),
@@ -146,7 +146,7 @@
 
 
 def api_status():
-    """Return the names in the answer about a balancer's status."""
+    """Return the names in the response with a balancer's status."""
     answer = json.loads(msgspec.json.encode(build_status(api_state())))
     assert msgspec.json.decode(msgspec.json.encode(answer), type=BalancerStatus).name == "b1"
     return {
@@ -162,7 +162,7 @@
 
 
 def log_fields():
-    """Return the names in a line of the log on the platform, in their order."""
+    """Return the field names of a log line on the platform, in their order."""
     reading, writing = os.pipe()
     try:
         LogWriter(ForwardingCounters(), writing).write(WriteLog(LogKind.STARTED, "subject", "detail"))
@@ -173,12 +173,12 @@
 
 
 def refusals():
-    """Return the reasons that log lines give for a packet that is not forwarded."""
+    """Return the reasons in log lines for packets that are not forwarded."""
     return sorted(refusal.value for refusal in Refusal)
 
 
 def transitions():
-    """Return the event names of the log of its own balancer."""
+    """Return the event names in the log of sloepond's own balancer."""
     return sorted(kind.value for kind in TransitionKind)
 
 
@@ -211,7 +211,7 @@
 
 
 def environment_variables():
-    """Return the variables that commands read."""
+    """Return the environment variables that commands read."""
     return sorted(set(re.findall(r"SLOEPOND_[A-Z]+", ENVIRONMENT_HELP)))
 
 
@@ -222,12 +222,12 @@
 
 
 def fields_of(struct):
-    """Return the fields of a struct by the names that are written."""
+    """Return the fields of a struct by their encoded names."""
     return {field.encode_name: field_form(field) for field in msgspec.structs.fields(struct)}
 
 
 def field_form(field):
-    """Return the form of one field: those of a struct inside, the names of an enumeration, or the type."""
+    """Return the form of one field: nested fields, the values of an enumeration, or the type."""
     info = msgspec.inspect.type_info(field.type)
     if isinstance(info, msgspec.inspect.StructType):
         return fields_of(info.cls)
@@ -239,7 +239,7 @@
 
 
 def default_of(field):
-    """Return the default of a field, `required` where it has none."""
+    """Return the default of a field, `required` if it has none."""
     if field.default is not msgspec.NODEFAULT:
         return field.default.value if isinstance(field.default, enum.Enum) else field.default
     if field.default_factory is not msgspec.NODEFAULT:
--- a/features/steps/interfaces_names_steps.py
+++ b/features/steps/interfaces_names_steps.py
@@ -1,4 +1,4 @@
-"""Steps on names and forms that others rely on, as they stand in features/interfaces."""
+"""Steps that compare public names and formats with those recorded in features/interfaces."""
 
 from __future__ import annotations
 
@@ -17,12 +17,17 @@
 FOLDER = pathlib.Path("features/interfaces")
 EVERY_FIELD = FOLDER / "resources"
 RECORDED = json.loads((FOLDER / "names.json").read_text(encoding="utf-8"))
-KEPT_SECTIONS = ("membership.seeds", "membership.machine_list_interval_s", "configuration", "stop.deadline_s")
-"""Settings of the node whose values are compared; all others need only be accepted."""
+COMPARED_KEYS = (
+    "membership.seeds",
+    "membership.machine_list_interval_s",
+    "configuration",
+    "stop.deadline_s",
+)
+"""Settings of the node whose values are compared; the others only have to be accepted."""
 
 
 def plain(value):
-    """Return a value as JSON has it, with all fields of structs, also those that hold their default."""
+    """Return a value as decoded from JSON, with all fields of structs, including those with defaults."""
     return json.loads(json.dumps(value, default=msgspec.structs.asdict))
 
 
@@ -34,23 +39,23 @@
 
 
 def check(text, overrides=()):
-    """Check the text of a settings file with some values put over its own."""
+    """Check the text of a settings file with some overridden values."""
     given_values = tuple(SettingsOverride(tuple(path.split(".")), value) for path, value in overrides)
     return check_settings(text, "balancer.toml", given_values)
 
 
-@then('interfaces: the names of "{what}" are those on record')
+@then('interfaces: the names of "{what}" match the record')
 def names_on_record(context, what):
     found = plain(COLLECTORS[what]())
     assert found == RECORDED[what], (what, found)
 
 
-@then("interfaces: its own balancer still has the log events on record")
+@then("interfaces: sloepond's own balancer still has the recorded log events")
 def own_log_events(context):
     assert set(RECORDED["log events of its own balancer"]) <= set(transitions())
 
 
-@then("interfaces: every set of names on record is compared")
+@then("interfaces: every recorded set of names is compared")
 def all_compared(context):
     compared = {name for name in RECORDED if name in COLLECTORS}
     assert compared == set(COLLECTORS), compared
@@ -58,18 +63,18 @@
     assert all(f"| {name} " in written for name in COLLECTORS)
 
 
-@given("interfaces: the settings file of the platform on record")
+@given("interfaces: the recorded settings file of the platform")
 def platform_file(context):
     context.platform_text = (FOLDER / "node.conf").read_text(encoding="utf-8")
 
 
-@then("interfaces: it says what is on record")
+@then("interfaces: its settings match the record")
 def platform_values(context):
     found = plain(platform_settings(context.platform_text))
     assert found == RECORDED["platform settings"], found
 
 
-@then("interfaces: each of its fields that is read changes what it says, and no other does")
+@then("interfaces: each of its fields in the record changes the settings, and no other does")
 def platform_fields(context):
     lines = context.platform_text.splitlines()
     read, needed = [], []
@@ -83,12 +88,12 @@
     assert {"needed": sorted(needed), "read": sorted(read)} == RECORDED["platform fields"], (needed, read)
 
 
-@given("interfaces: the settings file of its own balancer on record")
+@given("interfaces: the recorded settings file of sloepond's own balancer")
 def own_file(context):
     context.own_text = (FOLDER / "balancer.toml").read_text(encoding="utf-8")
 
 
-@then("interfaces: it is accepted and what is read from it has the values written")
+@then("interfaces: it is accepted and the settings have the values in the file")
 def own_accepted(context):
     checked = check(context.own_text)
     assert checked.settings is not None and checked.findings == (), checked.findings
@@ -96,28 +101,28 @@
     read = plain(checked.settings)
     for name in written.keys() - {"node"}:
         assert read[name] == written[name], name
-    for path in KEPT_SECTIONS:
+    for path in COMPARED_KEYS:
         assert at(read["node"], path) == at(written["node"], path), path
 
 
-@then("interfaces: a settings file with only the fields that are needed has the defaults on record")
+@then("interfaces: a settings file with only the required fields has the recorded defaults")
 def own_defaults(context):
     checked = check((FOLDER / "smallest.toml").read_text(encoding="utf-8"))
     assert checked.settings is not None, checked.findings
     read = plain(checked.settings)
     node = read.pop("node")
-    read["node"] = {path: at(node, path) for path in KEPT_SECTIONS}
+    read["node"] = {path: at(node, path) for path in COMPARED_KEYS}
     assert read == RECORDED["settings defaults"], read
 
 
-@then("interfaces: each policy on record is accepted")
+@then("interfaces: each recorded policy is accepted")
 def own_policies(context):
     for policy in RECORDED["settings policies"]:
         checked = check(context.own_text, [("node.routing.policy", policy)])
         assert checked.settings is not None, (policy, checked.findings)
 
 
-@then("interfaces: each wrong setting on record is refused in the words on record")
+@then("interfaces: each recorded invalid setting is refused with the recorded findings")
 def own_refused(context):
     for case in RECORDED["refused settings"]:
         checked = check(context.own_text, case["values"].items())
@@ -126,7 +131,7 @@
         assert found == case["findings"], (case, found)
 
 
-@then("interfaces: each example of resources is accepted, as is one with every field")
+@then("interfaces: each example of resources and one with every field are accepted")
 def example_resources(context):
     for folder in ("examples/accra", "examples/auckland", EVERY_FIELD):
         loaded = load_resources([pathlib.Path(folder)])
--- a/features/steps/interfaces_values.py
+++ b/features/steps/interfaces_values.py
@@ -1,6 +1,6 @@
-"""One value of each thing that is sent, by a plain name that outlives the class's.
+"""One value of each message and packet, by a name that does not depend on the class's name.
 
-Every class is named here only, so that a class that is renamed is renamed here only.
+The classes are used only here, so that renaming one changes only this module.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 )
 
 PEER_MESSAGE_TYPES = frozenset(typing.get_args(peer.PeerMessage))
-PEER_QUESTION_TYPES = frozenset(typing.get_args(peer.StreamRequest))
+PEER_REQUEST_TYPES = frozenset(typing.get_args(peer.StreamRequest))
 
 READY = BackendRecord(
     "i-7f3a91c2", 0x7F3A91C2, "a", "10.128.0.9", 8080, "osu-hall", 3, BackendState.READY, 1.5, 412
@@ -92,11 +92,11 @@
     "heartbeat without hall": peer.Heartbeat(7, 412, False, ()),
     "token reply without leave": peer.TokenReply(READY, 0.0),
 }
-"""Datagrams whose last fields are missing, as what was built before those fields sends them."""
+"""Datagrams without their last fields, as sent by earlier versions that lack these fields."""
 
 SNAPSHOT = peer.Snapshot(CONFIGURATION, 1.25, KNOWN, 0.5, 500, EVACUATED)
 DELTAS = (SMALL_DELTA, LARGE_DELTA)
-STREAM_QUESTIONS = {"snapshot request": peer.SnapshotRequest(), "routes request": peer.RoutesRequest(6)}
+STREAM_REQUESTS = {"snapshot request": peer.SnapshotRequest(), "routes request": peer.RoutesRequest(6)}
 STREAM_ANSWERS = {"snapshot request": SNAPSHOT, "routes request": DELTAS}
 
 FLOW = FlowKey("198.18.0.1:443", "100.64.0.7:40001", 2**64 - 3)
@@ -144,7 +144,7 @@
     "back end state": BackendState,
 }
 REASONS_OF_REPLICAS = (10, 11)
-"""Reasons that only the replicated flow table gave; their names may go, their numbers stay unused."""
+"""Retired reasons of the replicated flow table; their names may be removed, their numbers stay unused."""
 
 OPENING = Segment(0x64400007, 40001, 0xC6120001, 443, 0x11223344, 2, 0, True, False, False, 0)
 LAST = Segment(0x64400007, 40001, 0xC6120001, 443, 5, 0xFFFFFFF0, 0, False, True, False, 9)
@@ -168,7 +168,7 @@
 
 
 class AnsweringNode:
-    """What a channel between balancers needs of a node: counters and answers."""
+    """The parts of a node that a peer channel uses: counters and answers."""
 
     def __init__(self):
         self.counters = ForwardingCounters()
@@ -187,20 +187,20 @@
     return SendToPeer(ip, message)
 
 
-def to_ask(ip, question):
-    """Return the command that asks a question on a stream."""
-    if question == "snapshot request":
+def to_fetch(ip, request):
+    """Return the command that sends a request on a stream."""
+    if request == "snapshot request":
         return FetchSnapshot(ip)
     return FetchRoutes(ip, SMALL_DELTA.base)
 
 
 def received(ip, message):
-    """Return the event of a datagram that was received."""
+    """Return the event for a received datagram."""
     return PeerMessageReceived(ip, message)
 
 
-def answered(ip, question):
-    """Return the event of an answer to a question."""
-    if question == "snapshot request":
+def answered(ip, request):
+    """Return the event for an answer to a request."""
+    if request == "snapshot request":
         return SnapshotReceived(ip, SNAPSHOT)
     return RoutesReceived(ip, DELTAS)
--- a/features/steps/interfaces_wire_steps.py
+++ b/features/steps/interfaces_wire_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the bytes that are sent: each as it stands in features/interfaces/wire.json."""
+"""Steps that compare sent bytes with those recorded in features/interfaces/wire.json."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def golden(group):
-    """Return the bytes of a group, by plain name."""
+    """Return the recorded bytes of a group, by name."""
     return {name: bytes.fromhex("".join(text)) for name, text in GOLDEN[group].items()}
 
 
 def compare(group, sent):
-    """Fail with the names whose bytes differ, or that one side lacks."""
+    """Fail with the names whose bytes differ or are missing on one side."""
     expected = golden(group)
     differing = {
         name: sent.get(name, b"").hex()
@@ -46,18 +46,18 @@
 
 
 def authenticator(name, address):
-    """Return what seals and opens datagrams of one balancer."""
+    """Return the authenticator of one balancer."""
     return Authenticator(KeyRing((Key(3, bytes(range(32))),)), name, 2**41 + 1, address)
 
 
 def sealed_bundle():
-    """Return one datagram that carries all configuration messages."""
+    """Return one datagram with all configuration messages."""
     encoded = [codec.encode_message(message) for message in values.OWN_MESSAGES.values()]
     return authenticator(SENDER, SENDER_ADDRESS).seal(codec.encode_bundle(encoded), RECEIVER_ADDRESS)
 
 
 def store_requests():
-    """Return each request to the store as it is sent."""
+    """Return the bytes of each request to the store."""
     targets = {name: STORE.read_target(*call) for name, call in values.STORE_CALLS.items()}
     targets |= {name: STORE.watch_target(watch) for name, watch in values.STORE_WATCHES.items()}
     targets["probe"] = STORE.probe_target()
@@ -70,13 +70,13 @@
     context.add_cleanup(context.ends.close)
 
 
-@then("interfaces: each datagram between balancers has its bytes")
+@then("interfaces: each datagram between balancers has the recorded bytes")
 def datagrams_sent(context):
     sent = {name: context.ends.sent_for(message) for name, message in values.PEER_DATAGRAMS.items()}
     compare("peer datagrams", sent)
 
 
-@then("interfaces: each datagram between balancers is received from its bytes")
+@then("interfaces: each datagram between balancers is decoded from the recorded bytes")
 def datagrams_received(context):
     expected = values.PEER_DATAGRAMS | values.SHORT_PEER_DATAGRAMS
     for name, datagram in (golden("peer datagrams") | golden("short peer datagrams")).items():
@@ -86,27 +86,25 @@
 @then("interfaces: there is no other datagram between balancers")
 def no_other_datagram(context):
     assert {type(message) for message in values.PEER_DATAGRAMS.values()} == values.PEER_MESSAGE_TYPES
-    assert {type(asked) for asked in values.STREAM_QUESTIONS.values()} == values.PEER_QUESTION_TYPES
+    assert {type(request) for request in values.STREAM_REQUESTS.values()} == values.PEER_REQUEST_TYPES
 
 
-@then("interfaces: each question on a stream has its bytes and takes its answer")
-def stream_asked(context):
-    questions, answers = golden("stream questions"), golden("stream answers")
-    for name, question in questions.items():
-        asked, event = context.ends.asked_and_event(name, answers[name])
-        assert asked == question, (name, asked.hex())
+@then("interfaces: each request on a stream has the recorded bytes and its answer is decoded")
+def stream_requested(context):
+    requests, answers = golden("stream questions"), golden("stream answers")
+    for name, request in requests.items():
+        sent, event = context.ends.request_and_event(name, answers[name])
+        assert sent == request, (name, sent.hex())
         assert event == values.answered(PEER_IP, name), name
 
 
-@then("interfaces: each question on a stream is answered by its bytes")
+@then("interfaces: each request on a stream is answered with the recorded bytes")
 def stream_answered(context):
-    answers = {
-        name: context.ends.answer_to(question) for name, question in golden("stream questions").items()
-    }
+    answers = {name: context.ends.answer_to(request) for name, request in golden("stream questions").items()}
     compare("stream answers", answers)
 
 
-@then("interfaces: packets to back ends and callers on the platform have their bytes")
+@then("interfaces: packets to back ends and callers on the platform have the recorded bytes")
 def platform_packets(context):
     caller = golden("platform packets from callers")
     sent = {name: PACKETS.encode(datagram, values.TARGET) for name, datagram in caller.items()}
@@ -117,7 +115,7 @@
     compare("platform packets", sent)
 
 
-@then("interfaces: packets of callers on the platform are decoded from their bytes")
+@then("interfaces: packets of callers on the platform are decoded from the recorded bytes")
 def platform_decoded(context):
     caller = golden("platform packets from callers")
     assert PACKETS.decode(caller["opening"]) == values.OPENING
@@ -125,25 +123,25 @@
     assert PACKETS.request_id(caller["request"]) == "r-00042"
 
 
-@then("interfaces: requests to the store have their bytes")
+@then("interfaces: requests to the store have the recorded bytes")
 def store_calls(context):
     compare("store requests", store_requests())
 
 
-@then("interfaces: packets of callers and back ends of its own have their bytes")
+@then("interfaces: packets of sloepond's own callers and back ends have the recorded bytes")
 def own_packets(context):
     sent = {name: edge.encode_packet(packet) for name, packet in values.OWN_PACKETS.items()}
     compare("own packets", sent)
 
 
-@then("interfaces: packets of its own are decoded from their bytes")
+@then("interfaces: sloepond's own packets are decoded from the recorded bytes")
 def own_packets_decoded(context):
     for name, datagram in golden("own packets").items():
         [decode] = [PACKET_DECODERS[kind] for kind in PACKET_DECODERS if name.startswith(kind)]
         assert decode(datagram) == values.OWN_PACKETS[name], name
 
 
-@then("interfaces: numbers in packets of its own keep their meaning")
+@then("interfaces: numbers in sloepond's own packets keep their meaning")
 def own_numbers(context):
     for name, enumeration in values.OWN_NUMBERS.items():
         numbers = {member.name.lower(): member.value for member in enumeration}
@@ -154,14 +152,14 @@
         assert numbers == GOLDEN["numbers"][name], (name, numbers)
 
 
-@then("interfaces: configuration messages between balancers have their bytes")
+@then("interfaces: configuration messages between balancers have the recorded bytes")
 def own_messages(context):
     sent = {name: codec.encode_message(message) for name, message in values.OWN_MESSAGES.items()}
     compare("own messages", sent)
     compare("own datagrams", {"all configuration messages": sealed_bundle()})
 
 
-@then("interfaces: configuration messages between balancers are decoded from their bytes")
+@then("interfaces: configuration messages between balancers are decoded from the recorded bytes")
 def own_messages_decoded(context):
     for name, body in golden("own messages").items():
         assert codec.decode_message(body) == values.OWN_MESSAGES[name], name
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -37,9 +37,9 @@
 flows = st.builds(packets.FlowKey, addresses, addresses, st.integers(0, 2**64 - 1))
 request_ids = st.integers(0, packets.MAXIMUM_REQUEST_ID)
 attempts = st.integers(0, edge.MAXIMUM_ATTEMPT)
-waits = st.integers(0, edge.MAXIMUM_TIMEOUT_MS)
+timeouts = st.integers(0, edge.MAXIMUM_TIMEOUT_MS)
 loads = st.none() | st.builds(packets.LoadReport, st.integers(0, 9), st.integers(0, 2**31 - 1))
-request_fields = {"flow": flows, "request_id": request_ids, "attempt": attempts, "timeout_ms": waits}
+request_fields = {"flow": flows, "request_id": request_ids, "attempt": attempts, "timeout_ms": timeouts}
 kinds = st.sampled_from(packets.CallerPacketKind)
 caller_packets = st.builds(packets.CallerPacket, kinds, **request_fields)
 reply_fields = {
@@ -56,7 +56,7 @@
         packets.CallerReply,
         st.sampled_from(packets.CallerReplyKind),
         reason=st.sampled_from(packets.Reason),
-        retry_after_ms=waits,
+        retry_after_ms=timeouts,
         **reply_fields,
     ),
     st.builds(packets.BackendReply, st.sampled_from(packets.BackendReplyKind), load=loads, **reply_fields),
@@ -134,12 +134,12 @@
     open_changed()
 
 
-@when("wire datagrams are opened cut or lengthened")
-def step_open_cut(context):
+@when("wire datagrams are opened truncated or extended")
+def step_open_truncated(context):
     datagram = sealed()
-    cut = [datagram[:size] for size in range(len(datagram))]
-    lengthened = [datagram + b"x", b"x" + datagram, datagram + bytes(2**15)]
-    context.results = [receiver().open(item, SENDER_ADDRESS) for item in cut + lengthened]
+    truncated = [datagram[:size] for size in range(len(datagram))]
+    extended = [datagram + b"x", b"x" + datagram, datagram + bytes(2**15)]
+    context.results = [receiver().open(item, SENDER_ADDRESS) for item in truncated + extended]
 
 
 @when("a wire datagram for one balancer is opened by another")
@@ -160,28 +160,28 @@
     assert all(map(is_refused, context.results)), context.results
 
 
-@when("wire datagrams arrive reordered and repeated within the window")
+@when("wire datagrams arrive reordered and duplicated within the window")
 def step_arrive_reordered(context):
-    context.taken = []
+    context.accepted = []
 
     @settings(PROPERTY, max_examples=40)
     @for_all(st.integers(2, 60), st.randoms(use_true_random=False), st.integers(1, 3))
-    def arrive(count, random, copies):
-        sender, taking = authenticator(), receiver()
-        datagrams = [sealed(bytes([number]), sender) for number in range(count)] * copies
+    def arrive(count, random, repetitions):
+        sender, opening = authenticator(), receiver()
+        datagrams = [sealed(bytes([number]), sender) for number in range(count)] * repetitions
         random.shuffle(datagrams)
-        opened = [taking.open(datagram, SENDER_ADDRESS) for datagram in datagrams]
+        opened = [opening.open(datagram, SENDER_ADDRESS) for datagram in datagrams]
         bodies = [item.body for item in opened if isinstance(item, OpenedDatagram)]
         refused = {item for item in opened if not isinstance(item, OpenedDatagram)}
-        context.taken.append((sorted(bodies), [bytes([number]) for number in range(count)], refused))
+        context.accepted.append((sorted(bodies), [bytes([number]) for number in range(count)], refused))
 
     arrive()
 
 
-@then("each wire datagram was taken exactly once")
-def step_taken_once(context):
-    assert any(refused for _, _, refused in context.taken)
-    for bodies, expected, refused in context.taken:
+@then("each wire datagram was accepted exactly once")
+def step_accepted_once(context):
+    assert any(refused for _, _, refused in context.accepted)
+    for bodies, expected, refused in context.accepted:
         assert bodies == expected
         assert refused <= {failures.REPLAYED}
 
@@ -203,25 +203,25 @@
     compare()
 
 
-@then("the wire replay window took what the set of them says")
+@then("the wire replay window accepted the same numbers as the set")
 def step_window_agrees(context):
     assert {expected for _, expected in context.comparisons} == {True, False}
-    assert all(taken == expected for taken, expected in context.comparisons)
+    assert all(accepted == expected for accepted, expected in context.comparisons)
 
 
 @given("a wire sender that was restarted")
 def step_restarted(context):
     context.receiver = receiver()
-    context.former = authenticator(incarnation=5)
-    context.first_of_former = sealed(sender=context.former)
-    assert isinstance(context.receiver.open(context.first_of_former, SENDER_ADDRESS), OpenedDatagram)
+    context.older = authenticator(incarnation=5)
+    context.first_of_older = sealed(sender=context.older)
+    assert isinstance(context.receiver.open(context.first_of_older, SENDER_ADDRESS), OpenedDatagram)
     newer = sealed(sender=authenticator(incarnation=6))
     assert isinstance(context.receiver.open(newer, SENDER_ADDRESS), OpenedDatagram)
 
 
-@then("wire datagrams of the former incarnation are refused")
-def step_former_refused(context):
-    for datagram in (sealed(sender=context.former), context.first_of_former):
+@then("wire datagrams of the older incarnation are refused")
+def step_older_refused(context):
+    for datagram in (sealed(sender=context.older), context.first_of_older):
         assert context.receiver.open(datagram, SENDER_ADDRESS) is failures.INCARNATION_OLD
 
 
@@ -236,8 +236,8 @@
             context.results.append(context.receiver.open(sealed(sender=context.sender), SENDER_ADDRESS))
 
 
-@then("every wire datagram of the rotation was taken")
-def step_rotation_taken(context):
+@then("every wire datagram of the rotation was accepted")
+def step_rotation_accepted(context):
     assert len(context.results) == 6
     assert all(isinstance(result, OpenedDatagram) for result in context.results), context.results
 
@@ -247,13 +247,13 @@
     assert context.receiver.open(sealed(), SENDER_ADDRESS) is failures.KEY_UNKNOWN
 
 
-@when("wire datagrams of more senders than remembered arrive")
+@when("wire datagrams of more senders than the limit arrive")
 def step_many_senders(context):
     context.guard = ReplayGuard(maximum_senders=10)
     context.results = [context.guard.check(f"b{number}", 1, 1) for number in range(50)]
 
 
-@then("the wire replay guard remembers no more than its limit")
+@then("the wire replay guard keeps no more senders than its limit")
 def step_guard_bounded(context):
     assert context.results == [None] * 50
     again = [context.guard.check(f"b{number}", 1, 1) for number in range(49, -1, -1)]
@@ -281,7 +281,7 @@
     round_trip()
 
 
-@then("each wire packet came back equal")
+@then("each wire packet was decoded to an equal one")
 def step_equal(context):
     for before, after in context.pairs:
         assert type(before) is type(after) and before == after, (before, after)
@@ -291,7 +291,7 @@
     context.decoded += [decode(datagram) for decode in DECODERS]
 
 
-@when("wire arbitrary bytes are given to every decoder")
+@when("wire arbitrary bytes are passed to every decoder")
 def step_decode_arbitrary(context):
     context.decoded = []
 
@@ -303,7 +303,7 @@
     decode()
 
 
-@when("wire mutated packets are given to every decoder")
+@when("wire mutated packets are passed to every decoder")
 def step_decode_mutated(context):
     context.decoded = []
 
@@ -321,7 +321,7 @@
     decode()
 
 
-@then("each wire decoder gave a value or a reason")
+@then("each wire decoder returned a value or a reason")
 def step_decoded(context):
     assert len(context.decoded) >= 1_000
     reasons = [item for item in context.decoded if isinstance(item, failures.DecodeFailure)]
@@ -330,22 +330,22 @@
     assert all(type(item).__module__.startswith("sloepond.core.") for item in values)
 
 
-@then("the wire numbers taken were within their ranges")
+@then("the decoded wire numbers were within their ranges")
 def step_in_range(context):
-    taken = [item for item in context.decoded if type(item) in PACKET_DECODERS]
-    assert taken and failures.OUT_OF_RANGE in context.decoded
-    for packet in taken:
+    decoded = [item for item in context.decoded if type(item) in PACKET_DECODERS]
+    assert decoded and failures.OUT_OF_RANGE in context.decoded
+    for packet in decoded:
         assert 0 <= packet.request_id <= packets.MAXIMUM_REQUEST_ID
         assert packet.flow.incarnation >= 0
         assert isinstance(edge.encode_packet(packet), bytes)
 
 
-@when("wire input above the size limit is given to every decoder")
+@when("wire input above the size limit is passed to every decoder")
 def step_decode_oversized(context):
     context.decoded = []
     decode_all(context, bytes(codec.MAXIMUM_MESSAGE_BYTES + 1))
 
 
-@then("each wire decoder said it is oversized")
+@then("each wire decoder reported it as oversized")
 def step_oversized(context):
     assert context.decoded == [failures.OVERSIZED] * len(DECODERS)
--- a/features/wire/decoding.feature
+++ b/features/wire/decoding.feature
@@ -1,18 +1,18 @@
-Feature: Decoders take nothing but well-formed packets and messages
+Feature: Decoders accept only well-formed packets and messages
 
-  Scenario: Packets and messages come back as they were encoded
+  Scenario: Decoding returns the encoded packets and messages
     When wire packets of every kind are encoded and decoded
-    Then each wire packet came back equal
+    Then each wire packet was decoded to an equal one
 
   Scenario: Arbitrary bytes never raise
-    When wire arbitrary bytes are given to every decoder
-    Then each wire decoder gave a value or a reason
+    When wire arbitrary bytes are passed to every decoder
+    Then each wire decoder returned a value or a reason
 
-  Scenario: Mutated packets never raise and never carry numbers out of range
-    When wire mutated packets are given to every decoder
-    Then each wire decoder gave a value or a reason
-    And the wire numbers taken were within their ranges
+  Scenario: Mutated packets never raise and are never decoded to numbers out of range
+    When wire mutated packets are passed to every decoder
+    Then each wire decoder returned a value or a reason
+    And the decoded wire numbers were within their ranges
 
-  Scenario: Oversized input is refused before it is parsed
-    When wire input above the size limit is given to every decoder
-    Then each wire decoder said it is oversized
+  Scenario: Oversized input is refused before decoding
+    When wire input above the size limit is passed to every decoder
+    Then each wire decoder reported it as oversized
