--- a/sloepond/runtime/forwarding/data_path.py
+++ b/sloepond/runtime/forwarding/data_path.py
@@ -60,7 +60,7 @@
             self.handle_packet(datagram, now)
         return BATCH_DATAGRAMS
 
-    def drop_buffered(self) -> None:
+    def drop_unread(self) -> None:
         """Drop and count all packets in the socket's buffer, because they are too old."""
         while True:
             try:
--- a/sloepond/runtime/forwarding/reachability_check.py
+++ b/sloepond/runtime/forwarding/reachability_check.py
@@ -24,7 +24,7 @@
 CONTROL_ATTEMPT_DELAYS_S = (0.0, 0.05)
 """Delays of the connection attempts to the control after the start of the check, in seconds.
 
-Both must succeed.  Without a control, live back ends counted as unreachable while the balancer's own
+Both must succeed.  Without a control, live back ends would count as unreachable while the balancer's own
 link of 10 Mbit/s was congested.
 """
 CHECK_TIMEOUT_S = 0.1
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -183,7 +183,7 @@
         while not self._is_forwarding:
             await sleep_until(self._loop.clock() + STARTUP_DROP_INTERVAL_S)
             if not self._is_forwarding:
-                self._data_path.drop_buffered()
+                self._data_path.drop_unread()
 
     def _receive_signals(self) -> None:
         for number in self._sockets.signals.recv(SIGNAL_BYTES):
