--- a/features/forwarding/event_loop.feature
+++ b/features/forwarding/event_loop.feature
@@ -15,7 +15,7 @@
     When a coroutine of an event loop fails while another one waits
     Then the event loop has ended with that error and the other coroutine is closed
 
-  Scenario: A connection above the limit is closed, and one that ends makes place for another
+  Scenario: A connection above the limit is closed, and another one is served after one has ended
     When 3 connections reach an event loop that serves 2 at once
     Then the event loop has closed the third one and counted it
     And the event loop serves another one after the first has ended
--- a/features/forwarding/platform.feature
+++ b/features/forwarding/platform.feature
@@ -16,7 +16,7 @@
     Then platform documents become routes and back ends
     And platform property: any response of the store becomes an event
 
-  Scenario: A response is parsed alike in whatever pieces it arrives
+  Scenario: A response is parsed independently of how it is split
     Then platform property: a response split anywhere is the same response
 
   Scenario: A list of several pages is read completely
--- a/sloepond/runtime/dispatcher.py
+++ b/sloepond/runtime/dispatcher.py
@@ -19,7 +19,7 @@
 MAXIMUM_HANDLING_S = 0.5
 """Longest time to handle an event, in seconds; after it the resulting packets to back ends are dropped.
 
-A process that was paused between a decision and the send could send to a back end that has left in
+A process that stalls between a decision and the send could send to a back end that has left in
 the meantime.  The caller retransmits.
 """
 
