--- a/sloepond/runtime/forwarding/event_loop.py
+++ b/sloepond/runtime/forwarding/event_loop.py
@@ -108,7 +108,7 @@
         self._due: deque[Task] = deque()
         self._tasks: set[Task] = set()
         self._next_deadline: Callable[[], float] = _never
-        self._on_time: Callable[[], None] = _ignore_deadline
+        self._on_timer: Callable[[], None] = _ignore_deadline
         self._is_stopped = False
 
     def start(self, coroutine: TaskCoroutine) -> None:
@@ -131,7 +131,7 @@
         :param next_deadline: returns the deadline in seconds of the loop's clock; called before each wait.
         """
         self._next_deadline = next_deadline
-        self._on_time = on_timer
+        self._on_timer = on_timer
 
     def stop(self) -> None:
         """End `run` after the current step."""
@@ -153,7 +153,7 @@
             else:
                 key.data()
         if self.clock() >= self._next_deadline():
-            self._on_time()
+            self._on_timer()
         self._expire_waits()
         for _ in range(len(self._due)):
             self._step(self._due.popleft(), None)
