--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -43,9 +43,9 @@
 )
 from sloepond.resources.slices import Slices, blocks, run_to_completion
 
-INCREMENTAL_LIMIT = 1_000
+MAXIMUM_INCREMENTAL_CHANGES = 1_000
 """Changed resources above which a configuration is compiled from the start."""
-INDEXED_PER_UNIT = 2
+INDEXED_BACKENDS_PER_UNIT = 2
 """Back ends put into the indexes for about the cost of compiling one."""
 _PLACE_KINDS = frozenset((Kind.REGION.value, Kind.ZONE.value, Kind.HALL.value))
 
@@ -72,18 +72,18 @@
     )
 
     def __init__(self, snapshot: ConfigurationSnapshot) -> None:
-        self._take_content(content_of(snapshot))
+        self._set_content(content_of(snapshot))
         run_to_completion(self._compile())
 
     @classmethod
     def compile_slices(cls, content: GenerationContent) -> Slices[CompiledConfiguration]:
         """Compile a generation from the start, in slices."""
         result = cls.__new__(cls)
-        result._take_content(content)
+        result._set_content(content)
         yield from result._compile()
         return result
 
-    def _take_content(self, content: GenerationContent) -> None:
+    def _set_content(self, content: GenerationContent) -> None:
         self.content = content
         self.generation = content.generation
         self.digest = content.digest
@@ -124,7 +124,7 @@
             for block in blocks(service.backends):
                 by_name.update((backend.name, backend) for backend in block)
                 by_address.update((backend.address, backend) for backend in block)
-                yield len(block) // INDEXED_PER_UNIT
+                yield len(block) // INDEXED_BACKENDS_PER_UNIT
         self.backends_by_name: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_name)
         self.backends_by_address: LayeredMapping[str, CompiledBackend] = LayeredMapping(by_address)
 
@@ -143,18 +143,20 @@
 
         :raises KeyError: if a back end names a hall that is not declared.
         """
-        if len(changed) + len(removed) > INCREMENTAL_LIMIT or not self._can_update(changed, removed):
+        if len(changed) + len(removed) > MAXIMUM_INCREMENTAL_CHANGES or not self._can_update(
+            changed, removed
+        ):
             return (yield from CompiledConfiguration.compile_slices(content))
         result = CompiledConfiguration.__new__(CompiledConfiguration)
-        result._take_content(content)
+        result._set_content(content)
         result._locations = self._locations
         if any(isinstance(resource, Region | Zone | Hall) for resource in changed) or any(
             key.kind in _PLACE_KINDS for key in removed
         ):
             result._locations = resolve_locations(without_backends(content.resources))
         update = IndexUpdate(self.services_by_name, self.backends_by_name, self._locations)
-        yield from update.change(changed, removed_names(removed), result._locations)
-        yield from result._take_update(self, update)
+        yield from update.apply(changed, removed_names(removed), result._locations)
+        yield from result._apply_update(self, update)
         return result
 
     def _can_update(self, changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
@@ -167,21 +169,21 @@
             return True
         return backend_count(self.content.resources) == len(self.backends_by_name)
 
-    def _take_update(self, base: CompiledConfiguration, update: IndexUpdate) -> Slices[None]:
+    def _apply_update(self, base: CompiledConfiguration, update: IndexUpdate) -> Slices[None]:
         self.services_by_name = update.services
         self.services_by_address = {item.address: item for item in update.services.values()}
-        if len(update.gone) + len(update.present) > INCREMENTAL_LIMIT:
+        if len(update.removed_backends) + len(update.added_backends) > MAXIMUM_INCREMENTAL_CHANGES:
             yield from self._index_backends(list(update.services.values()))
             return
         self.backends_by_name = base.backends_by_name.edited(
-            [backend.name for backend in update.gone],
-            {backend.name: backend for backend in update.present},
+            [backend.name for backend in update.removed_backends],
+            {backend.name: backend for backend in update.added_backends},
         )
         self.backends_by_address = base.backends_by_address.edited(
-            [backend.address for backend in update.gone],
-            {backend.address: backend for backend in update.present},
+            [backend.address for backend in update.removed_backends],
+            {backend.address: backend for backend in update.added_backends},
         )
-        yield len(update.gone) + len(update.present)
+        yield len(update.removed_backends) + len(update.added_backends)
 
 
 EMPTY_CONFIGURATION = CompiledConfiguration(make_snapshot(0, []))
--- a/sloepond/resources/declarations.py
+++ b/sloepond/resources/declarations.py
@@ -73,14 +73,14 @@
         return self.document.finding(path, reason, self.label)
 
 
-class Declared(msgspec.Struct, frozen=True):
+class CheckedDeclaration(msgspec.Struct, frozen=True):
     """A declaration and the findings about its own fields."""
 
     declaration: Declaration
     findings: tuple[Finding, ...]
 
 
-def declare(document: Document) -> Declared:
+def check_document(document: Document) -> CheckedDeclaration:
     """Check one document against the type of its kind."""
     return _DocumentReader(document).read()
 
@@ -95,18 +95,18 @@
         self._fields: dict[FieldPath, object] = {}
         self._findings: list[Finding] = []
 
-    def read(self) -> Declared:
+    def read(self) -> CheckedDeclaration:
         """Return all that could be understood, and all that could not."""
         value = self._document.value
         if isinstance(value, dict):
             self._read_resource(value)
         else:
-            self._add(
+            self._add_finding(
                 (),
                 f"expected a mapping with apiVersion, kind, metadata and spec, got {_type_name(value)}",
             )
         declaration = Declaration(self._document, self._kind, self._fields, self._resource(value))
-        return Declared(declaration, tuple(self._findings))
+        return CheckedDeclaration(declaration, tuple(self._findings))
 
     def _read_resource(self, value: dict[object, object]) -> None:
         self._kind = _kind_of(value)
@@ -116,23 +116,23 @@
             self._check_kind(value)
             return
         if value.get(STATUS_FIELD):
-            self._add((STATUS_FIELD,), "status is written by the system, never declared")
+            self._add_finding((STATUS_FIELD,), "status is written by the system, never declared")
         self._read_struct(RESOURCE_TYPES[self._kind], value, (), ignored=frozenset({KIND_FIELD}))
 
     def _check_api_version(self, value: dict[object, object]) -> None:
         version = value.get(API_VERSION_FIELD)
         if isinstance(version, str) and version != API_VERSION:
-            self._add(
+            self._add_finding(
                 (API_VERSION_FIELD,),
                 f"unknown version {show_value(version)}, expected {API_VERSION!r}",
             )
 
     def _check_kind(self, value: dict[object, object]) -> None:
         if KIND_FIELD not in value:
-            self._add((KIND_FIELD,), "missing")
+            self._add_finding((KIND_FIELD,), "missing")
             return
         known = ", ".join(Kind)
-        self._add(
+        self._add_finding(
             (KIND_FIELD,),
             f"unknown kind {show_value(value[KIND_FIELD])}, expected one of {known}",
         )
@@ -145,20 +145,20 @@
         ignored: frozenset[str] = frozenset(),
     ) -> None:
         if not isinstance(value, dict):
-            self._add(path, f"expected a mapping, got {_type_name(value)}")
+            self._add_finding(path, f"expected a mapping, got {_type_name(value)}")
             return
         fields = _fields_of(struct)
         for key in value:
             if key not in fields and key not in ignored:
-                self._add(
+                self._add_finding(
                     (*path, str(key)),
-                    f"unknown field, expected one of {_listed(fields)}",
+                    f"unknown field, expected one of {_field_names(fields)}",
                 )
         for name, field in fields.items():
             if name in value:
                 self._read_value(field.type, value[name], (*path, name))
             elif field.required:
-                self._add((*path, name), "missing")
+                self._add_finding((*path, name), "missing")
 
     def _read_value(self, expected: Any, value: object, path: FieldPath) -> None:
         if isinstance(expected, type) and issubclass(expected, msgspec.Struct):
@@ -172,14 +172,14 @@
 
     def _read_list(self, expected: Any, value: object, path: FieldPath) -> None:
         if not isinstance(value, list | tuple):
-            self._add(path, f"expected a list, got {_type_name(value)}")
+            self._add_finding(path, f"expected a list, got {_type_name(value)}")
             return
         for index, item in enumerate(value):
             self._read_value(expected, item, (*path, index))
 
     def _read_mapping(self, expected: Any, value: object, path: FieldPath) -> None:
         if not isinstance(value, dict):
-            self._add(path, f"expected a mapping, got {_type_name(value)}")
+            self._add_finding(path, f"expected a mapping, got {_type_name(value)}")
             return
         for key, item in value.items():
             self._read_value(expected, item, (*path, str(key)))
@@ -188,7 +188,7 @@
         try:
             self._fields[path] = msgspec.convert(value, expected)
         except msgspec.ValidationError as error:
-            self._add(path, _leaf_reason(expected, value, error))
+            self._add_finding(path, _leaf_reason(expected, value, error))
 
     def _resource(self, value: object) -> Resource | None:
         if self._findings or self._kind is None:
@@ -196,10 +196,10 @@
         try:
             return msgspec.convert(value, RESOURCE_TYPES[self._kind])
         except msgspec.ValidationError as error:
-            self._add((), str(error))
+            self._add_finding((), str(error))
             return None
 
-    def _add(self, path: FieldPath, reason: str) -> None:
+    def _add_finding(self, path: FieldPath, reason: str) -> None:
         self._findings.append(self._document.finding(path, reason, _label(self._kind, self._name)))
 
 
@@ -233,7 +233,7 @@
     return str(error).replace("Expected", "expected").replace("`", "")
 
 
-def _listed(fields: dict[str, msgspec.structs.FieldInfo]) -> str:
+def _field_names(fields: dict[str, msgspec.structs.FieldInfo]) -> str:
     return ", ".join(fields) if fields else "none"
 
 
--- a/sloepond/resources/documents.py
+++ b/sloepond/resources/documents.py
@@ -18,7 +18,7 @@
 MAXIMUM_DEPTH = 16
 """Deepest nesting of a document; no resource needs more than 6 levels."""
 
-MAXIMUM_TEXT = 32 * 1024 * 1024
+MAXIMUM_TEXT_CHARACTERS = 32 * 1024 * 1024
 """Largest text taken, in characters."""
 
 JSON_SUFFIX = ".json"
@@ -73,8 +73,8 @@
 
     :param file: name put into findings; JSON is expected where it ends in `.json`.
     """
-    if len(text) > MAXIMUM_TEXT:
-        reason = f"larger than {MAXIMUM_TEXT} characters"
+    if len(text) > MAXIMUM_TEXT_CHARACTERS:
+        reason = f"larger than {MAXIMUM_TEXT_CHARACTERS} characters"
         return ParsedText((), (Finding(file, 0, 0, "", reason),))
     if file.endswith(JSON_SUFFIX):
         return _parse_json(text, file)
@@ -149,11 +149,11 @@
         """Return the plain value of `node`, which stands at `path`."""
         self.lines.setdefault(path, node.start_mark.line + 1)
         if id(node) in self._nodes_read:
-            self._add(path, node, "aliases are not supported")
+            self._add_finding(path, node, "aliases are not supported")
             return None
         self._nodes_read.add(id(node))
         if len(path) > MAXIMUM_DEPTH:
-            self._add(path, node, f"nested deeper than {MAXIMUM_DEPTH} levels")
+            self._add_finding(path, node, f"nested deeper than {MAXIMUM_DEPTH} levels")
             return None
         if isinstance(node, yaml.MappingNode):
             return self._read_mapping(node, path)
@@ -165,12 +165,12 @@
         mapping: dict[Hashable, object] = {}
         for key_node, value_node in node.value:
             if not isinstance(key_node, yaml.ScalarNode):
-                self._add(path, key_node, "a key is not plain text")
+                self._add_finding(path, key_node, "a key is not plain text")
                 continue
             key = str(key_node.value)
             field = (*path, key)
             if key in mapping:
-                self._add(field, key_node, "written twice")
+                self._add_finding(field, key_node, "written twice")
                 continue
             self.lines[field] = key_node.start_mark.line + 1
             mapping[key] = self.read(value_node, field)
@@ -186,10 +186,10 @@
             AttributeError,
             KeyError,
         ) as error:
-            self._add(path, node, f"not a value: {_one_line(error)}")
+            self._add_finding(path, node, f"not a value: {_one_line(error)}")
             return None
 
-    def _add(self, path: FieldPath, node: yaml.Node, reason: str) -> None:
+    def _add_finding(self, path: FieldPath, node: yaml.Node, reason: str) -> None:
         line = node.start_mark.line + 1
         self.findings.append(Finding(self._file, self._index, line, format_path(path), reason))
 
--- a/sloepond/resources/findings.py
+++ b/sloepond/resources/findings.py
@@ -12,7 +12,7 @@
 FieldPath = tuple[str | int, ...]
 """Keys and list indexes from the root of a document to a field."""
 
-MAXIMUM_SHOWN = 100
+MAXIMUM_SHOWN_CHARACTERS = 100
 """Longest part of a document shown in a finding, in characters."""
 
 
@@ -61,20 +61,20 @@
 
 def plain_text(text: str) -> str:
     """Return `text` from a document as it may stand in a finding: short and printable."""
-    is_plain = text.isprintable() and len(text) <= MAXIMUM_SHOWN
+    is_plain = text.isprintable() and len(text) <= MAXIMUM_SHOWN_CHARACTERS
     return text if is_plain else show_value(text)
 
 
 def show_value(value: object) -> str:
     """Return a value from a document as it may stand in a finding: quoted, short and printable."""
-    return _SHORT.repr(value)
+    return _SHORT_REPR.repr(value)
 
 
 def _make_short_repr() -> reprlib.Repr:
     short = reprlib.Repr()
-    short.maxstring = MAXIMUM_SHOWN
-    short.maxother = MAXIMUM_SHOWN
+    short.maxstring = MAXIMUM_SHOWN_CHARACTERS
+    short.maxother = MAXIMUM_SHOWN_CHARACTERS
     return short
 
 
-_SHORT = _make_short_repr()
+_SHORT_REPR = _make_short_repr()
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -22,9 +22,9 @@
 from sloepond.resources.ordered import edited
 from sloepond.resources.slices import Slices, blocks
 
-SCANNED_PER_UNIT = 8
+SCANNED_BACKENDS_PER_UNIT = 8
 """Back ends whose hall is looked up for about the cost of compiling one."""
-COPIED_PER_UNIT = 32
+COPIED_BACKENDS_PER_UNIT = 32
 """Back ends copied into a new tuple for about the cost of compiling one."""
 
 
@@ -51,8 +51,8 @@
 
     :ivar services: all services after the change, by name.
     :ivar names: back ends that were added, changed or removed.
-    :ivar gone: their former states.
-    :ivar present: their present states.
+    :ivar removed_backends: their former states.
+    :ivar added_backends: their present states.
     """
 
     def __init__(
@@ -61,16 +61,16 @@
         backends: Mapping[str, CompiledBackend],
         locations: dict[str, Location],
     ) -> None:
-        self._former = services
+        self._former_services = services
         self._backends = backends
         self._former_locations = locations
         self._locations = locations
         self.services = dict(services)
-        self.names: dict[str, None] = {}
-        self.gone: list[CompiledBackend] = []
-        self.present: list[CompiledBackend] = []
+        self.changed_names: dict[str, None] = {}
+        self.removed_backends: list[CompiledBackend] = []
+        self.added_backends: list[CompiledBackend] = []
 
-    def change(
+    def apply(
         self, changed: Sequence[Resource], removed: RemovedNames, locations: dict[str, Location]
     ) -> Slices[None]:
         """Apply a change.
@@ -83,21 +83,23 @@
         specs = {item.metadata.name: item.spec for item in changed if isinstance(item, Service)}
         touched = [item.metadata.name for item in changed if isinstance(item, Backend)]
         touched.extend(removed.backends)
-        self.names.update(dict.fromkeys(touched))
-        self.gone.extend(self._backends[name] for name in self.names if name in self._backends)
-        self._compile(changed, specs, removed)
-        affected = {backend.service for backend in (*self.gone, *self.present)}
+        self.changed_names.update(dict.fromkeys(touched))
+        self.removed_backends.extend(
+            self._backends[name] for name in self.changed_names if name in self._backends
+        )
+        self._compile_backends(changed, specs, removed)
+        affected = {backend.service for backend in (*self.removed_backends, *self.added_backends)}
         affected.update(specs, removed.services, (yield from self._moved_services()))
-        by_owner = _grouped(self.gone), _grouped(self.present)
+        by_owner = _grouped(self.removed_backends), _grouped(self.added_backends)
         for name in sorted(affected):
             spec = None if name in removed.services else specs.get(name, self._spec(name))
-            yield from self._replace(name, spec, by_owner[0].get(name, []), by_owner[1].get(name, []))
+            yield from self._replace_service(name, spec, by_owner[0].get(name, []), by_owner[1].get(name, []))
 
     def _spec(self, name: str) -> ServiceSpec | None:
-        service = self._former.get(name)
+        service = self._former_services.get(name)
         return service.spec if service else None
 
-    def _compile(
+    def _compile_backends(
         self, changed: Sequence[Resource], specs: dict[str, ServiceSpec], removed: RemovedNames
     ) -> None:
         """Compile changed back ends whose service is declared; the others have no effect."""
@@ -106,7 +108,7 @@
                 continue
             spec = specs.get(resource.spec.service, self._spec(resource.spec.service))
             if spec is not None:
-                self.present.append(compile_backend(spec, resource, self._locations))
+                self.added_backends.append(compile_backend(spec, resource, self._locations))
 
     def _moved_services(self) -> Slices[set[str]]:
         """Return the services with a back end in a hall whose location differs."""
@@ -115,48 +117,48 @@
         services: set[str] = set()
         if not moved:
             return services
-        for service in self._former.values():
+        for service in self._former_services.values():
             for block in blocks(service.backends):
                 if any(backend.location.hall in moved for backend in block):
                     services.add(service.name)
-                yield len(block) // SCANNED_PER_UNIT
+                yield len(block) // SCANNED_BACKENDS_PER_UNIT
         return services
 
-    def _replace(
+    def _replace_service(
         self,
         name: str,
         spec: ServiceSpec | None,
-        gone: list[CompiledBackend],
-        present: list[CompiledBackend],
+        removed_backends: list[CompiledBackend],
+        added_backends: list[CompiledBackend],
     ) -> Slices[None]:
-        """Replace one service; `gone` and `present` are its back ends that differ."""
-        former = self._former.get(name)
+        """Replace one service; `removed_backends` and `added_backends` are its back ends that differ."""
+        former = self._former_services.get(name)
         kept = former.backends if former else ()
         if spec is None:
-            self._drop(name, kept)
+            self._remove_service(name, kept)
             return
-        is_judged_anew = former is None or _places_differ(former.spec, spec)
-        if is_judged_anew or self._locations is not self._former_locations:
-            kept = yield from self._relocated(spec, kept)
-        names = [backend.name for backend in gone]
-        backends = edited(kept, _backend_name, names, present)
-        yield len(backends) // COPIED_PER_UNIT
+        place_rules_changed = former is None or _places_differ(former.spec, spec)
+        if place_rules_changed or self._locations is not self._former_locations:
+            kept = yield from self._relocate_backends(spec, kept)
+        names = [backend.name for backend in removed_backends]
+        backends = edited(kept, _backend_name, names, added_backends)
+        yield len(backends) // COPIED_BACKENDS_PER_UNIT
         if former is not None and kept is former.backends:
-            added = [backend for backend in present if backend.accepts_new_flows]
+            added = [backend for backend in added_backends if backend.accepts_new_flows]
             eligible_backends = edited(former.eligible_backends, _backend_name, names, added)
         else:
             eligible_backends = tuple(backend for backend in backends if backend.accepts_new_flows)
-        yield len(eligible_backends) // COPIED_PER_UNIT
+        yield len(eligible_backends) // COPIED_BACKENDS_PER_UNIT
         self.services[name] = compile_service(name, spec, backends, eligible_backends)
 
-    def _drop(self, name: str, backends: Sequence[CompiledBackend]) -> None:
+    def _remove_service(self, name: str, backends: Sequence[CompiledBackend]) -> None:
         self.services.pop(name, None)
         for backend in backends:
-            if backend.name not in self.names:
-                self.names[backend.name] = None
-                self.gone.append(backend)
+            if backend.name not in self.changed_names:
+                self.changed_names[backend.name] = None
+                self.removed_backends.append(backend)
 
-    def _relocated(
+    def _relocate_backends(
         self, spec: ServiceSpec, backends: tuple[CompiledBackend, ...]
     ) -> Slices[tuple[CompiledBackend, ...]]:
         """Judge the places of back ends anew, but of those that changed by themselves."""
@@ -164,16 +166,16 @@
         is_same = True
         for block in blocks(backends):
             for backend in block:
-                if backend.name in self.names:
+                if backend.name in self.changed_names:
                     result.append(backend)
                     continue
                 relocated = relocated_backend(spec, backend, self._locations)
                 result.append(relocated)
                 if relocated is not backend:
                     is_same = False
-                    self.gone.append(backend)
-                    self.present.append(relocated)
-                    self.names[backend.name] = None
+                    self.removed_backends.append(backend)
+                    self.added_backends.append(relocated)
+                    self.changed_names[backend.name] = None
             yield len(block)
         return backends if is_same else tuple(result)
 
--- a/sloepond/resources/layered.py
+++ b/sloepond/resources/layered.py
@@ -14,7 +14,7 @@
 Key = TypeVar("Key")
 Value = TypeVar("Value")
 
-LAYER_LIMIT = 1_000
+MAXIMUM_LAYER_ENTRIES = 1_000
 """Entries of a layer above which it is merged with the base."""
 
 
@@ -59,18 +59,18 @@
         :param added: entries to put in; they win over `removed`.
         """
         changed = self._changed.copy()
-        gone = set(self._removed)
+        removed_keys = set(self._removed)
         for key in removed:
             changed.pop(key, None)
             if key in self._base:
-                gone.add(key)
+                removed_keys.add(key)
         changed.update(added)
-        gone.difference_update(added)
+        removed_keys.difference_update(added)
         result: LayeredMapping[Key, Value] = LayeredMapping(self._base)
         result._changed = changed
-        result._removed = frozenset(gone)
-        result._length = len(self._base) - len(gone) + sum(key not in self._base for key in changed)
-        if len(changed) + len(gone) > LAYER_LIMIT:
+        result._removed = frozenset(removed_keys)
+        result._length = len(self._base) - len(removed_keys) + sum(key not in self._base for key in changed)
+        if len(changed) + len(removed_keys) > MAXIMUM_LAYER_ENTRIES:
             return result._merged()
         return result
 
--- a/sloepond/resources/loading.py
+++ b/sloepond/resources/loading.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sloepond.resources.documents import JSON_SUFFIX, MAXIMUM_TEXT, Document, parse_text
+from sloepond.resources.documents import JSON_SUFFIX, MAXIMUM_TEXT_CHARACTERS, Document, parse_text
 from sloepond.resources.findings import Finding
 from sloepond.resources.model import Resource
 from sloepond.resources.validation import validate_documents
@@ -88,7 +88,7 @@
     """Read a file, but not without end: one character above the limit is enough to refuse it."""
     try:
         with file.open(encoding="utf-8") as stream:
-            return stream.read(MAXIMUM_TEXT + 1)
+            return stream.read(MAXIMUM_TEXT_CHARACTERS + 1)
     except OSError as error:
         return Finding(str(file), 0, 0, "", f"cannot be read: {error.strerror}")
     except UnicodeDecodeError:
--- a/sloepond/resources/ordered.py
+++ b/sloepond/resources/ordered.py
@@ -11,7 +11,7 @@
 
 Item = TypeVar("Item")
 
-BULK_LIMIT = 1_000
+MAXIMUM_SINGLE_EDITS = 1_000
 """Edits above which the whole is sorted anew rather than edited in place."""
 
 
@@ -28,14 +28,14 @@
     :param removed: keys to take out; unknown ones are ignored.
     :param added: items to put in; an item of the same key is replaced.
     """
-    gone = {*removed, *map(key_of, added)}
-    if not gone:
+    replaced_keys = {*removed, *map(key_of, added)}
+    if not replaced_keys:
         return tuple(ordered)
-    if len(gone) > BULK_LIMIT:
-        kept = [item for item in ordered if key_of(item) not in gone]
+    if len(replaced_keys) > MAXIMUM_SINGLE_EDITS:
+        kept = [item for item in ordered if key_of(item) not in replaced_keys]
         return tuple(sorted([*kept, *added], key=key_of))
     items = list(ordered)
-    for key in gone:
+    for key in replaced_keys:
         position = bisect.bisect_left(items, key, key=key_of)
         if position < len(items) and key_of(items[position]) == key:
             del items[position]
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -74,7 +74,7 @@
     yield from _check_references(declared)
     yield from _check_selectors(declared)
     yield from _check_addresses(declared)
-    yield from _check_reach(declared)
+    yield from _check_reachability(declared)
 
 
 def _check_duplicates(declared: DeclaredSet) -> Iterator[Finding]:
@@ -83,7 +83,7 @@
             continue
         first = declared.by_name[(declaration.kind, declaration.name)]
         if first is not declaration:
-            yield declaration.finding(NAME_PATH, f"name declared before, in {_place(first, NAME_PATH)}")
+            yield declaration.finding(NAME_PATH, f"name declared before, in {_position(first, NAME_PATH)}")
 
 
 def _check_references(declared: DeclaredSet) -> Iterator[Finding]:
@@ -144,17 +144,17 @@
             continue
         first = first_users.setdefault(address, declaration)
         if first is not declaration:
-            reason = f"address {address!r} is used by {first.label}, in {_place(first, ADDRESS_PATH)}"
+            reason = f"address {address!r} is used by {first.label}, in {_position(first, ADDRESS_PATH)}"
             yield declaration.finding(ADDRESS_PATH, reason)
 
 
-def _check_reach(declared: DeclaredSet) -> Iterator[Finding]:
+def _check_reachability(declared: DeclaredSet) -> Iterator[Finding]:
     """Report services no flow can reach: no permitted place has a back end that takes any."""
     locations = resolve_locations(declared.resources())
     backends = _BackendsByService(declared)
     for declaration in declared.declarations:
         service = declaration.resource
-        if not isinstance(service, Service) or backends.is_uncertain(service.metadata.name):
+        if not isinstance(service, Service) or backends.has_invalid_backend(service.metadata.name):
             continue
         reason = _unreachable_reason(service, backends.of(service.metadata.name), locations)
         if reason:
@@ -166,7 +166,7 @@
 
     def __init__(self, declared: DeclaredSet) -> None:
         self._backends: dict[str, list[Backend]] = {}
-        self._uncertain: set[str] = set()
+        self._services_with_invalid_backend: set[str] = set()
         for declaration in declared.declarations:
             if declaration.kind is not Kind.BACKEND:
                 continue
@@ -174,15 +174,15 @@
             if isinstance(declaration.resource, Backend):
                 self._backends.setdefault(service, []).append(declaration.resource)
             else:
-                self._uncertain.add(service)
+                self._services_with_invalid_backend.add(service)
 
     def of(self, service: str) -> list[Backend]:
         """Return the back ends of `service` that are right by themselves."""
         return self._backends.get(service, [])
 
-    def is_uncertain(self, service: str) -> bool:
+    def has_invalid_backend(self, service: str) -> bool:
         """Return whether a back end that is not understood may belong to `service`."""
-        return service in self._uncertain or "" in self._uncertain
+        return service in self._services_with_invalid_backend or "" in self._services_with_invalid_backend
 
 
 def _unreachable_reason(service: Service, backends: list[Backend], locations: dict[str, Location]) -> str:
@@ -197,16 +197,16 @@
     ]
     if not permitted:
         return "unreachable: no back end stands in a permitted place"
-    if not any(_takes_flows(backend) for backend in permitted):
+    if not any(_accepts_flows(backend) for backend in permitted):
         return "unreachable: every back end in a permitted place is draining or has weight 0"
     return ""
 
 
-def _takes_flows(backend: Backend) -> bool:
+def _accepts_flows(backend: Backend) -> bool:
     return backend.spec.state is BackendState.ACTIVE and backend.spec.weight > 0
 
 
-def _place(declaration: Declaration, path: FieldPath) -> str:
+def _position(declaration: Declaration, path: FieldPath) -> str:
     document = declaration.document
     line = document.line(path)
     return f"{document.file}:{line}" if line else f"{document.file} document {document.index}"
--- a/sloepond/resources/sharing.py
+++ b/sloepond/resources/sharing.py
@@ -14,7 +14,7 @@
 from sloepond.resources.model import API_VERSION, Backend, Resource, Status
 from sloepond.resources.slices import Slices, blocks
 
-SHARED_PER_UNIT = 2
+INTERNED_BACKENDS_PER_UNIT = 2
 """Back ends whose values are shared for about the cost of compiling one."""
 
 _NO_STATUS = Status()
@@ -26,11 +26,11 @@
     for block in blocks(resources):
         for resource in block:
             if isinstance(resource, Backend):
-                _share_values(resource)
-        yield len(block) // SHARED_PER_UNIT
+                _intern_values(resource)
+        yield len(block) // INTERNED_BACKENDS_PER_UNIT
 
 
-def _share_values(backend: Backend) -> None:
+def _intern_values(backend: Backend) -> None:
     spec = backend.spec
     force_setattr(spec, "service", sys.intern(spec.service))
     force_setattr(spec, "hall", sys.intern(spec.hall))
--- a/sloepond/resources/sorted_items.py
+++ b/sloepond/resources/sorted_items.py
@@ -18,7 +18,7 @@
 
 CHUNK_ITEMS = 256
 """Items of a chunk when it is made; twice as many at most."""
-EDITED_PER_UNIT = 4
+EDITED_ITEMS_PER_UNIT = 4
 """Items put in order for about the cost of compiling one."""
 
 
@@ -33,9 +33,9 @@
 
     def __init__(self, items: Iterable[Item], key_of: Callable[[Item], Any]) -> None:
         self._key_of = key_of
-        self._take([tuple(chunk) for chunk in blocks(items, CHUNK_ITEMS)])
+        self._set_chunks([tuple(chunk) for chunk in blocks(items, CHUNK_ITEMS)])
 
-    def _take(self, chunks: list[tuple[Item, ...]]) -> None:
+    def _set_chunks(self, chunks: list[tuple[Item, ...]]) -> None:
         self._chunks = chunks
         self._ends = list(itertools.accumulate(map(len, chunks)))
 
@@ -56,7 +56,7 @@
             start, stop, step = index.indices(len(self))
             if step != 1:
                 return tuple(self)[index]
-            return self._between(start, stop)
+            return self._slice(start, stop)
         position = index + len(self) if index < 0 else index
         if not 0 <= position < len(self):
             raise IndexError(index)
@@ -66,7 +66,7 @@
     def _start(self, number: int) -> int:
         return self._ends[number - 1] if number else 0
 
-    def _between(self, start: int, stop: int) -> tuple[Item, ...]:
+    def _slice(self, start: int, stop: int) -> tuple[Item, ...]:
         first = bisect.bisect_right(self._ends, start)
         items: list[Item] = []
         for number in range(first, len(self._chunks)):
@@ -108,7 +108,7 @@
             else:
                 chunks.append(chunk)
         result: SortedItems[Item] = SortedItems((), self._key_of)
-        result._take(chunks)
+        result._set_chunks(chunks)
         return result
 
     def _are_sorted(self, items: Sequence[Item]) -> Slices[bool]:
@@ -118,7 +118,7 @@
             if not all(map(operator.lt, keys, keys[1:])):
                 return False
             last = keys[-1]
-            yield len(block) // EDITED_PER_UNIT
+            yield len(block) // EDITED_ITEMS_PER_UNIT
         return True
 
     def _chunk_of(self, key: Any) -> int:
@@ -138,9 +138,9 @@
                     items.pop(key, None)
                 else:
                     items[key] = item
-            yield len(block) // EDITED_PER_UNIT
+            yield len(block) // EDITED_ITEMS_PER_UNIT
         ordered = [items[key] for key in sorted(items)]
-        yield len(items) // EDITED_PER_UNIT
+        yield len(items) // EDITED_ITEMS_PER_UNIT
         if len(ordered) <= 2 * CHUNK_ITEMS:
             return [tuple(ordered)] if ordered else []
         return [tuple(part) for part in blocks(ordered, CHUNK_ITEMS)]
--- a/sloepond/resources/validation.py
+++ b/sloepond/resources/validation.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from sloepond.resources.declarations import Declared, declare
+from sloepond.resources.declarations import CheckedDeclaration, check_document
 from sloepond.resources.documents import Document
 from sloepond.resources.field_rules import check_fields
 from sloepond.resources.findings import Finding
@@ -35,7 +35,7 @@
 
 def validate_documents(documents: Sequence[Document]) -> ValidatedDocuments:
     """Check documents by themselves and against each other."""
-    declared: list[Declared] = [declare(document) for document in documents]
+    declared: list[CheckedDeclaration] = [check_document(document) for document in documents]
     findings = [finding for item in declared for finding in item.findings]
     declarations = [item.declaration for item in declared]
     for declaration in declarations:
