--- a/features/resources/checking.feature
+++ b/features/resources/checking.feature
@@ -1,6 +1,6 @@
-Feature: Declared resources are checked whole
+Feature: Validation of declared resources
 
-  Scenario Outline: The resources example of a city declares its places, services and targets
+  Scenario Outline: The resources example of a city declares its halls and back ends without findings
     When the resources in "examples/<city>" are loaded
     Then no resources finding is reported
     And the resources declare 3 halls, 7 back ends of "<first>" and 3 of "<second>"
@@ -10,7 +10,7 @@
       | accra    | playback | archive |
       | auckland | booking  | roster  |
 
-  Scenario: Every resources finding of a broken file is reported at once, with its place
+  Scenario: All resources findings of a broken file are reported at once, each with its position
     Given a resources file "broken.yaml" with the lines
       """
       apiVersion: sloepond/v1
@@ -62,7 +62,7 @@
       | 25   | 5        | spec.region    | written twice  |
       | 28   | 0        |                | not YAML       |
 
-  Scenario: Resources findings of several files and missing files are reported together
+  Scenario: Resources findings of several files and of missing files are reported together
     Given a resources file "one.json" with the lines
       """
       {"resources": [{"kind": "Region", "apiVersion": "sloepond/v1", "metadata": {"name": 3}}]}
@@ -74,7 +74,7 @@
     When those resources files and the missing file "three.yaml" are loaded
     Then a resources finding is reported for each of "one.json, two.json, three.yaml"
 
-  Scenario Outline: A resources service that no flow can reach is refused
+  Scenario Outline: A resources service that no flow can reach is a finding
     Given the resources of the city accra
     When in the resources each "<kind>" of "archive" gets "<field>" <value>
     Then the resources findings are "<reason>"
@@ -82,12 +82,12 @@
     Examples:
       | kind    | field     | value                | reason                                                                      |
       | Service | permitted | []                   | unreachable: no place is permitted                                          |
-      | Service | denied    | [{"region":"ghana"}] | unreachable: no back end stands in a permitted place                        |
-      | Backend | hall      | "labone"             | unreachable: no back end stands in a permitted place                        |
+      | Service | denied    | [{"region":"ghana"}] | unreachable: no back end is in a permitted place                        |
+      | Backend | hall      | "labone"             | unreachable: no back end is in a permitted place                        |
       | Backend | state     | "draining"           | unreachable: every back end in a permitted place is draining or has weight 0 |
       | Backend | weight    | 0                    | unreachable: every back end in a permitted place is draining or has weight 0 |
 
-  Scenario Outline: A resources selector that can match nothing is refused
+  Scenario Outline: A resources selector that matches no place is a finding
     Given the resources of the city accra
     When in the resources each "Service" of "playback" gets "denied" <value>
     Then the resources findings are "<reason>"
@@ -98,28 +98,28 @@
       | [{"zone":"lome","hall":"osu"}]         | selects no place: the hall is in zone 'accra'      |
       | [{"region":"togo","hall":"osu"}]       | selects no place: the zone is in region 'ghana'    |
 
-  Scenario: Resources stay reachable exactly where a permitted place has a back end that takes flows
-    Then for any resources places, states and weights the check agrees with a search of all pairs
+  Scenario: A resources service is reachable exactly if a permitted place has a back end that accepts flows
+    Then for any resources places, states and weights validation agrees with a search of all pairs
 
-  Scenario: Resources faults do not hide each other
-    Then for any choice of independent resources faults each one is reported at its field
+  Scenario: Resources errors do not suppress each other
+    Then for any set of independent resources errors each one is reported at its field
 
-  Scenario: A changed set of resources yields findings or a snapshot that compiles
-    Then for any mutation of valid resources the check ends with findings or a sound snapshot
+  Scenario: A mutated set of resources yields findings or a snapshot that compiles
+    Then for any mutation of valid resources validation returns findings or a snapshot that compiles
 
-  Scenario: Any text is read as resources without a failure
-    Then for any resources text in YAML or JSON reading ends with documents or findings
+  Scenario: Parsing any text as resources raises no exception
+    Then for any resources text in YAML or JSON parsing returns documents or findings
 
-  Scenario: Resources written as YAML or JSON are read back unchanged
+  Scenario: Resources written as YAML or JSON are parsed back unchanged
     Then for any order of valid resources both formats give the same snapshot
 
-  Scenario: Resources from elsewhere are checked as strictly as files
+  Scenario: Resources from other sources are validated as strictly as files
     Given the resources of the city accra
-    When a resources status is written by someone else
+    When a resources declaration contains a status
     Then the resources findings are "status is written by the system, never declared"
 
-  Scenario: Resources of the kind back end are right by themselves exactly where the full check says so
-    Then for any values of a back end the typed resources check agrees with the full one
+  Scenario: The fast resources check of a back end agrees with full validation
+    Then for any values of a back end the typed resources check agrees with full validation
 
-  Scenario: Resources indexes share what does not change and equal ones made from the start
+  Scenario: Edited resources indexes equal newly built ones
     Then for any edits the resources sequence and mapping equal a list and a dictionary
--- a/features/steps/resources_steps.py
+++ b/features/steps/resources_steps.py
@@ -1,4 +1,4 @@
-"""Steps about declared resources: reading, checking and their findings."""
+"""Steps for declared resources: loading, validation and findings."""
 
 from __future__ import annotations
 
@@ -29,11 +29,13 @@
 from sloepond.resources.validation import validate_snapshot, validate_values
 
 ROOT = Path(__file__).resolve().parents[2]
-CITY = [msgspec.to_builtins(resource) for resource in load_resources([ROOT / "examples" / "accra"]).resources]
+CITY_RESOURCES = [
+    msgspec.to_builtins(resource) for resource in load_resources([ROOT / "examples" / "accra"]).resources
+]
 TEXT = st.text(st.characters(), max_size=3) | st.just("long" * 1000)
-PLAIN = st.none() | st.booleans() | st.integers() | st.floats() | TEXT
-JUNK = st.recursive(
-    PLAIN, lambda inner: st.lists(inner, max_size=2) | st.dictionaries(TEXT, inner, max_size=2)
+SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | TEXT
+ARBITRARY_VALUES = st.recursive(
+    SCALARS, lambda inner: st.lists(inner, max_size=2) | st.dictionaries(TEXT, inner, max_size=2)
 )
 
 
@@ -51,12 +53,12 @@
 
 
 @then("no resources finding is reported")
-def no_findings(context):
+def has_no_findings(context):
     assert not context.loaded.findings, context.loaded.findings
 
 
 @then('the resources declare {halls:d} halls, {first:d} back ends of "{one}" and {second:d} of "{other}"')
-def example_sizes(context, halls, first, one, second, other):
+def declares_halls_and_backends(context, halls, first, one, second, other):
     resources = context.loaded.resources
     backends = [resource.spec for resource in resources if isinstance(resource, Backend)]
     services = [spec.service for spec in backends]
@@ -109,7 +111,7 @@
 @given("the resources of the city accra")
 def city_resources(context):
     context.values = [
-        *copy.deepcopy(CITY),
+        *copy.deepcopy(CITY_RESOURCES),
         document("Region", "togo"),
         document("Zone", "lome", region="togo"),
     ]
@@ -124,10 +126,13 @@
     context.findings = validate_values(context.values).findings
 
 
-@when("a resources status is written by someone else")
-def write_status(context):
+@when("a resources declaration contains a status")
+def declare_status(context):
     context.values[0]["status"] = {"generation": 7}
-    resources = [msgspec.convert(CITY[0] | {"status": {"generation": 7}}, Backend), *typed(CITY[1:])]
+    resources = [
+        msgspec.convert(CITY_RESOURCES[0] | {"status": {"generation": 7}}, Backend),
+        *typed(CITY_RESOURCES[1:]),
+    ]
     context.findings = validate_snapshot(resources)
 
 
@@ -140,8 +145,8 @@
     return validate_values(values).resources
 
 
-@then("for any resources places, states and weights the check agrees with a search of all pairs")
-def reach_agrees(context):
+@then("for any resources places, states and weights validation agrees with a search of all pairs")
+def reachability_agrees(context):
     places = st.lists(st.sampled_from(["a", "b", "c"]), max_size=3, unique=True)
     targets = st.tuples(st.sampled_from("abc"), st.sampled_from(["active", "draining"]), st.integers(0, 1))
 
@@ -171,7 +176,7 @@
 
 
 def set_field(kind: str, name: str, path: tuple, value: object):
-    """Return a fault: sets one field of one resource."""
+    """Return a function that sets one field of one resource to an invalid value."""
 
     def apply(values: list) -> tuple[str, str]:
         item = next(item for item in values if item["kind"] == kind and item["metadata"]["name"] == name)
@@ -183,7 +188,7 @@
     return apply
 
 
-FAULTS = [
+ERRORS = [
     set_field("Region", "ghana", ("extra",), 1),
     set_field("Zone", "accra", ("spec", "regoin"), "ghana"),
     set_field("Hall", "osu", ("metadata", "labels"), "none"),
@@ -202,13 +207,13 @@
 ]
 
 
-@then("for any choice of independent resources faults each one is reported at its field")
-def faults_together(context):
+@then("for any set of independent resources errors each one is reported at its field")
+def errors_are_all_reported(context):
     @property_settings(80)
-    @for_any(st.sets(st.sampled_from(range(len(FAULTS))), min_size=1))
+    @for_any(st.sets(st.sampled_from(range(len(ERRORS))), min_size=1))
     def check(chosen):
-        values = copy.deepcopy(CITY)
-        expected = {FAULTS[index](values) for index in chosen}
+        values = copy.deepcopy(CITY_RESOURCES)
+        expected = {ERRORS[index](values) for index in chosen}
         findings = validate_values(values).findings
         reported = {(finding.resource, finding.field) for finding in findings}
         assert reported == expected, reported ^ expected
@@ -217,7 +222,7 @@
 
 
 def mutate(draw, values: list) -> None:
-    """Replace, delete or add one thing at a drawn place of `values`."""
+    """Replace, delete or add one value at a drawn position in `values`."""
     container, key = values, draw(st.integers(0, len(values) - 1))
     while isinstance(container[key], dict | list) and container[key] and draw(st.integers(0, 3)):
         container = container[key]
@@ -229,19 +234,19 @@
     elif action == "swap":
         container[key] = copy.deepcopy(draw(st.sampled_from(values)))
     elif action == "add" and isinstance(container, dict):
-        container[draw(TEXT)] = draw(JUNK)
+        container[draw(TEXT)] = draw(ARBITRARY_VALUES)
     else:
-        container[key] = draw(JUNK)
+        container[key] = draw(ARBITRARY_VALUES)
 
 
-@then("for any mutation of valid resources the check ends with findings or a sound snapshot")
-def mutations(context):
+@then("for any mutation of valid resources validation returns findings or a snapshot that compiles")
+def mutations_are_handled(context):
     accepted = []
 
     @property_settings(200)
     @for_any(st.data())
     def check(data):
-        values = copy.deepcopy(CITY)
+        values = copy.deepcopy(CITY_RESOURCES)
         for _ in range(data.draw(st.integers(0, 3))):
             mutate(data.draw, values)
             values = values or [None]
@@ -264,8 +269,8 @@
     assert accepted
 
 
-@then("for any resources text in YAML or JSON reading ends with documents or findings")
-def any_text(context):
+@then("for any resources text in YAML or JSON parsing returns documents or findings")
+def any_text_is_parsed(context):
     pieces = st.sampled_from(
         ["kind: ", "- ", "---\n", "{", "}", "[", "]", "&a ", "*a", "!!int ", "? ", ": ", "\n"]
     )
@@ -282,8 +287,8 @@
 
     check()
     assert {(True, False), (False, True)} <= parsed_kinds
-    laughs = "a: &a [x, x]\nb: &b [*a, *a]\nc: [*b, *b]\n"
-    refused = ["[" * 50_000, "a: 2001-99-99", laughs, "[" * 20 + "]" * 20]
+    nested_aliases = "a: &a [x, x]\nb: &b [*a, *a]\nc: [*b, *b]\n"
+    refused = ["[" * 50_000, "a: 2001-99-99", nested_aliases, "[" * 20 + "]" * 20]
     for text in refused:
         assert parse_text(text, "x.yaml").findings, text[:20]
     assert parse_text(refused[0], "x.json").findings
@@ -291,10 +296,10 @@
 
 @then("for any order of valid resources both formats give the same snapshot")
 def round_trip(context):
-    expected = make_snapshot(1, list(typed(CITY))).digest
+    expected = make_snapshot(1, list(typed(CITY_RESOURCES))).digest
 
     @property_settings(20)
-    @for_any(st.permutations(CITY))
+    @for_any(st.permutations(CITY_RESOURCES))
     def check(values):
         texts = {
             "x.json": json.dumps(values),
@@ -313,7 +318,7 @@
     return st.integers(0, 5).flatmap(lambda number: others if number == 5 else st.just(value))
 
 
-@then("for any values of a back end the typed resources check agrees with the full one")
+@then("for any values of a back end the typed resources check agrees with full validation")
 def typed_check_agrees(context):
     octets = st.integers(0, 260).map(str) | st.sampled_from(["00", "01", "224", "240", "255"])
     ports = st.integers(0, 70_000).map(str) | st.sampled_from(["00", "080"])
@@ -337,7 +342,7 @@
     @property_settings(400)
     @for_any(st.builds(Backend, versions, names.map(Metadata), specs, statuses))
     def check(backend):
-        findings = validate_snapshot((*typed(CITY), backend))
+        findings = validate_snapshot((*typed(CITY_RESOURCES), backend))
         if any("is used by" in finding.reason for finding in findings):
             return
         assert has_valid_fields(backend) == (not findings), (backend, findings)
@@ -351,7 +356,7 @@
 
 
 def edge_addresses():
-    """Return addresses with any number in each place, and with ports about the limits."""
+    """Yield addresses with every number in each octet, and with ports around the limits."""
     ports = (0, 1, 9, 10, 99, 999, 9_999, 10_000, 59_999, 60_000, 65_535, 65_536, 99_999, 100_000)
     for number in (*map(str, range(300)), "00", "01", "001", "", "-1", "\u0661"):
         yield from (f"{number}.2.3.4:5", f"1.{number}.3.4:5", f"1.2.{number}.4:5", f"1.2.3.{number}:5")
@@ -359,9 +364,9 @@
 
 
 @then("for any edits the resources sequence and mapping equal a list and a dictionary")
-def shared_structures(context):
+def edited_structures_agree(context):
     counts = st.sampled_from((0, 1, 5, 400, 1_200))
-    numbers = st.builds(spaced, st.integers(0, 2_000), counts, st.integers(1, 5))
+    numbers = st.builds(spaced_range, st.integers(0, 2_000), counts, st.integers(1, 5))
     edits = st.lists(st.tuples(numbers, numbers), min_size=1, max_size=4)
 
     @property_settings(100)
@@ -383,7 +388,7 @@
     check()
 
 
-def spaced(start, count, step):
+def spaced_range(start, count, step):
     return range(start, start + count * step, step)
 
 
--- a/sloepond/resources/addresses.py
+++ b/sloepond/resources/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses written as `ip:port`, checked for their one canonical form.
+"""Validation and canonical form of addresses written as `ip:port`.
 
-One address has one spelling, so that two resources with the same address are found by
-comparing text.  Names are never resolved.  Holds no state.
+Each address has exactly one valid spelling, so two resources with the same address are found
+by comparing text.  Host names are never resolved.  Holds no state.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 MINIMUM_PORT = 1
 MAXIMUM_PORT = 65_535
-"""Ports of UDP; 0 asks for a free one and can be nobody's address."""
+"""UDP ports; 0 means "any free port" and is no valid address."""
 
 
 class AddressFailure(Sentinel):
-    """A fixed value that says why an address was refused."""
+    """A constant that states why an address was refused."""
 
     @property
     def reason(self) -> str:
@@ -31,10 +31,10 @@
 
 
 def canonical_address(text: str) -> str | AddressFailure:
-    """Return the one canonical form of an address.
+    """Return the canonical form of an address.
 
     :param text: `127.0.0.1:7000` or `[::1]:7000`.
-    :returns: the address as it must be written, or why `text` is none.
+    :returns: the address as it must be written, or why `text` is not an address.
     """
     host, separator, port_text = text.rpartition(":")
     if not separator or not host:
--- a/sloepond/resources/compiled.py
+++ b/sloepond/resources/compiled.py
@@ -1,11 +1,11 @@
-"""A configuration snapshot, indexed for the data path.
+"""A configuration generation, indexed for the data path.
 
-`CompiledConfiguration` answers, without any parsing, which back ends a service
+`CompiledConfiguration` answers without any parsing which back ends a service
 has, and which of them its place rules permit.
 
 Owns the indexes of one generation.  Relies on `resources.content` for its resources, on
-`resources.compiled_items` for the one place filter, and on `resources.index_update` for what
-a change touches.
+`resources.compiled_items` for the place filter, and on `resources.index_update` for
+incremental updates.
 """
 
 from __future__ import annotations
@@ -44,17 +44,17 @@
 from sloepond.resources.slices import Slices, blocks, run_to_completion
 
 MAXIMUM_INCREMENTAL_CHANGES = 1_000
-"""Changed resources above which a configuration is compiled from the start."""
+"""Changed resources above which the whole configuration is compiled again."""
 INDEXED_BACKENDS_PER_UNIT = 2
-"""Back ends put into the indexes for about the cost of compiling one."""
+"""Back ends that can be indexed for about the cost of compiling one."""
 _PLACE_KINDS = frozenset((Kind.REGION.value, Kind.ZONE.value, Kind.HALL.value))
 
 
 class CompiledConfiguration:
-    """Index of one generation.
+    """Indexes of one generation.
 
     :ivar content: all resources.
-    :ivar generation: 0 where nothing is in force yet.
+    :ivar generation: 0 if no generation is in force yet.
     :ivar services_by_address: virtual address `ip:port` -> service.
     :ivar backends_by_name: name -> back end, of all services.
     :ivar backends_by_address: data address `ip:port` -> back end.
@@ -77,7 +77,7 @@
 
     @classmethod
     def compile_slices(cls, content: GenerationContent) -> Slices[CompiledConfiguration]:
-        """Compile a generation from the start, in slices."""
+        """Compile a whole generation, in slices."""
         result = cls.__new__(cls)
         result._set_content(content)
         yield from result._compile()
@@ -90,7 +90,7 @@
 
     @property
     def snapshot(self) -> ConfigurationSnapshot:
-        """Return the generation as a snapshot, made anew at each call."""
+        """Return the generation as a snapshot; each call builds a new one."""
         return ConfigurationSnapshot(self.generation, self.digest, tuple(self.content.resources))
 
     def _compile(self) -> Slices[None]:
@@ -130,7 +130,7 @@
 
     @property
     def locations(self) -> Mapping[str, Location]:
-        """Return the location of each hall that has one, by its name."""
+        """Return the location of each hall that has one, by the name of the hall."""
         return self._locations
 
     def updated_to_slices(
@@ -139,8 +139,12 @@
         changed: Sequence[Resource],
         removed: Sequence[ResourceKey],
     ) -> Slices[CompiledConfiguration]:
-        """Compile what `updated_content_slices` made from this configuration, in slices.
+        """Compile content that `updated_content_slices` derived from this configuration, in slices.
 
+        Up to `MAXIMUM_INCREMENTAL_CHANGES`, only the indexes that the change affects are rebuilt.
+
+        :param changed: resources that are new or differ.
+        :param removed: keys of the removed resources.
         :raises KeyError: if a back end names a hall that is not declared.
         """
         if len(changed) + len(removed) > MAXIMUM_INCREMENTAL_CHANGES or not self._can_update(
@@ -160,10 +164,10 @@
         return result
 
     def _can_update(self, changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
-        """Return whether the indexes name all that a change may concern.
+        """Return whether the indexes hold every back end that a change may affect.
 
-        Back ends of a service that is not declared are in no index, so where
-        there are some, a change of services compiles all from the start.
+        Back ends of a service that is not declared are in no index.  If there are
+        any, a change of services requires a full compilation.
         """
         if changes_only_backends(changed, removed):
             return True
@@ -187,4 +191,4 @@
 
 
 EMPTY_CONFIGURATION = CompiledConfiguration(make_snapshot(0, []))
-"""What is in force before any generation has been read."""
+"""The configuration in force before any generation has been read."""
--- a/sloepond/resources/compiled_items.py
+++ b/sloepond/resources/compiled_items.py
@@ -1,7 +1,7 @@
-"""The parts of a compiled configuration: services and back ends with their places.
+"""The parts of a compiled configuration: services and back ends with their locations.
 
-`is_place_permitted` is the one place filter of the system; every path that picks
-a back end goes through it.
+`is_place_permitted` is the only place filter of the system; every selection of a
+back end applies its result.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class CompiledBackend(msgspec.Struct, frozen=True, gc=False):
-    """One back end of a service, with its place resolved."""
+    """One back end of a service, with its location resolved."""
 
     name: str
     service: str
@@ -22,13 +22,13 @@
     weight: int
     state: BackendState
     permitted: bool
-    """Whether the service's place rules permit this back end's place."""
+    """Whether the service's place rules permit this back end's location."""
 
     @property
     def accepts_new_flows(self) -> bool:
-        """Whether declared state and place let this back end take new flows."""
-        may_take = self.permitted and not self.location.evacuated
-        return may_take and self.state is BackendState.ACTIVE and self.weight > 0
+        """Whether the declared state and location allow new flows on this back end."""
+        may_accept = self.permitted and not self.location.evacuated
+        return may_accept and self.state is BackendState.ACTIVE and self.weight > 0
 
 
 class CompiledService(msgspec.Struct, frozen=True, gc=False):
@@ -39,13 +39,13 @@
     spec: ServiceSpec
     backends: tuple[CompiledBackend, ...]
     eligible_backends: tuple[CompiledBackend, ...]
-    """Back ends that may take new flows: permitted, active, weight above 0."""
+    """Back ends that accept new flows: permitted, not evacuated, active, weight above 0."""
 
 
 def compile_backend(
     service: ServiceSpec, backend: Backend, locations: dict[str, Location]
 ) -> CompiledBackend:
-    """Return a back end with its place resolved and judged.
+    """Return a back end with its location resolved and checked against the place rules.
 
     :raises KeyError: if its hall has no location.
     """
@@ -63,7 +63,7 @@
 
 
 def is_place_permitted(service: ServiceSpec, location: Location) -> bool:
-    """Return whether traffic of `service` may go to `location`; denied wins."""
+    """Return whether traffic of `service` may go to `location`; denied places win over permitted ones."""
     if any(selector.matches(location) for selector in service.denied):
         return False
     return any(selector.matches(location) for selector in service.permitted)
@@ -72,7 +72,7 @@
 def relocated_backend(
     service: ServiceSpec, backend: CompiledBackend, locations: dict[str, Location]
 ) -> CompiledBackend:
-    """Return a back end after a change of its service or of places; the same one if nothing differs.
+    """Return a back end after a change of its service or of locations; the same object if it is equal.
 
     :raises KeyError: if its hall has no location any more.
     """
@@ -92,6 +92,6 @@
     """Return a service with its back ends.
 
     :param backends: sorted by name.
-    :param eligible_backends: those that take new flows, sorted by name.
+    :param eligible_backends: those that accept new flows, sorted by name.
     """
     return CompiledService(name, spec.address, spec, backends, eligible_backends)
--- a/sloepond/resources/content.py
+++ b/sloepond/resources/content.py
@@ -1,7 +1,7 @@
 """All resources of one generation, sorted by kind and name.
 
-Owns the order of resources and what is found by it.  Relies on `resources.digest` for the
-digest of a set and on `resources.sorted_items` for sets that are cheap to change.
+Owns the order of resources and lookups that use it.  Relies on `resources.digest` for the
+digest of a set and on `resources.sorted_items` for sequences that are cheap to change.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class GenerationContent(msgspec.Struct, frozen=True):
-    """All resources of one generation, in a form that is cheap to change."""
+    """All resources of one generation, in a form that is cheap to update."""
 
     generation: int
     digest: str
@@ -39,24 +39,24 @@
 
 
 def changes_only_backends(changed: Sequence[Resource], removed: Sequence[ResourceKey]) -> bool:
-    """Return whether a change concerns back ends alone."""
+    """Return whether a change affects back ends only."""
     return all(isinstance(resource, Backend) for resource in changed) and all(
         key.kind == _BACKEND_KIND for key in removed
     )
 
 
 def backend_count(resources: Sequence[Resource]) -> int:
-    """Return how many back ends are among resources sorted by key; these come first."""
+    """Return the number of back ends among resources sorted by key; back ends sort first."""
     return bisect.bisect_left(resources, _AFTER_BACKENDS, key=resource_key)
 
 
 def without_backends(resources: Sequence[Resource]) -> tuple[Resource, ...]:
-    """Return all other kinds among resources sorted by key."""
+    """Return the resources of all other kinds, from resources sorted by key."""
     return tuple(resources[backend_count(resources) :])
 
 
 def resource_key(resource: Resource) -> ResourceKey:
-    """Return the identity of a resource, which is its sort key as well."""
+    """Return the identity of a resource, which is also its sort key."""
     return ResourceKey(type(resource).__name__, resource.metadata.name)
 
 
@@ -70,7 +70,7 @@
 
 
 def content_of(snapshot: ConfigurationSnapshot) -> GenerationContent:
-    """Return a snapshot, whose resources are sorted, in a form that is cheap to change."""
+    """Return the content of a snapshot, whose resources must be sorted."""
     resources: SortedItems[Resource] = SortedItems(snapshot.resources, resource_key)
     return GenerationContent(snapshot.generation, snapshot.digest, resources)
 
@@ -81,10 +81,10 @@
     changed: Sequence[Resource],
     removed: Sequence[ResourceKey],
 ) -> Slices[GenerationContent]:
-    """Return the resources after a change, in slices; only what changed is hashed.
+    """Return the content after a change, in slices; only changed resources are hashed.
 
-    :param changed: resources that are new or differ; at most one of a key.
-    :param removed: keys of resources that are gone; unknown ones are ignored.
+    :param changed: resources that are new or differ; at most one for each key.
+    :param removed: keys of removed resources; unknown ones are ignored.
     """
     former: list[Resource] = []
     if base.resources:
@@ -98,7 +98,7 @@
 
 
 def find_resource(resources: Sequence[Resource], key: ResourceKey) -> Resource | None:
-    """Return the resource of a key among resources sorted by key, None if there is none."""
+    """Return the resource with a key among resources sorted by key; None if there is none."""
     position = bisect.bisect_left(resources, key, key=resource_key)
     if position < len(resources) and resource_key(resources[position]) == key:
         return resources[position]
--- a/sloepond/resources/declarations.py
+++ b/sloepond/resources/declarations.py
@@ -1,8 +1,8 @@
-"""Documents checked against the typed resources, field by field.
+"""Checks documents against the resource types, field by field.
 
 `msgspec` stops at the first error of a document.  Here each field is converted
-on its own, so that all errors of a document are found together, and the fields
-without error can still be checked against other documents.
+on its own, so that all errors of a document are reported together, and the valid
+fields can still be checked against other documents.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 
 
 class Declaration(msgspec.Struct, frozen=True):
-    """One document, as far as it could be understood.
+    """The valid parts of one document.
 
-    :ivar kind: None where the document names no known kind.
-    :ivar fields: the values that have the right type, by their paths.
-    :ivar resource: the typed resource, None where anything in it is wrong.
+    :ivar kind: None if the document names no known kind.
+    :ivar fields: the values that have the right type, by path.
+    :ivar resource: the typed resource; None if the document has any finding.
     """
 
     document: Document
@@ -55,7 +55,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the resource; empty where it has none."""
+        """Name of the resource; empty if it has none."""
         return self.text(NAME_PATH)
 
     @property
@@ -64,7 +64,7 @@
         return _label(self.kind, self.name)
 
     def text(self, path: FieldPath) -> str:
-        """Return the text at `path`; empty where there is none of the right type."""
+        """Return the text at `path`; empty if there is no text."""
         value = self.fields.get(path)
         return value if isinstance(value, str) else ""
 
@@ -81,7 +81,7 @@
 
 
 def check_document(document: Document) -> CheckedDeclaration:
-    """Check one document against the type of its kind."""
+    """Check one document against the resource type of its kind."""
     return _DocumentReader(document).read()
 
 
@@ -96,7 +96,7 @@
         self._findings: list[Finding] = []
 
     def read(self) -> CheckedDeclaration:
-        """Return all that could be understood, and all that could not."""
+        """Return the valid fields and the findings."""
         value = self._document.value
         if isinstance(value, dict):
             self._read_resource(value)
--- a/sloepond/resources/digest.py
+++ b/sloepond/resources/digest.py
@@ -1,10 +1,10 @@
-"""Digest of a set of resources that can be kept up to date one by one.
+"""Incremental digest of a set of resources.
 
 The digest is the sum, modulo 2**128, of a 128-bit BLAKE2b hash of each resource.
-A changed resource is taken off and added again, so that the cost of a change
-does not grow with the number of resources.  A sum finds differences that come
-by accident; it does not withstand someone who chooses many resources on purpose,
-which is what the authentication of peers is for.
+A changed resource is subtracted and added again, so the cost of a change does
+not grow with the number of resources.  The sum detects accidental differences.
+It is not collision-resistant: an attacker who chooses many resources can make two
+sets collide.  Authentication of peers protects against that.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sloepond.resources.slices import Slices, blocks
 
 DIGEST_BYTES = 16
-"""Bytes of a digest: two sets of resources share one by accident with a chance of 2**-128."""
+"""Size of a digest; two different sets have the same one by accident with probability 2**-128."""
 _MODULUS = 2 ** (8 * DIGEST_BYTES)
 _ENCODER = msgspec.msgpack.Encoder(order="deterministic")
 
@@ -30,16 +30,18 @@
 
 
 def digest_of(resources: Iterable[Resource]) -> str:
-    """Return the digest of a set of resources, in any order, as hexadecimal."""
+    """Return the digest of a set of resources, in any order, as hexadecimal text."""
     return _digest_text(sum(map(resource_hash, resources)))
 
 
 def updated_digest_slices(digest: str, added: Iterable[Resource], removed: Iterable[Resource]) -> Slices[str]:
-    """Return the digest after taking resources off and adding others, in slices.
+    """Return the digest after removing resources and adding others, in slices.
 
-    :param digest: digest of the set before, as `digest_of` gave it.
-    :param added: resources as they are now.
-    :param removed: the same or other resources as they were before.
+    A changed resource is in both: its former value in `removed`, its new value in `added`.
+
+    :param digest: digest of the set before the change, as returned by `digest_of`.
+    :param added: new values of resources.
+    :param removed: former values of resources.
     """
     total = int(digest, 16)
     for block in blocks(added):
--- a/sloepond/resources/documents.py
+++ b/sloepond/resources/documents.py
@@ -1,7 +1,7 @@
-"""YAML and JSON text as plain values, with the line of each field.
+"""Parses YAML and JSON text into plain values, with the line of each field.
 
-Text is taken apart without raising: what cannot be read becomes a finding, and
-the documents before it are still returned.
+Parsing does not raise: a syntax error becomes a finding, and the documents before
+it are still returned.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from sloepond.resources.findings import FieldPath, Finding, format_path, plain_text
 
 MAXIMUM_DEPTH = 16
-"""Deepest nesting of a document; no resource needs more than 6 levels."""
+"""Nesting levels of a document; no resource needs more than 6."""
 
 MAXIMUM_TEXT_CHARACTERS = 32 * 1024 * 1024
-"""Largest text taken, in characters."""
+"""Size limit of a text; a larger one is refused."""
 
 JSON_SUFFIX = ".json"
 RESOURCES_FIELD = "resources"
@@ -28,9 +28,9 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """One document, not yet checked.
+    """One parsed document, before validation.
 
-    :ivar file: file (or other source) it came from.
+    :ivar file: file (or other source) of the document.
     :ivar index: its index in the file, from 1.
     :ivar value: plain value (mappings, lists, strings, numbers, ...).
     :ivar lines: line of each field, from 1; empty for JSON.
@@ -53,7 +53,7 @@
         )
 
     def line(self, path: FieldPath) -> int:
-        """Return the line of the field at `path`, or of the nearest field around it."""
+        """Return the line of the field at `path`, or of the nearest enclosing field; 0 if unknown."""
         for length in range(len(path), -1, -1):
             line = self.lines.get(path[:length])
             if line is not None:
@@ -62,16 +62,16 @@
 
 
 class ParsedText(msgspec.Struct, frozen=True):
-    """The documents of one text, and what could not be read of it."""
+    """The documents of one text, and findings about the parts that could not be parsed."""
 
     documents: tuple[Document, ...]
     findings: tuple[Finding, ...]
 
 
 def parse_text(text: str, file: str) -> ParsedText:
-    """Take a text apart into documents.
+    """Parse a text into documents.
 
-    :param file: name put into findings; JSON is expected where it ends in `.json`.
+    :param file: name shown in findings; the text is parsed as JSON if it ends in `.json`, else as YAML.
     """
     if len(text) > MAXIMUM_TEXT_CHARACTERS:
         reason = f"larger than {MAXIMUM_TEXT_CHARACTERS} characters"
@@ -82,7 +82,7 @@
 
 
 def _parse_json(text: str, file: str) -> ParsedText:
-    """Read one resource, a list of them, or an object with a list `resources`."""
+    """Parse one resource, a list of resources, or an object with a list `resources`."""
     try:
         value = json.loads(text)
     except json.JSONDecodeError as error:
@@ -97,7 +97,7 @@
 
 
 class _YamlReader:
-    """Reads the documents of one YAML text."""
+    """Parses the documents of one YAML text."""
 
     def __init__(self, text: str, file: str) -> None:
         self._text = text
@@ -135,7 +135,7 @@
 
 
 class _NodeReader:
-    """Turns the nodes of one document into plain values, noting lines."""
+    """Converts the nodes of one document into plain values and records their lines."""
 
     def __init__(self, file: str, index: int) -> None:
         self._file = file
@@ -146,7 +146,7 @@
         self.findings: list[Finding] = []
 
     def read(self, node: yaml.Node, path: FieldPath) -> object:
-        """Return the plain value of `node`, which stands at `path`."""
+        """Return the plain value of `node`, which is at `path`."""
         self.lines.setdefault(path, node.start_mark.line + 1)
         if id(node) in self._nodes_read:
             self._add_finding(path, node, "aliases are not supported")
--- a/sloepond/resources/field_rules.py
+++ b/sloepond/resources/field_rules.py
@@ -1,7 +1,7 @@
-"""Rules about single fields: names, addresses and ranges of numbers.
+"""Validation rules for single fields: names, addresses and number ranges.
 
-Owns the ranges that a declared number must lie in; relies on a `Declaration` whose types have
-been checked.
+Owns the ranges of the declared numbers.  Relies on a `Declaration` whose field types have been
+checked.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from sloepond.resources.model import Kind
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([-a-z0-9]{0,61}[a-z0-9])?")
-"""Lower-case letters, digits and inner hyphens; 63 characters at most."""
+"""Lower-case letters, digits and inner hyphens; at most 63 characters."""
 
 ADDRESS_PATH: FieldPath = ("spec", "address")
 ADDRESSED_KINDS = (Kind.SERVICE, Kind.BACKEND)
 
 
 class Range(msgspec.Struct, frozen=True):
-    """Smallest and largest number a field may have."""
+    """Inclusive limits of a number."""
 
     minimum: int
     maximum: int
@@ -43,11 +43,11 @@
         ("spec", "weight"): Range(0, 10_000),
     },
 }
-"""Ranges by kind and field; times in the unit of the field's name."""
+"""Ranges by kind and field; durations are in the unit that the field's name ends with."""
 
 
 def check_fields(declaration: Declaration) -> Iterator[Finding]:
-    """Return the findings about the single fields of one declaration."""
+    """Yield the findings about single fields of one declaration."""
     yield from _check_name(declaration)
     yield from _check_address(declaration)
     yield from _check_ranges(declaration)
--- a/sloepond/resources/findings.py
+++ b/sloepond/resources/findings.py
@@ -1,6 +1,6 @@
-"""Findings: what is wrong with declared resources, and where.
+"""Findings: validation errors of declared resources, with their position.
 
-Findings are collected over all files and reported together; nothing is raised.
+Findings of all files are collected and reported together; nothing is raised.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 import msgspec
 
 FieldPath = tuple[str | int, ...]
-"""Keys and list indexes from the root of a document to a field."""
+"""Keys and list indexes that lead from the root of a document to a field."""
 
 MAXIMUM_SHOWN_CHARACTERS = 100
-"""Longest part of a document shown in a finding, in characters."""
+"""Characters of a document's text that a finding quotes."""
 
 
 class Finding(msgspec.Struct, frozen=True, order=True, omit_defaults=True):
-    """One reason why a set of resources is refused.
+    """One reason for refusing a set of resources.
 
     :ivar file: file (or other source) of the document.
     :ivar document: index of the document in the file, from 1; 0 where the
         finding is about the whole file.
-    :ivar line: line in the file, from 1; 0 where it is not known.
+    :ivar line: line in the file, from 1; 0 if unknown.
     :ivar field: path of the field, as in `spec.permitted[0].hall`; may be empty.
     :ivar reason: what is wrong, as one line of text.
-    :ivar resource: kind and name, as in `Backend/roster-1`, where they are known.
+    :ivar resource: kind and name, as in `Backend/roster-1`; empty if unknown.
     """
 
     file: str
@@ -60,13 +60,13 @@
 
 
 def plain_text(text: str) -> str:
-    """Return `text` from a document as it may stand in a finding: short and printable."""
+    """Return `text` from a document unchanged if it is short and printable, else quoted and shortened."""
     is_plain = text.isprintable() and len(text) <= MAXIMUM_SHOWN_CHARACTERS
     return text if is_plain else show_value(text)
 
 
 def show_value(value: object) -> str:
-    """Return a value from a document as it may stand in a finding: quoted, short and printable."""
+    """Return a value from a document as a finding shows it: quoted, shortened and printable."""
     return _SHORT_REPR.repr(value)
 
 
--- a/sloepond/resources/index_update.py
+++ b/sloepond/resources/index_update.py
@@ -1,7 +1,7 @@
-"""Changes of a few resources applied to the indexes of a configuration.
+"""Incremental update of the indexes of a configuration.
 
-Owns the new services while a change is worked out; the indexes it starts from stay as they
-are.  Relies on `resources.compiled_items` to compile what changed.
+Owns the services under construction; the indexes that it starts from are not modified.
+Relies on `resources.compiled_items` to compile changed resources.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from sloepond.resources.slices import Slices, blocks
 
 SCANNED_BACKENDS_PER_UNIT = 8
-"""Back ends whose hall is looked up for about the cost of compiling one."""
+"""Back ends whose hall can be looked up for about the cost of compiling one."""
 COPIED_BACKENDS_PER_UNIT = 32
-"""Back ends copied into a new tuple for about the cost of compiling one."""
+"""Back ends that can be copied into a new tuple for about the cost of compiling one."""
 
 
 class RemovedNames(msgspec.Struct, frozen=True):
-    """Names of resources that are gone."""
+    """Names of removed back ends and services."""
 
     backends: tuple[str, ...]
     services: tuple[str, ...]
@@ -46,13 +46,13 @@
 class IndexUpdate:
     """The services after a change, and the back ends that differ.
 
-    Only the services that a change concerns are touched; all others, and the
-    back ends that do not differ, stay the same objects.
+    Only the services that the change affects are rebuilt; all others, and the
+    back ends that do not differ, remain the same objects.
 
     :ivar services: all services after the change, by name.
-    :ivar names: back ends that were added, changed or removed.
-    :ivar removed_backends: their former states.
-    :ivar added_backends: their present states.
+    :ivar changed_names: names of the back ends that were added, changed or removed.
+    :ivar removed_backends: former versions of these back ends.
+    :ivar added_backends: new versions of these back ends.
     """
 
     def __init__(
@@ -75,15 +75,15 @@
     ) -> Slices[None]:
         """Apply a change.
 
-        :param changed: resources that are new or differ; at most one of a key.
+        :param changed: resources that are new or differ; at most one for each key.
         :param locations: location of each hall after the change.
-        :raises KeyError: if a back end names a hall without location.
+        :raises KeyError: if a back end names a hall without a location.
         """
         self._locations = locations
         specs = {item.metadata.name: item.spec for item in changed if isinstance(item, Service)}
-        touched = [item.metadata.name for item in changed if isinstance(item, Backend)]
-        touched.extend(removed.backends)
-        self.changed_names.update(dict.fromkeys(touched))
+        backend_names = [item.metadata.name for item in changed if isinstance(item, Backend)]
+        backend_names.extend(removed.backends)
+        self.changed_names.update(dict.fromkeys(backend_names))
         self.removed_backends.extend(
             self._backends[name] for name in self.changed_names if name in self._backends
         )
@@ -102,7 +102,7 @@
     def _compile_backends(
         self, changed: Sequence[Resource], specs: dict[str, ServiceSpec], removed: RemovedNames
     ) -> None:
-        """Compile changed back ends whose service is declared; the others have no effect."""
+        """Compile changed back ends; those whose service is not declared are skipped."""
         for resource in changed:
             if not isinstance(resource, Backend) or resource.spec.service in removed.services:
                 continue
@@ -111,7 +111,7 @@
                 self.added_backends.append(compile_backend(spec, resource, self._locations))
 
     def _moved_services(self) -> Slices[set[str]]:
-        """Return the services with a back end in a hall whose location differs."""
+        """Return the services with a back end in a hall whose location has changed."""
         before, after = self._former_locations, self._locations
         moved = {hall for hall in before if after.get(hall) != before[hall]} if before is not after else set()
         services: set[str] = set()
@@ -131,7 +131,12 @@
         removed_backends: list[CompiledBackend],
         added_backends: list[CompiledBackend],
     ) -> Slices[None]:
-        """Replace one service; `removed_backends` and `added_backends` are its back ends that differ."""
+        """Rebuild one service.
+
+        :param spec: None if the service is removed.
+        :param removed_backends: former versions of its back ends that differ.
+        :param added_backends: new versions of its back ends that differ.
+        """
         former = self._former_services.get(name)
         kept = former.backends if former else ()
         if spec is None:
@@ -161,7 +166,7 @@
     def _relocate_backends(
         self, spec: ServiceSpec, backends: tuple[CompiledBackend, ...]
     ) -> Slices[tuple[CompiledBackend, ...]]:
-        """Judge the places of back ends anew, but of those that changed by themselves."""
+        """Update locations and place permissions, except of back ends that are already compiled."""
         result: list[CompiledBackend] = []
         is_same = True
         for block in blocks(backends):
--- a/sloepond/resources/layered.py
+++ b/sloepond/resources/layered.py
@@ -1,8 +1,8 @@
-"""A mapping whose changed copy shares all that did not change.
+"""An immutable mapping whose edited copies share unchanged entries.
 
 Copying a dictionary of 120 000 entries for one change costs milliseconds.  Here
-a changed copy has the same base and a small layer of its own; once the layer is
-large, both are merged, which spreads the cost over many changes.
+an edited copy refers to the same base and has a small layer of changes.  Once the
+layer is large, both are merged, which spreads the cost over many changes.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 Value = TypeVar("Value")
 
 MAXIMUM_LAYER_ENTRIES = 1_000
-"""Entries of a layer above which it is merged with the base."""
+"""Entries of a layer; a larger one is merged with the base."""
 
 
 class LayeredMapping(Mapping[Key, Value]):
-    """A read-only mapping: a base, changed entries, and keys that are gone.
+    """A read-only mapping: a base, changed entries, and removed keys.
 
-    :param base: never changed after it was given.
+    :param base: must not be modified afterwards.
     """
 
     __slots__ = ("_base", "_changed", "_length", "_removed")
@@ -53,10 +53,10 @@
         return self._length
 
     def edited(self, removed: Iterable[Key], added: Mapping[Key, Value]) -> LayeredMapping[Key, Value]:
-        """Return a copy without some keys and with other entries put in.
+        """Return a copy with some keys removed and some entries added or replaced.
 
-        :param removed: keys to take out; unknown ones are ignored.
-        :param added: entries to put in; they win over `removed`.
+        :param removed: keys to remove; unknown ones are ignored.
+        :param added: entries to add; a key in both is kept with its added value.
         """
         changed = self._changed.copy()
         removed_keys = set(self._removed)
--- a/sloepond/resources/loading.py
+++ b/sloepond/resources/loading.py
@@ -1,7 +1,7 @@
-"""Reading resources from files and directories, with all findings together.
+"""Loads resources from files and directories and collects all findings.
 
-What cannot be read is a finding beside those about the content, so that an operator sees all
-that is wrong at once.  Relies on `resources.documents` for the text and on
+An unreadable file is reported as a finding together with those about the content, so an
+operator sees every error at once.  Relies on `resources.documents` for parsing and on
 `resources.validation` for the checks.
 """
 
@@ -24,8 +24,8 @@
 class LoadedResources(msgspec.Struct, frozen=True):
     """Resources read from files.
 
-    :ivar resources: to be used only where `findings` is empty.
-    :ivar findings: everything wrong in all files, sorted by place.
+    :ivar resources: to be used only if `findings` is empty.
+    :ivar findings: findings of all files, sorted by position.
     """
 
     resources: tuple[Resource, ...]
@@ -33,16 +33,16 @@
 
 
 class _FileList(msgspec.Struct):
-    """Files to read, in order, and the paths that lead to none."""
+    """Files to read, in order, and findings about paths without any."""
 
     files: list[Path]
     findings: list[Finding]
 
 
 def load_resources(paths: Sequence[str | Path]) -> LoadedResources:
-    """Read files (YAML or JSON, many documents each) or directories of them.
+    """Load files (YAML or JSON, with any number of documents) or directories of them.
 
-    Directories are read with all below them, in the order of their names.
+    Directories are searched recursively; their files are read in the order of their paths.
     """
     listed = _list_files(paths)
     findings = listed.findings
@@ -77,7 +77,7 @@
 
 
 def _is_directory(path: Path) -> bool:
-    """Return whether `path` is a directory; what cannot be told is found when it is read."""
+    """Return whether `path` is a directory; False on errors, which then occur again when it is read."""
     try:
         return path.is_dir()
     except OSError:
@@ -85,7 +85,7 @@
 
 
 def _read_text(file: Path) -> str | Finding:
-    """Read a file, but not without end: one character above the limit is enough to refuse it."""
+    """Read a file up to one character above the limit, which is enough for the parser to refuse it."""
     try:
         with file.open(encoding="utf-8") as stream:
             return stream.read(MAXIMUM_TEXT_CHARACTERS + 1)
--- a/sloepond/resources/locations.py
+++ b/sloepond/resources/locations.py
@@ -1,6 +1,6 @@
-"""Where each hall stands.
+"""Location of each hall: its zone and region.
 
-Relies on the resources alone; places that are not declared are left to validation.
+Relies on the resources alone; validation reports undeclared zones and regions.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 
 def resolve_locations(resources: Sequence[Resource]) -> dict[str, Location]:
-    """Return the location of each hall by its name.
+    """Return the location of each hall, by the name of the hall.
 
-    Halls whose zone is not declared are left out; validation reports them.
+    Halls whose zone is not declared are omitted.
     """
     zones = {resource.metadata.name: resource.spec for resource in resources if isinstance(resource, Zone)}
     locations: dict[str, Location] = {}
--- a/sloepond/resources/model.py
+++ b/sloepond/resources/model.py
@@ -1,11 +1,11 @@
 """Declared state as typed, versioned resources.
 
 Operators keep these documents in version control.  A set of them with one
-generation number is a `ConfigurationSnapshot`: it is taken as a whole or not at
-all.  Nothing here reads files; parsing and validation live beside this module.
+generation number is a `ConfigurationSnapshot`, which is applied completely or not
+at all.  This module reads no files; other modules of this package parse and validate.
 
-Resources are trees of values and so never part of a reference cycle.  Hence
-`gc=False`: the garbage collector passes over the many thousands of them.
+Resources are trees of values and never part of a reference cycle.  `gc=False`
+therefore excludes them, many thousands of objects, from garbage collection.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Kind(enum.StrEnum):
-    """The resource kinds an operator may declare."""
+    """Kinds of resources that an operator can declare."""
 
     REGION = "Region"
     ZONE = "Zone"
@@ -34,27 +34,27 @@
 
 
 class BackendState(enum.StrEnum):
-    """Whether a back end may be given new flows."""
+    """Declared state of a back end; a draining one accepts no new flows."""
 
     ACTIVE = "active"
     DRAINING = "draining"
 
 
 class ZoneState(enum.StrEnum):
-    """Whether the back ends of a zone may be given new flows."""
+    """Declared state of a zone; the back ends of an evacuated one accept no new flows."""
 
     ACTIVE = "active"
     EVACUATED = "evacuated"
 
 
 class Location(msgspec.Struct, frozen=True, gc=False, omit_defaults=True):
-    """Where a machine stands: a hall, in a zone, in a region."""
+    """Location of a machine: a hall, in a zone, in a region."""
 
     region: str
     zone: str
     hall: str
     evacuated: bool = False
-    """Whether nothing new may go to the zone."""
+    """Whether the zone accepts no new flows."""
 
 
 class PlaceSelector(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
@@ -74,31 +74,31 @@
 
 
 class Metadata(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """Name (unique within a kind) and free-form labels of a resource."""
+    """Name, unique within a kind, and free-form labels of a resource."""
 
     name: str
     labels: dict[str, str] = {}
 
 
 class RegionSpec(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True):
-    """A region has no fields of its own."""
+    """Empty: a region has only a name."""
 
 
 class ZoneSpec(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """A zone belongs to one region."""
+    """The region of a zone, and its state."""
 
     region: str
     state: ZoneState = ZoneState.ACTIVE
 
 
 class HallSpec(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True):
-    """A data hall belongs to one zone."""
+    """The zone of a data hall."""
 
     zone: str
 
 
 class ServiceLimits(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """Limits of one service: accepted, checked and shown, but read by no balancer.
+    """Limits of one service: accepted, validated and shown, but not applied by balancers.
 
     Balancers forward by routing token and count neither flows nor requests of a service.
     """
@@ -106,46 +106,46 @@
     flows: int = 400_000
     """Open flows a balancer may hold for the service."""
     requests_in_flight: int = 20_000
-    """Requests handed to back ends and not yet answered, per balancer."""
+    """Requests forwarded to back ends and not yet answered, per balancer."""
     request_timeout_ms: int = 10_000
-    """Deadline of a request that names none, in milliseconds."""
+    """Default deadline of a request, in milliseconds."""
     idle_timeout_s: int = 3_600
-    """Seconds without a packet after which a flow's state is dropped."""
+    """Seconds without a packet after which the state of a flow is deleted."""
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """A virtual address and the places its traffic may and may not go."""
+    """A virtual address, and the place rules for its traffic."""
 
     address: str
     """Virtual address as `ip:port`."""
     protocol: Protocol = Protocol.UDP
     permitted: tuple[PlaceSelector, ...] = ()
-    """Places traffic may go; nothing permitted means every new flow is refused."""
+    """Places that may receive traffic; if empty, every new flow is refused."""
     denied: tuple[PlaceSelector, ...] = ()
-    """Places traffic may not go; wins over `permitted`."""
+    """Places that may not receive traffic; wins over `permitted`."""
     repeatable_by_default: bool = False
-    """Whether a request that does not say may be run more than once; read by no balancer."""
+    """Whether requests may be executed more than once by default; not read by balancers."""
     limits: ServiceLimits = ServiceLimits()
 
 
 class BackendSpec(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """One target of one service."""
+    """A server process that executes requests of one service."""
 
     service: str
     address: str
     """Data address as `ip:port`."""
     hall: str
     slots: int = 2
-    """Requests the back end runs at the same time."""
+    """Requests that the back end executes at the same time."""
     connections: int = 2_000
-    """Flows the back end holds at the same time; read by stand-ins, by no balancer."""
+    """Flows that the back end holds at the same time; read by stand-ins, not by balancers."""
     weight: int = 100
-    """0 takes no new flows; balancers make no difference between other values."""
+    """0 accepts no new flows; balancers treat all other values alike."""
     state: BackendState = BackendState.ACTIVE
 
 
 class Status(msgspec.Struct, frozen=True, gc=False, forbid_unknown_fields=True, omit_defaults=True):
-    """What is known of a resource in force; never written by operators."""
+    """Status of a resource in force; set by the system, never by operators."""
 
     generation: int = 0
     message: str = ""
@@ -212,8 +212,8 @@
 class ConfigurationSnapshot(msgspec.Struct, frozen=True):
     """All resources of one generation, sorted by kind and name.
 
-    :ivar generation: number given by the platform, growing with each change.
-    :ivar digest: hexadecimal hash of the sorted resources (see `snapshot`).
+    :ivar generation: number assigned by the platform, higher after each change.
+    :ivar digest: hexadecimal digest of the resources (see `resources.digest`).
     """
 
     generation: int
--- a/sloepond/resources/ordered.py
+++ b/sloepond/resources/ordered.py
@@ -1,6 +1,6 @@
-"""Edits of sorted tuples that touch only what changes.
+"""Edits of sorted tuples.
 
-Holds no state; the tuple that is edited stays as it is.
+Holds no state; the edited tuple itself is not modified.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 Item = TypeVar("Item")
 
 MAXIMUM_SINGLE_EDITS = 1_000
-"""Edits above which the whole is sorted anew rather than edited in place."""
+"""Edits made one by one; with more, the whole sequence is sorted again."""
 
 
 def edited(
@@ -21,12 +21,12 @@
     removed: Iterable[Any],
     added: Sequence[Item],
 ) -> tuple[Item, ...]:
-    """Return `ordered` without the items of some keys and with others put in.
+    """Return `ordered` with some items removed and some added.
 
     :param ordered: items sorted by key, each key once.
     :param key_of: returns the key of an item.
-    :param removed: keys to take out; unknown ones are ignored.
-    :param added: items to put in; an item of the same key is replaced.
+    :param removed: keys to remove; unknown ones are ignored.
+    :param added: items to add; an item with the same key is replaced.
     """
     replaced_keys = {*removed, *map(key_of, added)}
     if not replaced_keys:
--- a/sloepond/resources/set_rules.py
+++ b/sloepond/resources/set_rules.py
@@ -1,8 +1,9 @@
-"""Rules about a whole set of declarations: names, references, addresses, reach.
+"""Validation rules for a whole set of declarations: names, references, addresses, reachability.
 
-Each rule reports what no single document shows: a name used twice, a reference to nothing, an
-address used twice, a service that no flow can reach.  Relies on `resources.declarations` for
-what was understood of each document; one that was not understood hides no other finding.
+Each rule reports an error that involves several documents: a duplicate name, a dangling
+reference, a duplicate address, a service that no flow can reach.  Relies on
+`resources.declarations` for the valid parts of each document; an invalid document does not
+suppress findings about others.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     Kind.HALL: {HALL_ZONE_PATH: Kind.ZONE},
     Kind.BACKEND: {SERVICE_PATH: Kind.SERVICE, ("spec", "hall"): Kind.HALL},
 }
-"""Fields that name another resource, and the kind they name."""
+"""Fields that refer to another resource, and the kind of that resource."""
 
 SELECTOR_KINDS = {"region": Kind.REGION, "zone": Kind.ZONE, "hall": Kind.HALL}
 
@@ -43,7 +44,7 @@
 class DeclaredSet:
     """All declarations, indexed by kind and name.
 
-    :ivar by_name: first declaration of each kind and name.
+    :ivar by_name: the first declaration of each kind and name.
     """
 
     def __init__(self, declarations: Sequence[Declaration]) -> None:
@@ -54,22 +55,22 @@
                 self.by_name.setdefault((declaration.kind, declaration.name), declaration)
 
     def resources(self) -> tuple[Resource, ...]:
-        """Return the resources in which nothing is wrong by itself."""
+        """Return the resources that are valid by themselves."""
         found = (declaration.resource for declaration in self.declarations)
         return tuple(resource for resource in found if resource is not None)
 
     def has(self, kind: Kind, name: str) -> bool:
-        """Return whether a resource of this kind and name is declared, even wrongly."""
+        """Return whether a resource of this kind and name is declared, valid or not."""
         return (kind, name) in self.by_name
 
     def parent(self, kind: Kind, name: str, path: FieldPath) -> str:
-        """Return what the named resource refers to at `path`; empty if not known."""
+        """Return the name that the given resource refers to at `path`; empty if unknown."""
         declaration = self.by_name.get((kind, name))
         return declaration.text(path) if declaration else ""
 
 
 def check_set(declared: DeclaredSet) -> Iterator[Finding]:
-    """Return the findings about the set as a whole."""
+    """Yield the findings about the set as a whole."""
     yield from _check_duplicates(declared)
     yield from _check_references(declared)
     yield from _check_selectors(declared)
@@ -134,7 +135,7 @@
 
 
 def _check_addresses(declared: DeclaredSet) -> Iterator[Finding]:
-    """Report an address used twice: a packet to it would have two meanings."""
+    """Report duplicate addresses: a packet to one would have two possible destinations."""
     first_users: dict[str, Declaration] = {}
     for declaration in declared.declarations:
         if declaration.kind not in ADDRESSED_KINDS:
@@ -149,7 +150,7 @@
 
 
 def _check_reachability(declared: DeclaredSet) -> Iterator[Finding]:
-    """Report services no flow can reach: no permitted place has a back end that takes any."""
+    """Report services that no flow can reach: no back end in a permitted place accepts flows."""
     locations = resolve_locations(declared.resources())
     backends = _BackendsByService(declared)
     for declaration in declared.declarations:
@@ -162,7 +163,7 @@
 
 
 class _BackendsByService:
-    """The back ends of each service, and the services where one is not understood."""
+    """The valid back ends of each service, and the services with an invalid one."""
 
     def __init__(self, declared: DeclaredSet) -> None:
         self._backends: dict[str, list[Backend]] = {}
@@ -177,11 +178,11 @@
                 self._services_with_invalid_backend.add(service)
 
     def of(self, service: str) -> list[Backend]:
-        """Return the back ends of `service` that are right by themselves."""
+        """Return the back ends of `service` that are valid by themselves."""
         return self._backends.get(service, [])
 
     def has_invalid_backend(self, service: str) -> bool:
-        """Return whether a back end that is not understood may belong to `service`."""
+        """Return whether an invalid back end belongs, or may belong, to `service`."""
         return service in self._services_with_invalid_backend or "" in self._services_with_invalid_backend
 
 
@@ -191,12 +192,12 @@
     if not backends:
         return "unreachable: no back end is declared"
     if any(backend.spec.hall not in locations for backend in backends):
-        return ""  # the dangling reference is reported by itself
+        return ""  # The dangling reference is a finding of its own.
     permitted = [
         backend for backend in backends if is_place_permitted(service.spec, locations[backend.spec.hall])
     ]
     if not permitted:
-        return "unreachable: no back end stands in a permitted place"
+        return "unreachable: no back end is in a permitted place"
     if not any(_accepts_flows(backend) for backend in permitted):
         return "unreachable: every back end in a permitted place is draining or has weight 0"
     return ""
--- a/sloepond/resources/sharing.py
+++ b/sloepond/resources/sharing.py
@@ -1,7 +1,7 @@
-"""Equal values of decoded resources kept in memory once.
+"""Interns equal values of decoded resources, to save memory.
 
-Each resource is decoded with values of its own, though thousands of back ends
-name the same service and hall and have neither labels nor a status.
+Decoding creates separate objects for each resource, although thousands of back
+ends refer to the same service and hall and have neither labels nor a status.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from sloepond.resources.slices import Slices, blocks
 
 INTERNED_BACKENDS_PER_UNIT = 2
-"""Back ends whose values are shared for about the cost of compiling one."""
+"""Back ends whose values can be interned for about the cost of compiling one."""
 
 _NO_STATUS = Status()
 _NO_LABELS: dict[str, str] = {}
 
 
 def intern_values_slices(resources: Iterable[Resource]) -> Slices[None]:
-    """Replace values of back ends by equal ones that are kept once; no value changes."""
+    """Replace values of back ends by equal shared objects, in slices."""
     for block in blocks(resources):
         for resource in block:
             if isinstance(resource, Backend):
--- a/sloepond/resources/slices.py
+++ b/sloepond/resources/slices.py
@@ -1,9 +1,9 @@
-"""Long work as generators that stop after a bounded amount of work.
+"""Long computations as generators that yield after a bounded amount of work.
 
-A generator of this kind yields how much it has done since it stopped last, in
-units of about one resource hashed, checked or compiled (some microseconds), and
-returns its result at the end.  The core has no clock to measure its own work, so
-a slice of it is a number of units.
+Such a generator yields the amount of work done since the last yield, in units of
+about one resource hashed, checked or compiled (some microseconds), and returns
+its result at the end.  The core has no clock to measure its own work, so a slice
+is bounded by a number of units.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 Slices = Generator[int, None, Result]
 
 BLOCK_ITEMS = 500
-"""Items after which a generator yields."""
+"""Items that a generator processes between two yields."""
 
 
 def run_to_completion(work: Slices[Result]) -> Result:
-    """Do all the work at once and return its result."""
+    """Run a generator to its end and return its result."""
     while True:
         try:
             next(work)
@@ -32,7 +32,7 @@
 
 
 def blocks(items: Iterable[Item], size: int = BLOCK_ITEMS) -> Iterator[list[Item]]:
-    """Return the items in lists of at most `size`, to stop after each list."""
+    """Yield the items in lists of at most `size`."""
     iterator = iter(items)
     while block := list(itertools.islice(iterator, size)):
         yield block
--- a/sloepond/resources/sorted_items.py
+++ b/sloepond/resources/sorted_items.py
@@ -1,7 +1,6 @@
-"""A sorted sequence whose changed copy shares all that did not change.
+"""An immutable sorted sequence whose edited copies share unchanged chunks.
 
-Items are kept in chunks.  A change copies the chunks it falls into and the list
-of chunks, so that its cost grows with the square root of the number of items.
+An edit copies the affected chunks and the list of chunks instead of all items.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 Item = TypeVar("Item")
 
 CHUNK_ITEMS = 256
-"""Items of a chunk when it is made; twice as many at most."""
+"""Items of a new chunk; an edited chunk is split above twice as many."""
 EDITED_ITEMS_PER_UNIT = 4
-"""Items put in order for about the cost of compiling one."""
+"""Items that can be sorted for about the cost of compiling one back end."""
 
 
 class SortedItems(Sequence[Item]):
@@ -84,10 +83,10 @@
     __hash__ = None  # type: ignore[assignment]
 
     def edited_slices(self, removed: Iterable[Any], added: Sequence[Item]) -> Slices[SortedItems[Item]]:
-        """Return a copy without the items of some keys and with others put in, in slices.
+        """Return a copy with some items removed and some added, in slices.
 
-        :param removed: keys to take out; unknown ones are ignored.
-        :param added: items to put in, in any order; an item of the same key is replaced.
+        :param removed: keys to remove; unknown ones are ignored.
+        :param added: items to add, in any order; an item with the same key is replaced.
         """
         if not self._chunks and (yield from self._are_sorted(added)):
             return SortedItems(added, self._key_of)
@@ -122,7 +121,7 @@
         return True
 
     def _chunk_of(self, key: Any) -> int:
-        """Return the number of the last chunk that begins at or before a key."""
+        """Return the index of the last chunk that begins at or before a key; 0 if none does."""
         return max(bisect.bisect_right(self._chunks, key, key=self._first_key) - 1, 0)
 
     def _first_key(self, chunk: tuple[Item, ...]) -> Any:
--- a/sloepond/resources/typed_rules.py
+++ b/sloepond/resources/typed_rules.py
@@ -1,9 +1,9 @@
-"""Rules about single typed back ends, without findings.
+"""Fast validity check of single typed back ends, without findings.
 
-`validate_snapshot` converts each field on its own to report all that is wrong.
-For resources that were decoded into their types only the rules on their values
-can fail.  These functions tell, at a small part of the cost, for which back ends
-the full check has nothing to report; it is asked about the others.
+`validate_snapshot` converts each field on its own in order to report all findings.
+Resources that were decoded into their types can only violate the rules on values.
+These functions detect, at a small part of the cost, the back ends for which the
+full check has no findings, so that only the others need the full check.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 _FIRST_OCTET = r"(?:22[0-3]|2[01]\d|1\d\d|[1-9]\d?)"
 _PORT = r"(?:[1-5]\d{4}|[1-9]\d{0,3})"
 PLAIN_ADDRESS = re.compile(rf"{_FIRST_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}", re.ASCII)
-"""Addresses that are canonical at first sight; others may be as well."""
+"""Matches common canonical IPv4 addresses; other addresses may be canonical too."""
 
 _RANGES = RANGES[Kind.BACKEND]
 _SLOTS = _RANGES[("spec", "slots")]
@@ -33,9 +33,9 @@
 
 
 def has_valid_fields(backend: Backend) -> bool:
-    """Return whether the full check finds nothing wrong with the back end's own fields.
+    """Return whether the full check has no findings about the fields of a back end.
 
-    :param backend: with values of the declared types.
+    :param backend: its values must be of the declared types.
     """
     spec = backend.spec
     return (
--- a/sloepond/resources/validation.py
+++ b/sloepond/resources/validation.py
@@ -1,7 +1,7 @@
-"""Validation of a whole set of resources; nothing is raised, all is reported.
+"""Validation of a whole set of resources; errors are returned as findings, never raised.
 
-Brings the rules about fields and about sets together, for documents, for plain values such as
-a request body, and for typed resources.  Holds no state.
+Combines the rules for single fields with those for sets, for documents, for plain values such
+as a request body, and for typed resources.  Holds no state.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from sloepond.resources.set_rules import DeclaredSet, check_set
 
 SNAPSHOT_SOURCE = "configuration"
-"""Named as the file in findings about resources that came from no file."""
+"""Shown as the file in findings about resources that were not read from a file."""
 
 
 class ValidatedDocuments(msgspec.Struct, frozen=True):
-    """The result of checking documents as one set.
+    """The result of validating documents as one set.
 
-    :ivar resources: every resource that is right by itself, in order; a set to
-        be taken only where `findings` is empty.
-    :ivar findings: sorted by place.
+    :ivar resources: every resource that is valid by itself, in order; valid as a
+        set only if `findings` is empty.
+    :ivar findings: sorted by position.
     """
 
     resources: tuple[Resource, ...]
@@ -34,10 +34,10 @@
 
 
 def validate_documents(documents: Sequence[Document]) -> ValidatedDocuments:
-    """Check documents by themselves and against each other."""
-    declared: list[CheckedDeclaration] = [check_document(document) for document in documents]
-    findings = [finding for item in declared for finding in item.findings]
-    declarations = [item.declaration for item in declared]
+    """Validate documents, each by itself and all as one set."""
+    checked: list[CheckedDeclaration] = [check_document(document) for document in documents]
+    findings = [finding for item in checked for finding in item.findings]
+    declarations = [item.declaration for item in checked]
     for declaration in declarations:
         findings.extend(check_fields(declaration))
     declared_set = DeclaredSet(declarations)
@@ -46,15 +46,15 @@
 
 
 def validate_values(values: Sequence[object], source: str = SNAPSHOT_SOURCE) -> ValidatedDocuments:
-    """Check plain values, such as a decoded request body, as one set.
+    """Validate plain values, such as a decoded request body, as one set.
 
-    :param source: named as the file in findings; the index is the position, from 1.
+    :param source: shown as the file in findings; the document number is the position, from 1.
     """
     documents = [Document(source, index, value) for index, value in enumerate(values, start=1)]
     return validate_documents(documents)
 
 
 def validate_snapshot(resources: Sequence[Resource]) -> tuple[Finding, ...]:
-    """Check typed resources, such as those the platform returned, as one set."""
+    """Validate typed resources, such as those returned by the platform, as one set."""
     values = [msgspec.to_builtins(resource) for resource in resources]
     return validate_values(values).findings
