--- a/sloepond/resources/declarations.py
+++ b/sloepond/resources/declarations.py
@@ -64,7 +64,7 @@
         return _label(self.kind, self.name)
 
     def text(self, path: FieldPath) -> str:
-        """Return the text at `path`; empty if there is no text."""
+        """Return the text at `path`; empty if there is no valid text."""
         value = self.fields.get(path)
         return value if isinstance(value, str) else ""
 
