--- a/sloepond/api/application.py
+++ b/sloepond/api/application.py
@@ -90,8 +90,8 @@
                 self._route("/v1/leave", self._leave, Access.WRITE, "POST"),
             ],
             exception_handlers={
-                ApiError: _refuse,
-                HTTPException: _refuse_by_status,
+                ApiError: _api_error_response,
+                HTTPException: _http_exception_response,
             },
         )
 
@@ -190,11 +190,11 @@
     return OperatorsApi(state, settings, feed, logger).application()
 
 
-async def _refuse(_: Request, error: Exception) -> Response:
+async def _api_error_response(_: Request, error: Exception) -> Response:
     assert isinstance(error, ApiError)
     return error_response(error.body)
 
 
-async def _refuse_by_status(_: Request, error: Exception) -> Response:
+async def _http_exception_response(_: Request, error: Exception) -> Response:
     assert isinstance(error, HTTPException)
     return error_response(ErrorBody(error_for_status(error.status_code), error.detail))
--- a/sloepond/api/authorization.py
+++ b/sloepond/api/authorization.py
@@ -33,7 +33,7 @@
         self._write_digests = tuple(map(_digest, write_tokens))
         self._anonymous_access = Access.NONE if self._read_digests else Access.READ
 
-    def authorize(self, header: str | None, needed: Access) -> None:
+    def authorize(self, header: str | None, required: Access) -> None:
         """Let a request pass or refuse it.
 
         :param header: value of the `Authorization` header, None where it has none.
@@ -41,19 +41,19 @@
             needed, `forbidden` with a valid token that allows too little.
         """
         granted = self._anonymous_access if header is None else self._granted(header)
-        if granted >= needed:
+        if granted >= required:
             return
         if granted is Access.NONE or header is None:
             raise ApiError(ErrorCode.UNAUTHENTICATED, "a valid bearer token is needed")
-        raise ApiError(ErrorCode.FORBIDDEN, f"the token does not allow to {needed.name.lower()}")
+        raise ApiError(ErrorCode.FORBIDDEN, f"the token does not allow to {required.name.lower()}")
 
     def _granted(self, header: str) -> Access:
         scheme, _, token = header.partition(" ")
         if scheme.lower() != SCHEME:
             return Access.NONE
         digest = _digest(token.strip())
-        may_write = _is_among(digest, self._write_digests)
-        may_read = _is_among(digest, self._read_digests)
+        may_write = _matches_any(digest, self._write_digests)
+        may_read = _matches_any(digest, self._read_digests)
         if may_write:
             return Access.WRITE
         return Access.READ if may_read else Access.NONE
@@ -63,6 +63,6 @@
     return hashlib.sha256(token.encode()).digest()
 
 
-def _is_among(digest: bytes, known: tuple[bytes, ...]) -> bool:
-    matches = [hmac.compare_digest(digest, other) for other in known]
+def _matches_any(digest: bytes, digests: tuple[bytes, ...]) -> bool:
+    matches = [hmac.compare_digest(digest, other) for other in digests]
     return any(matches)
--- a/sloepond/api/changes.py
+++ b/sloepond/api/changes.py
@@ -45,12 +45,12 @@
 
 def listing_events(configuration: CompiledConfiguration) -> tuple[WatchEvent, ...]:
     """Return every resource in force as added."""
-    return _numbered(_Changes(added=configuration.snapshot.resources), 0, configuration)
+    return _to_events(_Changes(added=configuration.snapshot.resources), 0, configuration)
 
 
 def change_events(before: CompiledConfiguration, after: CompiledConfiguration) -> tuple[WatchEvent, ...]:
     """Return the changes from one configuration to a later one; at least a bookmark."""
-    return _numbered(_compare(before, after), before.generation, after)
+    return _to_events(_compare(before, after), before.generation, after)
 
 
 class _Changes(msgspec.Struct, frozen=True):
@@ -73,7 +73,7 @@
     )
 
 
-def _numbered(
+def _to_events(
     changes: _Changes, version_before: int, configuration: CompiledConfiguration
 ) -> tuple[WatchEvent, ...]:
     """Return events of which only the last one lets a reader resume after all of them."""
--- a/sloepond/api/checking.py
+++ b/sloepond/api/checking.py
@@ -10,9 +10,9 @@
 from sloepond.resources.findings import Finding
 from sloepond.resources.validation import validate_documents
 
-SOURCE = "request"
+REQUEST_SOURCE = "request"
 YAML_MEDIA_TYPES = ("application/yaml", "application/x-yaml", "text/yaml")
-MAXIMUM_WAITING = 4
+MAXIMUM_PENDING_CHECKS = 4
 """Checks that may run or wait at the same time."""
 
 
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self._limiter = trio.CapacityLimiter(1)
-        self._waiting = 0
+        self._pending = 0
 
     async def check(self, body: bytes, media_type: str) -> CheckAnswer:
         """Check the resources of a request body.
@@ -41,20 +41,20 @@
             `resources`, or YAML documents.
         :raises ApiError: where too many checks are waiting.
         """
-        if self._waiting >= MAXIMUM_WAITING:
+        if self._pending >= MAXIMUM_PENDING_CHECKS:
             raise ApiError(
-                ErrorCode.TOO_MANY_CHECKS, f"{MAXIMUM_WAITING} checks are running; try again later"
+                ErrorCode.TOO_MANY_CHECKS, f"{MAXIMUM_PENDING_CHECKS} checks are running; try again later"
             )
-        self._waiting += 1
+        self._pending += 1
         try:
             return await trio.to_thread.run_sync(check_body, body, media_type, limiter=self._limiter)
         finally:
-            self._waiting -= 1
+            self._pending -= 1
 
 
 def check_body(body: bytes, media_type: str) -> CheckAnswer:
     """Return the findings about the resources of a request body."""
-    source = SOURCE if media_type in YAML_MEDIA_TYPES else SOURCE + JSON_SUFFIX
+    source = REQUEST_SOURCE if media_type in YAML_MEDIA_TYPES else REQUEST_SOURCE + JSON_SUFFIX
     try:
         text = body.decode()
     except UnicodeDecodeError:
--- a/sloepond/api/metrics.py
+++ b/sloepond/api/metrics.py
@@ -39,8 +39,8 @@
         counters = self._state.node.counters
         for field in dataclasses.fields(counters):
             value = getattr(counters, field.name)
-            text = f"Total of {field.name.replace('_', ' ')}."
-            yield CounterMetricFamily(f"{PREFIX}_{field.name}", text, value=value)
+            help_text = f"Total of {field.name.replace('_', ' ')}."
+            yield CounterMetricFamily(f"{PREFIX}_{field.name}", help_text, value=value)
 
     def _traffic(self) -> Iterator[Metric]:
         totals = CounterMetricFamily(
@@ -73,8 +73,8 @@
         ("peers_suspected", "Always 0: balancers do not watch each other.", suspected),
         ("generation", "Configuration generation in force.", status.generation),
     )
-    for name, text, value in gauges:
-        yield GaugeMetricFamily(f"{PREFIX}_{name}", text, value=value)
+    for name, help_text, value in gauges:
+        yield GaugeMetricFamily(f"{PREFIX}_{name}", help_text, value=value)
 
 
 def _state_gauge(status: NodeStatus) -> Metric:
--- a/sloepond/api/server.py
+++ b/sloepond/api/server.py
@@ -17,10 +17,10 @@
 from sloepond.runtime.settings import ApiSettings
 from sloepond.runtime.traffic import TrafficClass, TrafficRate, TrafficTotal
 
-KEEP_ALIVE_S = 5
-TLS_HANDSHAKE_S = 5
-GRACEFUL_S = 1.0
-MAXIMUM_STREAMS = 32
+KEEP_ALIVE_TIMEOUT_S = 5
+TLS_HANDSHAKE_TIMEOUT_S = 5
+GRACEFUL_SHUTDOWN_TIMEOUT_S = 1.0
+MAXIMUM_HTTP2_STREAMS = 32
 """Requests at the same time on one HTTP/2 connection."""
 
 
@@ -74,7 +74,7 @@
     feed = ConfigurationFeed(lambda: state.node.configuration.in_force)
     application = create_app(state, settings, feed, logger)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(feed.follow)
+        nursery.start_soon(feed.poll_continuously)
         urls = await nursery.start(_serve, application, server_configuration(settings, address))
         task_status.started(urls)
 
@@ -103,8 +103,8 @@
     configuration.accesslog = None
     configuration.errorlog = None
     configuration.include_server_header = False
-    configuration.keep_alive_timeout = KEEP_ALIVE_S
-    configuration.ssl_handshake_timeout = TLS_HANDSHAKE_S
-    configuration.graceful_timeout = GRACEFUL_S
-    configuration.h2_max_concurrent_streams = MAXIMUM_STREAMS
+    configuration.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
+    configuration.ssl_handshake_timeout = TLS_HANDSHAKE_TIMEOUT_S
+    configuration.graceful_timeout = GRACEFUL_SHUTDOWN_TIMEOUT_S
+    configuration.h2_max_concurrent_streams = MAXIMUM_HTTP2_STREAMS
     return configuration
--- a/sloepond/api/status.py
+++ b/sloepond/api/status.py
@@ -20,5 +20,5 @@
 
 def build_status(state: ApiState) -> BalancerStatus:
     """Return the present status."""
-    known = msgspec.structs.asdict(state.node.status())
-    return BalancerStatus(**known, traffic=state.traffic_rates())
+    fields = msgspec.structs.asdict(state.node.status())
+    return BalancerStatus(**fields, traffic=state.traffic_rates())
