--- a/features/api/requests.feature
+++ b/features/api/requests.feature
@@ -1,28 +1,28 @@
 Feature: Requests to the operators' API
 
   Background:
-    Given an api of a balancer in a view with generation 7 in force
+    Given an api of a member balancer with generation 7 in force
 
-  Scenario: Status tells of the node, its peers and its traffic
-    When the api is asked GET /v1/status
+  Scenario: Status contains the node, its peers and its traffic
+    When the api receives GET /v1/status
     Then the api answers 200
-    And the api status equals the node's own with 512 control bytes a second sent
+    And the api status equals the node's status with 512 control bytes per second sent
 
   Scenario: Resources in force are listed with their status
-    When the api is asked GET /v1/resources?kind=backend
+    When the api receives GET /v1/resources?kind=backend
     Then the api answers 200
     And the api lists exactly the back ends of generation 7
-    And the api says of roster-1 "in force; takes new flows"
-    And the api says of roster-2 "in force; takes no new flows: draining"
-    And the api says of roster-3 "in force; takes no new flows: its hall is not permitted"
+    And the api gives the status message of roster-1 "in force; takes new flows"
+    And the api gives the status message of roster-2 "in force; takes no new flows: draining"
+    And the api gives the status message of roster-3 "in force; takes no new flows: its hall is not permitted"
 
-  Scenario: One resource is found by kind and name
-    When the api is asked GET /v1/resources/Service/roster
+  Scenario: One resource is returned by kind and name
+    When the api receives GET /v1/resources/Service/roster
     Then the api answers 200
     And the api resource is Service roster of generation 7
 
-  Scenario Outline: Requests without a proper target are refused with a code
-    When the api is asked <request>
+  Scenario Outline: Invalid requests are refused with an error code
+    When the api receives <request>
     Then the api answers <status> with code <code>
 
     Examples:
@@ -36,13 +36,13 @@
       | GET /v1/watch?resource_version=6       | 410    | version-gone       |
       | GET /v1/watch?resource_version=8       | 410    | version-gone       |
 
-  Scenario: A watch cannot be asked for its headers alone
-    When the api is asked HEAD /v1/watch
+  Scenario: A watch does not accept HEAD requests
+    When the api receives HEAD /v1/watch
     Then the api answers 405
 
-  Scenario Outline: Reading and writing need tokens of their own
+  Scenario Outline: Reading and writing require separate tokens
     Given the api has a read token and a write token
-    When the api is asked <request> with the <token> token
+    When the api receives <request> with the <token> token
     Then the api answers <status>
 
     Examples:
@@ -65,7 +65,7 @@
       | POST /v1/leave     | write   | 202    |
 
   Scenario Outline: Without tokens everyone may read and nobody may write
-    When the api is asked <request>
+    When the api receives <request>
     Then the api answers <status>
 
     Examples:
@@ -73,29 +73,29 @@
       | GET /v1/status | 200    |
       | POST /v1/leave | 401    |
 
-  Scenario: No header but that of a listed token gives access
-    Then the api authorizer refuses every other header
+  Scenario: Only a header with a configured token grants access
+    Then the api authorizer refuses all other headers
 
-  Scenario: A planned stop is asked for once for each request
+  Scenario: Each authorized request to leave requests one planned stop
     Given the api has a read token and a write token
-    When the api is asked POST /v1/leave with the read token
-    Then the api has asked for 0 planned stops
-    When the api is asked POST /v1/leave with the write token
-    Then the api has asked for 1 planned stops
+    When the api receives POST /v1/leave with the read token
+    Then the api has requested 0 planned stops
+    When the api receives POST /v1/leave with the write token
+    Then the api has requested 1 planned stops
 
-  Scenario: A dry run reports all findings and changes nothing
-    When the api checks two back ends with 2 errors each
+  Scenario: A dry run reports all findings and does not change the configuration
+    When the api validates two back ends with 2 errors each
     Then the api answers 200
-    And the api check is not valid and has findings about both back ends
-    And generation 7 is still in force behind the api
+    And the api validation fails with findings about both back ends
+    And generation 7 is still in force on the api node
 
-  Scenario: A dry run of right resources has no findings
-    When the api checks the resources of generation 7 as YAML
-    Then the api check is valid
+  Scenario: A dry run of valid resources has no findings
+    When the api validates the resources of generation 7 as YAML
+    Then the api validation succeeds
 
   Scenario Outline: A body above the limit is refused
-    Given the api takes bodies up to 1000 bytes
-    When the api checks a body of <size> bytes
+    Given the api accepts bodies up to 1000 bytes
+    When the api validates a body of <size> bytes
     Then the api answers <status>
 
     Examples:
@@ -103,24 +103,24 @@
       | 1000 | 200    |
       | 1001 | 413    |
 
-  Scenario: A failing handler is counted, logged once and answered
-    Given the node behind the api fails
-    When the api is asked GET /v1/status
-    And the api is asked GET /v1/status
+  Scenario: A failing handler is counted, logged once and answered with an error
+    Given the api node fails
+    When the api receives GET /v1/status
+    And the api receives GET /v1/status
     Then the api answers 500 with code internal
     And the api has counted 2 handler failures and logged 1
 
-  Scenario: Readiness tells every reason against it
-    Given the api of a balancer that leaves without view and configuration
-    When the api is asked GET /readyz
+  Scenario: Readiness lists every reason why a balancer is not ready
+    Given the api of a leaving balancer that is no member and has no configuration
+    When the api receives GET /readyz
     Then the api answers 503
     And the api gives 3 reasons
-    When the api is asked GET /healthz
+    When the api receives GET /healthz
     Then the api answers 200
 
-  Scenario: Metrics hold every counter and the state of the node
-    Given every counter of the node behind the api has a value of its own
-    When the api is asked GET /metrics
+  Scenario: Metrics contain every counter and the state of the node
+    Given every counter of the api node has a different value
+    When the api receives GET /metrics
     Then the api answers 200
     And the api metrics hold every counter with its value
     And the api metrics hold these values
--- a/features/steps/api_fakes.py
+++ b/features/steps/api_fakes.py
@@ -1,4 +1,4 @@
-"""A balancer's state for tests of the operators' API."""
+"""Fakes of a balancer's state for tests of the operators' API."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 def backend(name: str, hall: str = "h1", **fields: object) -> Backend:
-    """Return a back end of the service roster; its number makes its address."""
+    """Return a back end of the service roster; the number in its name determines its port."""
     port = 9000 + int(name.rpartition("-")[2])
     spec = BackendSpec(service="roster", address=f"127.0.0.1:{port}", hall=hall, **fields)
     return Backend(API_VERSION, Metadata(name), spec)
 
 
 def places() -> list[Resource]:
-    """Return two halls, of which the service roster permits one."""
+    """Return a region, a zone, two halls, and the service roster, which permits one of the halls."""
     permitted = (PlaceSelector(hall="h1"),)
     return [
         Region(API_VERSION, Metadata("r1")),
@@ -58,33 +58,33 @@
 
 
 def default_resources() -> list[Resource]:
-    """Return a service with one back end that takes flows and two that do not."""
+    """Return a service with one back end that accepts flows and two that do not."""
     draining = backend("roster-2", state=BackendState.DRAINING)
     return [*places(), backend("roster-1"), draining, backend("roster-3", "h2")]
 
 
 class FakeNode:
-    """A node with given status and configuration."""
+    """A node with a given status and configuration."""
 
     def __init__(self, in_force: CompiledConfiguration) -> None:
         self.counters = Counters()
         self.configuration = SimpleNamespace(in_force=in_force)
-        self.known_status = STATUS
+        self.current_status = STATUS
         self.fails = False
 
     def status(self) -> NodeStatus:
         """Return the given status."""
         if self.fails:
             raise RuntimeError("no status")
-        return self.known_status
+        return self.current_status
 
     def set_status(self, **fields: object) -> None:
         """Change fields of the status."""
-        self.known_status = msgspec.structs.replace(self.known_status, **fields)
+        self.current_status = msgspec.structs.replace(self.current_status, **fields)
 
 
 class FakeState:
-    """A daemon that counts the planned stops it is asked for."""
+    """A daemon that counts requests for a planned stop."""
 
     def __init__(self, node: FakeNode) -> None:
         self.node = node
@@ -92,7 +92,7 @@
         self.traffic_totals = {item: TrafficTotal(1, 100, 200) for item in TrafficClass}
 
     def traffic_rates(self) -> tuple[TrafficRate, ...]:
-        """Return 512 control bytes a second sent."""
+        """Return 512 control bytes per second sent."""
         return (TrafficRate(TrafficClass.CONTROL, 512.0, 256.0), TrafficRate(TrafficClass.DATA, 1.0, 2.0))
 
     def request_stop(self) -> None:
@@ -101,7 +101,7 @@
 
 
 def silent_logger() -> tuple[logbook.Logger, logbook.TestHandler]:
-    """Return a logger whose lines go to the handler only."""
+    """Return a logger and the only handler that receives its records."""
     logger = logbook.Logger("api")
     handler = logbook.TestHandler()
     logger.handlers.append(handler)
--- a/features/steps/api_steps.py
+++ b/features/steps/api_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests to the operators' API."""
+"""Steps for requests to the operators' API."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 PROPERTY = options(derandomize=True, deadline=None, database=None, max_examples=200)
 
 
-@given("an api of a balancer in a view with generation {generation:d} in force")
+@given("an api of a member balancer with generation {generation:d} in force")
 def api_of_balancer(context, generation):
     context.node = FakeNode(configuration(generation, default_resources()))
     context.state = FakeState(context.node)
@@ -47,29 +47,29 @@
     context.api_settings = ApiSettings(read_tokens=(READ_TOKEN,), write_tokens=(WRITE_TOKEN,))
 
 
-@given("the api takes bodies up to {limit:d} bytes")
+@given("the api accepts bodies up to {limit:d} bytes")
 def api_limits_bodies(context, limit):
     context.api_settings = ApiSettings(body_limit_bytes=limit)
 
 
-@given("the node behind the api fails")
+@given("the api node fails")
 def node_fails(context):
     context.node.fails = True
 
 
-@given("the api of a balancer that leaves without view and configuration")
+@given("the api of a leaving balancer that is no member and has no configuration")
 def api_of_leaving_balancer(context):
     context.node.set_status(state="leaving", epoch=0, members=(), generation=0)
 
 
-@given("every counter of the node behind the api has a value of its own")
+@given("every counter of the api node has a different value")
 def counters_have_values(context):
     for index, field in enumerate(dataclasses.fields(context.node.counters), start=1):
         setattr(context.node.counters, field.name, index)
 
 
 def send(context, method: str, path: str, **arguments: object) -> None:
-    """Send one request to the application; the application lives on in the context."""
+    """Send one request to the application, which is created once for each scenario."""
     if not hasattr(context, "application"):
         feed = ConfigurationFeed(lambda: context.node.configuration.in_force)
         context.application = create_app(context.state, context.api_settings, feed, context.api_logger)
@@ -82,19 +82,19 @@
     context.answer = trio.run(exchange)
 
 
-@when("the api is asked {method} {path} with the {token} token")
-def ask_with_token(context, method, path, token):
+@when("the api receives {method} {path} with the {token} token")
+def send_with_token(context, method, path, token):
     content = b"[]" if method == "POST" else None
     send(context, method, path, headers=HEADERS[token], content=content)
 
 
-@when("the api is asked {method:w} {path:S}")
-def ask(context, method, path):
+@when("the api receives {method:w} {path:S}")
+def send_without_token(context, method, path):
     send(context, method, path)
 
 
-@when("the api checks two back ends with 2 errors each")
-def check_wrong(context):
+@when("the api validates two back ends with 2 errors each")
+def validate_invalid_backends(context):
     wrong = [msgspec.to_builtins(backend(name)) for name in ("roster-1", "roster-2")]
     for item in wrong:
         item["spec"]["slots"] = "two"
@@ -102,14 +102,14 @@
     send(context, "POST", "/v1/check", json={"resources": wrong})
 
 
-@when("the api checks the resources of generation 7 as YAML")
-def check_right(context):
+@when("the api validates the resources of generation 7 as YAML")
+def validate_valid_resources(context):
     text = yaml.safe_dump_all(msgspec.to_builtins(default_resources()))
     send(context, "POST", "/v1/check", content=text, headers={"content-type": "application/yaml"})
 
 
-@when("the api checks a body of {size:d} bytes")
-def check_size(context, size):
+@when("the api validates a body of {size:d} bytes")
+def validate_body_of_size(context, size):
     send(context, "POST", "/v1/check", content=b"[" + b" " * (size - 2) + b"]")
 
 
@@ -126,7 +126,7 @@
     assert body.reason
 
 
-@then("the api status equals the node's own with {rate:d} control bytes a second sent")
+@then("the api status equals the node's status with {rate:d} control bytes per second sent")
 def status_equals(context, rate):
     status = msgspec.json.decode(context.answer.content, type=BalancerStatus)
     for field in msgspec.structs.fields(STATUS):
@@ -148,8 +148,8 @@
     assert found == expected, found
 
 
-@then('the api says of {name} "{message}"')
-def says_of(context, name, message):
+@then('the api gives the status message of {name} "{message}"')
+def has_status_message(context, name, message):
     messages = {item.metadata.name: item.status.message for item in listed(context)}
     assert messages[name] == message, messages
 
@@ -161,7 +161,7 @@
     assert resource.status.generation == 7
 
 
-@then("the api authorizer refuses every other header")
+@then("the api authorizer refuses all other headers")
 def refuses_other_headers(context):
     authorizer = TokenAuthorizer((READ_TOKEN,), (WRITE_TOKEN,))
     near = st.sampled_from([READ_TOKEN[:-1], WRITE_TOKEN + "x", READ_TOKEN.upper(), ""])
@@ -183,18 +183,18 @@
         except ApiError as error:
             assert error.body.code == "unauthenticated"
         else:
-            raise AssertionError(f"let pass: {header!r}")
+            raise AssertionError(f"authorized: {header!r}")
 
     is_refused()
 
 
-@then("the api has asked for {count:d} planned stops")
-def stops_asked(context, count):
+@then("the api has requested {count:d} planned stops")
+def stops_requested(context, count):
     assert context.state.stops == count, context.state.stops
 
 
-@then("the api check is not valid and has findings about both back ends")
-def check_is_not_valid(context):
+@then("the api validation fails with findings about both back ends")
+def validation_fails(context):
     body = context.answer.json()
     assert body["valid"] is False
     places = {(finding["document"], finding["field"]) for finding in body["findings"]}
@@ -202,13 +202,13 @@
     assert expected <= places, places
 
 
-@then("generation {generation:d} is still in force behind the api")
+@then("generation {generation:d} is still in force on the api node")
 def still_in_force(context, generation):
     assert context.node.configuration.in_force.generation == generation
 
 
-@then("the api check is valid")
-def check_is_valid(context):
+@then("the api validation succeeds")
+def validation_succeeds(context):
     body = context.answer.json()
     assert body == {"valid": True, "resources": len(default_resources()), "findings": []}, body
 
--- a/features/steps/api_watch_steps.py
+++ b/features/steps/api_watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps about watches of the operators' API."""
+"""Steps for watches of the operators' API."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 CERTIFICATES = Path(__file__).resolve().parents[1] / "api" / "certificates"
 LOOPBACK = "127.0.0.1:0"
-PATIENCE_S = 10.0
-"""Ends a test that hangs; nothing is asserted about it."""
+TEST_TIMEOUT_S = 10.0
+"""Timeout that ends a hanging test; no assertion depends on it."""
 
 PROPERTY = options(derandomize=True, deadline=None, database=None, max_examples=150)
 WEIGHTS = st.dictionaries(st.integers(1, 4), st.integers(0, 2))
@@ -43,7 +43,7 @@
 
 
 class Reader:
-    """Takes the lines of each change together, as an operator's tool should."""
+    """Applies the events of each change together, as an operator's tool should."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -51,11 +51,11 @@
         self._pending: list[WatchEvent] = []
 
     def start_watch(self) -> None:
-        """Forget a change that was cut off."""
+        """Discard the events of a change that was interrupted."""
         self._pending = []
 
-    def take(self, event: WatchEvent) -> None:
-        """Take one line; the last one of a change puts the change into effect."""
+    def handle(self, event: WatchEvent) -> None:
+        """Handle one event; the last one of a change applies the change."""
         assert event.type is not ChangeType.GONE
         self._pending.append(event)
         if event.resource_version < event.generation:
@@ -77,7 +77,7 @@
         assert event.resource.status.generation == event.generation
         self.resources[key] = msgspec.structs.replace(event.resource, status=Status())
 
-    def knows(self, expected: CompiledConfiguration, kind: Kind | None = None) -> bool:
+    def has_resources_of(self, expected: CompiledConfiguration, kind: Kind | None = None) -> bool:
         """Return whether the reader has exactly the resources of a configuration."""
         resources = {resource_key(item): item for item in expected.snapshot.resources}
         if kind is not None:
@@ -96,49 +96,49 @@
         return await anext(batches)
 
 
-async def follow_with_cuts(
-    generations: list[dict[int, int]], cuts: list[int], kind: Kind | None
+async def read_with_interruptions(
+    generations: list[dict[int, int]], event_counts: list[int], kind: Kind | None
 ) -> tuple[Reader, CompiledConfiguration]:
-    """Read a changing configuration through watches that are cut after a few lines."""
+    """Read a changing configuration through watches that end after a few events."""
     holder = FakeNode(generation_of(1, generations[0])).configuration
     feed = ConfigurationFeed(lambda: holder.in_force)
     reader = Reader()
-    remaining = iter(cuts)
+    remaining = iter(event_counts)
     for number, weights in enumerate(generations, start=1):
         holder.in_force = generation_of(2 * number, weights)
         feed.poll()
         lines = select_kind(await next_batch(feed, reader.version), kind)
         reader.start_watch()
         for event in lines[: next(remaining, 1)]:
-            reader.take(event)
+            reader.handle(event)
     for _ in generations:
         reader.start_watch()
         for event in select_kind(await next_batch(feed, reader.version), kind):
-            reader.take(event)
+            reader.handle(event)
     return reader, holder.in_force
 
 
 def check_resumption(kind: Kind | None) -> None:
-    """Check that cuts lose nothing, for any changes and cuts."""
+    """Check that interruptions lose no change, for any changes and interruptions."""
 
     @PROPERTY
     @forall(st.lists(WEIGHTS, min_size=1, max_size=8), st.lists(st.integers(0, 4), max_size=8))
-    def leads_to_present(generations, cuts):
+    def yields_resources_in_force(generations, event_counts):
         async def body() -> None:
-            reader, in_force = await follow_with_cuts(generations, cuts, kind)
-            assert reader.knows(in_force, kind), (reader.resources, generations, cuts)
+            reader, in_force = await read_with_interruptions(generations, event_counts, kind)
+            assert reader.has_resources_of(in_force, kind), (reader.resources, generations, event_counts)
 
         run_simulated(body)
 
-    leads_to_present()
+    yields_resources_in_force()
 
 
-@then("an api watch resumed after any cut leads to the resources in force")
-def cut_watch_misses_nothing(context):
+@then("an api watch resumed after any interruption yields the resources in force")
+def interrupted_watch_misses_nothing(context):
     check_resumption(None)
 
 
-@then("an api watch of any one kind resumes like a watch of all")
+@then("an api watch of one kind resumes like a watch of all kinds")
 def filtered_watch_misses_nothing(context):
     for kind in (Kind.BACKEND, Kind.SERVICE):
         check_resumption(kind)
@@ -151,13 +151,13 @@
 
 
 def pass_generations(context, count: int, weights_of: Callable[[int], dict[int, int]]) -> None:
-    """Put generations in force, one after the other."""
+    """Put successive generations in force."""
     for number in range(context.feed.version + 1, context.feed.version + 1 + count):
         context.feed_configuration.in_force = generation_of(number, weights_of(number))
         context.feed.poll()
 
 
-@when("nothing changes for a long time on the api watch from {version:d}")
+@when("nothing changes for the bookmark interval on the api watch from {version:d}")
 def silent_watch(context, version):
     async def body() -> None:
         started = trio.current_time()
@@ -172,7 +172,7 @@
     assert context.api_batch == (WatchEvent(ChangeType.BOOKMARK, generation, generation),)
 
 
-@when("{count:d} generations pass before the api watch from {version:d} is read on")
+@when("{count:d} generations pass before the api watch from {version:d} is read again")
 def slow_reader(context, count, version):
     context.api_batches = []
 
@@ -192,7 +192,7 @@
     assert [event.type for batch in context.api_batches for event in batch] == [ChangeType.GONE]
 
 
-@when("each of {count:d} generations changes {size:d} resources behind the api feed")
+@when("each of {count:d} generations changes {size:d} resources of the api feed")
 def large_generations(context, count, size):
     pass_generations(context, count, lambda number: dict.fromkeys(range(1, size + 1), number))
 
@@ -203,7 +203,7 @@
     assert context.feed.can_resume(context.feed.version - 1)
 
 
-@given("an api served on loopback with room for {limit:d} watch")
+@given("an api served on loopback with a limit of {limit:d} watch")
 def served_with_limit(context, limit):
     context.served_settings = ApiSettings(watch_limit=limit)
 
@@ -221,7 +221,7 @@
     async def serve_and_run() -> None:
         node = FakeNode(generation_of(7, {1: 1}))
         logger, _ = silent_logger()
-        with trio.fail_after(PATIENCE_S):
+        with trio.fail_after(TEST_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 urls = await nursery.start(
                     serve_api, FakeState(node), context.served_settings, LOOPBACK, logger
@@ -242,9 +242,9 @@
                 async for line in answer.aiter_lines():
                     context.open_watch_line = msgspec.json.decode(line, type=WatchEvent)
                     break
-            context.watch_is_taken = await is_taken(client)
+            context.watch_is_accepted = await is_accepted(client)
 
-    async def is_taken(client: httpx.AsyncClient) -> bool:
+    async def is_accepted(client: httpx.AsyncClient) -> bool:
         while True:
             async with client.stream("GET", "/v1/watch") as answer:
                 if answer.status_code == 200:
@@ -266,12 +266,12 @@
     assert event.resource.spec.weight == 2
 
 
-@then("after it is closed another api watch is taken on loopback")
-def closed_watch_makes_room(context):
-    assert context.watch_is_taken
+@then("after it is closed another api watch is accepted on loopback")
+def closed_watch_is_not_counted(context):
+    assert context.watch_is_accepted
 
 
-@then("its status can be read over TLS by who trusts the certificate")
+@then("a client that trusts the certificate can read its status over TLS")
 def read_over_tls(context):
     async def body(node: FakeNode, url: str) -> None:
         trusting = ssl.create_default_context(cafile=CERTIFICATES / "certificate.pem")
@@ -282,7 +282,7 @@
     on_loopback(context, body)
 
 
-@then("plain HTTP is not answered by the api on loopback")
+@then("the api on loopback does not answer plain HTTP")
 def plain_is_not_answered(context):
     async def body(node: FakeNode, url: str) -> None:
         async with httpx.AsyncClient() as client:
--- a/sloepond/api/application.py
+++ b/sloepond/api/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application of the operators' API."""
+"""The HTTP application of the operators' API: its paths and their handlers."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 class ResourceListing(msgspec.Struct, frozen=True):
     """Body of `GET /v1/resources`.
 
-    :ivar generation: generation in force; a watch may start after it.
+    :ivar generation: generation in force; a watch can start after it.
     """
 
     resources: tuple[Resource, ...]
@@ -59,7 +59,7 @@
 class OperatorsApi:
     """Handlers of all paths.
 
-    :param feed: feed of the configuration in force of `state`.
+    :param feed: feed of the configuration that is in force on the node of `state`.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         return route
 
     def _record_failure(self, path: str, error: Exception) -> None:
-        """Count a failure; the first one of each kind is logged with its traceback."""
+        """Count a failure; log the first one of each path and exception type with its traceback."""
         self._state.node.counters.handler_failures += 1
         kind = (path, type(error))
         if kind in self._logged_failures:
@@ -184,8 +184,8 @@
 ) -> Starlette:
     """Return the ASGI application of the operators' API.
 
-    :param feed: feed of the configuration in force of `state`; somebody else
-        runs `feed.follow`.
+    :param feed: feed of the configuration that is in force on the node of `state`;
+        the caller runs `feed.poll_continuously`.
     """
     return OperatorsApi(state, settings, feed, logger).application()
 
--- a/sloepond/api/authorization.py
+++ b/sloepond/api/authorization.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: who may read and who may change state."""
+"""Authorization by bearer tokens, with separate tokens to read and to change state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Access(enum.IntEnum):
-    """What a request needs, and what a token allows; each includes the ones below."""
+    """Access level that a request requires or a token grants; each includes the lower ones."""
 
     NONE = 0
     READ = 1
@@ -21,11 +21,11 @@
 
 
 class TokenAuthorizer:
-    """Decides by bearer token.
+    """Authorizes requests by their bearer token.
 
     Without read tokens everyone may read; without write tokens nobody may write.
-    Tokens are compared as digests in constant time, and every token is compared,
-    so that the time taken tells nothing of them.
+    Tokens are compared as digests in constant time, and always with every token,
+    so that the duration reveals nothing about them.
     """
 
     def __init__(self, read_tokens: Iterable[str], write_tokens: Iterable[str]) -> None:
@@ -34,11 +34,11 @@
         self._anonymous_access = Access.NONE if self._read_digests else Access.READ
 
     def authorize(self, header: str | None, required: Access) -> None:
-        """Let a request pass or refuse it.
+        """Check that a request has the required access.
 
-        :param header: value of the `Authorization` header, None where it has none.
-        :raises ApiError: `unauthenticated` without a valid token where one is
-            needed, `forbidden` with a valid token that allows too little.
+        :param header: value of the `Authorization` header; None if it is absent.
+        :raises ApiError: `unauthenticated` if a valid token is required and missing,
+            `forbidden` if the token is valid but grants too little.
         """
         granted = self._anonymous_access if header is None else self._granted(header)
         if granted >= required:
--- a/sloepond/api/changes.py
+++ b/sloepond/api/changes.py
@@ -1,4 +1,4 @@
-"""Changes between two configurations, as a watch reports them."""
+"""Events of a watch: the changes between two configurations."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 
 
 class ChangeType(enum.StrEnum):
-    """What a watch line tells."""
+    """Type of a watch event."""
 
     ADDED = "added"
     MODIFIED = "modified"
     DELETED = "deleted"
     BOOKMARK = "bookmark"
-    """No change; only tells where to resume from, and that the watch is alive."""
+    """No change; gives the version to resume from and shows that the watch is alive."""
     GONE = "gone"
-    """The watch ends: the reader was too slow or its version is not known."""
+    """The watch ends: the reader was too slow or its version is unknown."""
 
 
 class WatchEvent(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of a watch.
+    """One event of a watch, sent as one line.
 
-    The lines of a change of several resources are to be taken together, when the
-    last one has come: the one whose `resource_version` equals its `generation`.
+    A change of several resources consists of several events.  A reader applies them
+    together when it has received the last one, whose `resource_version` equals its
+    `generation`.
 
-    :ivar resource_version: generation to resume from after this line; the one
-        before, until the last line of a change.
-    :ivar generation: generation the line tells of.
-    :ivar resource: the resource as it is now, or as it last was if deleted; None
-        in a bookmark.
+    :ivar resource_version: generation to resume from after this event; the former
+        generation in all events of a change but the last.
+    :ivar generation: generation that the event belongs to.
+    :ivar resource: the new state of the resource, or the last state of a deleted
+        one; None in a bookmark.
     """
 
     type: ChangeType
@@ -44,12 +45,12 @@
 
 
 def listing_events(configuration: CompiledConfiguration) -> tuple[WatchEvent, ...]:
-    """Return every resource in force as added."""
+    """Return an `added` event for every resource in force."""
     return _to_events(_Changes(added=configuration.snapshot.resources), 0, configuration)
 
 
 def change_events(before: CompiledConfiguration, after: CompiledConfiguration) -> tuple[WatchEvent, ...]:
-    """Return the changes from one configuration to a later one; at least a bookmark."""
+    """Return the events from one configuration to a later one; a bookmark if nothing differs."""
     return _to_events(_compare(before, after), before.generation, after)
 
 
@@ -62,7 +63,7 @@
 
 
 def _compare(before: CompiledConfiguration, after: CompiledConfiguration) -> _Changes:
-    """Compare resources; objects shared by both configurations cost next to nothing."""
+    """Compare resources; objects that both configurations share are skipped by identity."""
     shared = set(map(id, before.snapshot.resources)) & set(map(id, after.snapshot.resources))
     old = {resource_key(item): item for item in before.snapshot.resources if id(item) not in shared}
     new = {resource_key(item): item for item in after.snapshot.resources if id(item) not in shared}
@@ -76,7 +77,7 @@
 def _to_events(
     changes: _Changes, version_before: int, configuration: CompiledConfiguration
 ) -> tuple[WatchEvent, ...]:
-    """Return events of which only the last one lets a reader resume after all of them."""
+    """Return the events of a change; only the last one has the new version to resume from."""
     generation = configuration.generation
     typed = [(ChangeType.DELETED, item) for item in changes.deleted]
     typed += [(ChangeType.ADDED, with_status(item, configuration)) for item in changes.added]
@@ -89,5 +90,5 @@
 
 
 def bookmark(generation: int) -> WatchEvent:
-    """Return a line that tells only where to resume from."""
+    """Return an event that only gives the version to resume from."""
     return WatchEvent(ChangeType.BOOKMARK, generation, generation)
--- a/sloepond/api/checking.py
+++ b/sloepond/api/checking.py
@@ -1,4 +1,4 @@
-"""Dry run: the findings about a set of resources, without putting it in force."""
+"""Dry run: validates a set of resources without putting it in force."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 REQUEST_SOURCE = "request"
 YAML_MEDIA_TYPES = ("application/yaml", "application/x-yaml", "text/yaml")
 MAXIMUM_PENDING_CHECKS = 4
-"""Checks that may run or wait at the same time."""
+"""Checks that run or wait for the thread; more are refused."""
 
 
 class CheckAnswer(msgspec.Struct, frozen=True):
     """Body of the answer to `POST /v1/check`.
 
-    :ivar resources: number of resources that are right by themselves.
+    :ivar resources: number of resources that are valid by themselves.
     """
 
     valid: bool
@@ -28,18 +28,18 @@
 
 
 class ResourceChecker:
-    """Checks resources one set at a time, in a thread, beside the data path."""
+    """Validates one set of resources at a time, in a thread, so that the data path is not blocked."""
 
     def __init__(self) -> None:
         self._limiter = trio.CapacityLimiter(1)
         self._pending = 0
 
     async def check(self, body: bytes, media_type: str) -> CheckAnswer:
-        """Check the resources of a request body.
+        """Validate the resources of a request body.
 
         :param body: one resource, a list of them, an object with a list
             `resources`, or YAML documents.
-        :raises ApiError: where too many checks are waiting.
+        :raises ApiError: `too-many-checks` if too many checks are running or waiting.
         """
         if self._pending >= MAXIMUM_PENDING_CHECKS:
             raise ApiError(
--- a/sloepond/api/errors.py
+++ b/sloepond/api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the API: each has a fixed code, an HTTP status and a reason."""
+"""Errors of the API: each has a code, the HTTP status of that code, and a reason."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     ErrorCode.INTERNAL: 500,
 }
 _CODE_BY_STATUS = {404: ErrorCode.NOT_FOUND, 405: ErrorCode.METHOD_NOT_ALLOWED}
-"""Codes of the refusals that the HTTP library decides on."""
+"""Codes for errors that the HTTP framework raises."""
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of every answer with status 400 or above.
+    """Body of every response with status 400 or above.
 
     :ivar reason: one line of text.
     """
@@ -52,7 +52,7 @@
 
 
 class ApiError(Exception):
-    """A request is refused.
+    """Raised to refuse a request.
 
     :param reason: one line of text for the operator.
     """
@@ -63,17 +63,17 @@
 
 
 def error_for_status(status: int) -> ErrorCode:
-    """Return the code of a refusal by the HTTP library."""
+    """Return the code for an HTTP status set by the framework."""
     return _CODE_BY_STATUS.get(status, ErrorCode.INVALID)
 
 
 def json_response(content: object, status: int = 200) -> Response:
-    """Return a typed struct as a JSON answer."""
+    """Return a typed struct as a JSON response."""
     return Response(msgspec.json.encode(content), status_code=status, media_type=JSON_MEDIA_TYPE)
 
 
 def error_response(body: ErrorBody) -> Response:
-    """Return the answer that tells of an error."""
+    """Return the response for an error."""
     response = json_response(body, HTTP_STATUS[body.code])
     if body.code is ErrorCode.UNAUTHENTICATED:
         response.headers["www-authenticate"] = "Bearer"
--- a/sloepond/api/feed.py
+++ b/sloepond/api/feed.py
@@ -1,7 +1,8 @@
 """The feed of configuration changes that watches read from.
 
-Changes of the last generations are kept within bounds, so that a watch can be
-resumed and a slow reader costs no memory: it is told that its version is gone.
+The changes of the latest generations are kept, so that a watch can be resumed.
+Their number is bounded: a slow reader costs no memory, but receives an event
+`gone` once its version is no longer kept.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 POLL_INTERVAL_S = 0.5
-"""Time between looks at the generation in force, in seconds."""
+"""Interval between checks for a new generation."""
 BOOKMARK_INTERVAL_S = 15.0
-"""Longest silence of a watch, in seconds."""
+"""Time without an event after which a watch sends a bookmark."""
 MAXIMUM_KEPT_GENERATIONS = 64
-"""Generations a watch may be behind."""
+"""Generations that a watch may be behind."""
 MAXIMUM_KEPT_EVENTS = 20_000
-"""Events kept over all generations."""
+"""Events kept, of all generations together."""
 
 Batch = tuple[WatchEvent, ...]
 
 
 class _GenerationChange(msgspec.Struct, frozen=True):
-    """The changes from one generation in force here to the next."""
+    """The events between two successive generations in force on this balancer."""
 
     version_before: int
     version_after: int
@@ -36,7 +37,7 @@
 
 
 class ConfigurationFeed:
-    """Notices new generations and hands their changes to watches.
+    """Detects new generations and passes their changes to watches.
 
     :param read: returns the configuration in force.
     """
@@ -50,17 +51,17 @@
 
     @property
     def version(self) -> int:
-        """Newest generation the feed knows."""
+        """Newest generation that the feed has read."""
         return self._latest.generation
 
     async def poll_continuously(self) -> None:
-        """Look for new generations until cancelled."""
+        """Check for new generations at an interval until cancelled."""
         while True:
             self.poll()
             await trio.sleep(POLL_INTERVAL_S)
 
     def poll(self) -> None:
-        """Take the generation in force, if it is new, and wake the watches."""
+        """If a new generation is in force, add its changes and wake the watches."""
         newest = self._read()
         if newest.generation == self._latest.generation:
             return
@@ -77,13 +78,13 @@
             self._event_count -= len(self._history.popleft().events)
 
     def can_resume(self, version: int) -> bool:
-        """Return whether a watch may start after `version`; 0 lists everything first."""
+        """Return whether a watch can start after `version`; 0 lists all resources first."""
         return version in (0, self.version) or self._change_after(version) is not None
 
     async def watch(self, version: int) -> AsyncIterator[Batch]:
-        """Yield changes after `version` in batches, without end.
+        """Yield the changes after `version` in batches.
 
-        The watch ends with an event `gone` where the reader fell too far behind.
+        The watch ends with an event `gone` if the reader has fallen too far behind.
         """
         if version == 0:
             listed = self._latest
@@ -109,7 +110,7 @@
         return None
 
     async def _wait_for_change(self) -> bool:
-        """Wait for a new generation; return False after a long silence."""
+        """Wait for a new generation; return False after `BOOKMARK_INTERVAL_S` without one."""
         with trio.move_on_after(BOOKMARK_INTERVAL_S):
             await self._changed.wait()
             return True
--- a/sloepond/api/metrics.py
+++ b/sloepond/api/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format, with a registry of their own."""
+"""Metrics of a balancer in the Prometheus text format, in a separate registry."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class NodeCollector(Collector):
-    """Reads the state of the node each time metrics are asked for."""
+    """Reads the state of the node at each scrape."""
 
     def __init__(self, state: ApiState) -> None:
         self._state = state
@@ -94,7 +94,7 @@
 
 
 class Metrics:
-    """All metrics of one balancer, those of the process included."""
+    """All metrics of one balancer, including those of its process."""
 
     def __init__(self, state: ApiState) -> None:
         self._registry = CollectorRegistry()
--- a/sloepond/api/readiness.py
+++ b/sloepond/api/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this balancer should be given packets."""
+"""Readiness of a balancer to receive packets."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Readiness(msgspec.Struct, frozen=True):
-    """Body of the answers of `/healthz` and `/readyz`.
+    """Body of the responses of `/healthz` and `/readyz`.
 
-    :ivar reasons: everything that stands against it.
+    :ivar reasons: all reasons why the balancer is not ready.
     """
 
     ok: bool
@@ -18,7 +18,7 @@
 
 
 def readiness_of(status: NodeStatus) -> Readiness:
-    """Return whether a balancer is in a view, has a configuration and stays."""
+    """Return whether a balancer is listed as a member, has a configuration and is not leaving."""
     reasons = []
     if status.name not in status.members:
         reasons.append("not a member of a view")
--- a/sloepond/api/request_parts.py
+++ b/sloepond/api/request_parts.py
@@ -1,4 +1,4 @@
-"""Parts of requests, checked before use."""
+"""Parses and validates parts of requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sloepond.resources.model import Kind
 
 BODY_TIMEOUT_S = 10.0
-"""Longest time a request body may take to arrive, in seconds."""
+"""Time within which a request body must arrive."""
 MAXIMUM_VERSION_DIGITS = 18
 
 _KIND_BY_NAME = {kind.value.lower(): kind for kind in Kind}
@@ -24,7 +24,7 @@
 @overload
 def parse_kind(text: str | None) -> Kind | None: ...
 def parse_kind(text: str | None) -> Kind | None:
-    """Return the kind of a query or path, in any case; None where there is none.
+    """Return the kind named in a query or path, ignoring case; None if none is given.
 
     :raises ApiError: `invalid` for an unknown kind.
     """
@@ -37,9 +37,9 @@
 
 
 def parse_version(text: str) -> int:
-    """Return a generation to watch from.
+    """Return the generation to watch from.
 
-    :raises ApiError: `invalid` where it is not a number from 0.
+    :raises ApiError: `invalid` if it is not a whole number from 0.
     """
     if not text.isascii() or not text.isdigit() or len(text) > MAXIMUM_VERSION_DIGITS:
         raise ApiError(ErrorCode.INVALID, "resource_version must be a whole number from 0")
@@ -49,9 +49,9 @@
 async def read_body(request: Request, limit: int) -> bytes:
     """Return the body of a request.
 
-    :param limit: largest size, in bytes.
-    :raises ApiError: `body-too-large` above it; `invalid` where it does not
-        arrive in time or as a whole.
+    :param limit: maximum size, in bytes.
+    :raises ApiError: `body-too-large` above the limit; `invalid` if the body does
+        not arrive completely within `BODY_TIMEOUT_S`.
     """
     body = bytearray()
     try:
--- a/sloepond/api/resource_status.py
+++ b/sloepond/api/resource_status.py
@@ -1,4 +1,4 @@
-"""The `status` of resources in force, as the API shows them."""
+"""The field `status` of resources in force, as the API shows it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def with_status(resource: Resource, configuration: CompiledConfiguration) -> Resource:
-    """Return `resource` with its status in `configuration`, the one in force."""
+    """Return `resource` with its status in `configuration`, which must be the one in force."""
     status = Status(generation=configuration.generation, message=_message(resource, configuration))
     return msgspec.structs.replace(resource, status=status)
 
--- a/sloepond/api/server.py
+++ b/sloepond/api/server.py
@@ -1,4 +1,4 @@
-"""Serving the operators' API: beside the daemon, over HTTP or TLS."""
+"""Serves the operators' API over HTTP or TLS, in a task beside those of the daemon."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 TLS_HANDSHAKE_TIMEOUT_S = 5
 GRACEFUL_SHUTDOWN_TIMEOUT_S = 1.0
 MAXIMUM_HTTP2_STREAMS = 32
-"""Requests at the same time on one HTTP/2 connection."""
+"""Concurrent requests on one HTTP/2 connection."""
 
 
 class DaemonState:
-    """A daemon as the API sees it."""
+    """Adapts a daemon to `ApiState`."""
 
     def __init__(self, daemon: BalancerDaemon) -> None:
         self._daemon = daemon
 
     @property
     def node(self) -> ApiNode:
-        """The core."""
+        """The core node."""
         return self._daemon.node
 
     @property
@@ -41,7 +41,7 @@
         return self._daemon.traffic.totals
 
     def traffic_rates(self) -> tuple[TrafficRate, ...]:
-        """Return bytes a second exchanged with peers, by class."""
+        """Return bytes per second exchanged with peers, by class."""
         return self._daemon.traffic.rates(monotonic_seconds())
 
     def request_stop(self) -> None:
@@ -50,9 +50,9 @@
 
 
 async def serve_daemon(daemon: BalancerDaemon) -> None:
-    """Serve the API of a daemon until cancelled; runs beside the daemon's tasks.
+    """Serve the API of a daemon until cancelled; an extension of the daemon.
 
-    :raises OSError: where the address cannot be bound.
+    :raises OSError: if the address cannot be bound.
     """
     settings = daemon.settings
     await serve_api(DaemonState(daemon), settings.api, settings.api_address, daemon.logger)
@@ -66,10 +66,10 @@
     *,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve the API until cancelled; to be started in a nursery.
+    """Serve the API until cancelled; to be started with `nursery.start`.
 
-    :param address: `ip:port` to listen on; port 0 takes a free one.
-    :param task_status: told the URLs served once they are bound.
+    :param address: `ip:port` to listen on; port 0 selects a free port.
+    :param task_status: receives the served URLs once they are bound.
     """
     feed = ConfigurationFeed(lambda: state.node.configuration.in_force)
     application = create_app(state, settings, feed, logger)
@@ -95,7 +95,7 @@
 
 
 def server_configuration(settings: ApiSettings, address: str) -> hypercorn.Config:
-    """Return the HTTP server's own configuration."""
+    """Return the configuration of the HTTP server."""
     configuration = hypercorn.Config()
     configuration.bind = address
     configuration.certfile = settings.tls_certificate or None
--- a/sloepond/api/state.py
+++ b/sloepond/api/state.py
@@ -1,4 +1,4 @@
-"""What the operators' API needs of the daemon, as protocols."""
+"""Protocols for the parts of the daemon that the operators' API reads."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     @property
     def in_force(self) -> CompiledConfiguration:
-        """The configuration in force; generation 0 where there is none yet."""
+        """The configuration in force; its generation is 0 if there is none yet."""
 
 
 class ApiNode(Protocol):
@@ -35,18 +35,18 @@
 
 
 class ApiState(Protocol):
-    """The daemon as the API sees it."""
+    """The parts of the daemon that the API uses."""
 
     @property
     def node(self) -> ApiNode:
-        """The core."""
+        """The core node."""
 
     @property
     def traffic_totals(self) -> Mapping[TrafficClass, TrafficTotal]:
         """Traffic with peers since the start, by class."""
 
     def traffic_rates(self) -> tuple[TrafficRate, ...]:
-        """Return bytes a second exchanged with peers, by class."""
+        """Return bytes per second exchanged with peers, by class."""
 
     def request_stop(self) -> None:
         """Start a planned stop."""
--- a/sloepond/api/status.py
+++ b/sloepond/api/status.py
@@ -1,4 +1,4 @@
-"""The status of one balancer, as the API shows it."""
+"""The status of one balancer, as the API returns it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class BalancerStatus(NodeStatus, frozen=True):
     """Body of `GET /v1/status`.
 
-    :ivar traffic: bytes a second exchanged with peers, by class.
+    :ivar traffic: bytes per second exchanged with peers, by class.
     """
 
     traffic: tuple[TrafficRate, ...]
--- a/sloepond/api/watching.py
+++ b/sloepond/api/watching.py
@@ -1,4 +1,4 @@
-"""The endless answer of a watch, and how many there may be."""
+"""The streaming response of a watch, and the limit on concurrent watches."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class WatchLimiter:
-    """Bounds the watches open at the same time.
+    """Limits the number of concurrent watches.
 
-    :ivar open_count: watches open now.
+    :ivar open_count: watches that are open now.
     """
 
     def __init__(self, limit: int) -> None:
@@ -30,9 +30,9 @@
         self.open_count = 0
 
     def open(self) -> Callable[[], None]:
-        """Count a new watch and return what is to be called at its end.
+        """Count a new watch and return a function to call once at its end.
 
-        :raises ApiError: `too-many-watches` at the limit.
+        :raises ApiError: `too-many-watches` if the limit is reached.
         """
         if self.open_count >= self._limit:
             raise ApiError(ErrorCode.TOO_MANY_WATCHES, f"{self._limit} watches are open; try again later")
@@ -44,10 +44,10 @@
 
 
 class WatchResponse(StreamingResponse):
-    """Sends the batches of a watch as JSON lines until the caller is gone.
+    """Sends the batches of a watch as JSON lines until the client disconnects.
 
-    :param kind: kind of the resources to tell of; None for all.
-    :param on_end: called once, however the answer ends.
+    :param kind: kind of the resources to report; None for all.
+    :param on_end: called once, however the response ends.
     """
 
     def __init__(self, batches: AsyncIterator[Batch], kind: Kind | None, on_end: Callable[[], None]) -> None:
@@ -55,7 +55,7 @@
         self._on_end = on_end
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the answer."""
+        """Send the response."""
         try:
             await super().__call__(scope, receive, send)
         finally:
@@ -70,7 +70,7 @@
 
 
 def select_kind(batch: Batch, kind: Kind | None) -> Batch:
-    """Return the events of one kind; the last one still tells where to resume from."""
+    """Return the events of one kind; the last one still has the version to resume from."""
     if kind is None or batch[-1].type is ChangeType.GONE:
         return batch
     selected = tuple(event for event in batch if type(event.resource).__name__ == kind.value)
