--- a/sloepond/cli/access_options.py
+++ b/sloepond/cli/access_options.py
@@ -41,7 +41,7 @@
     return BalancerAccess(servers)
 
 
-def finish(
+def report_update(
     update: ConfigurationUpdate | CommandFailure, balancers: BalancerAccess | None, timeout_s: float
 ) -> int:
     """Print what was written and, where balancers are given, wait for it."""
--- a/sloepond/cli/balancer_access.py
+++ b/sloepond/cli/balancer_access.py
@@ -90,20 +90,20 @@
             if isinstance(answer, CommandFailure):
                 failure = answer
                 continue
-            return _accepted(server, path, answer)
+            return _require_ok(server, path, answer)
         return failure
 
 
 def _status_of(server: HttpAccess) -> BalancerStatus | CommandFailure:
     answer = server.request("GET", STATUS_PATH)
     if isinstance(answer, Answer):
-        answer = _accepted(server, STATUS_PATH, answer)
+        answer = _require_ok(server, STATUS_PATH, answer)
     if isinstance(answer, CommandFailure):
         return answer
     return decode_body(answer.body, BalancerStatus) or _malformed(server.url + STATUS_PATH)
 
 
-def _accepted(server: HttpAccess, path: str, answer: Answer) -> Answer | CommandFailure:
+def _require_ok(server: HttpAccess, path: str, answer: Answer) -> Answer | CommandFailure:
     return answer if answer.status == STATUS_OK else _refusal(server, path, answer)
 
 
--- a/sloepond/cli/configuration_update.py
+++ b/sloepond/cli/configuration_update.py
@@ -43,7 +43,7 @@
         return f"generation {self.generation} written: {self.changes}"
 
 
-DONE = {BackendState.DRAINING: "drained", BackendState.ACTIVE: "undrained"}
+STATE_ACTIONS = {BackendState.DRAINING: "drained", BackendState.ACTIVE: "undrained"}
 """What setting a state is called."""
 
 
@@ -53,7 +53,7 @@
         return CommandFailure(BAD_INPUT, "no file: name files or directories of resources")
     loaded = load_resources(files)
     if loaded.findings:
-        return CommandFailure(REFUSED, _count(len(loaded.findings)), loaded.findings)
+        return CommandFailure(REFUSED, _findings_count_text(len(loaded.findings)), loaded.findings)
     return loaded.resources
 
 
@@ -64,10 +64,10 @@
     present = platform.read()
     if isinstance(present, CommandFailure):
         return present
-    return _write_over(platform, present, wanted)
+    return _replace_present(platform, present, wanted)
 
 
-def _write_over(
+def _replace_present(
     platform: PlatformAccess, present: ConfigurationSnapshot, wanted: Sequence[Resource]
 ) -> ConfigurationUpdate | CommandFailure:
     """Write `wanted` in place of `present`; refused where that is no longer in force.
@@ -96,8 +96,12 @@
         return CommandFailure(REFUSED, f"no back end {name!r} in generation {present.generation}")
     findings = validate_snapshot(wanted)
     if findings:
-        return CommandFailure(REFUSED, f"{name} cannot be {DONE[state]}: {_count(len(findings))}", findings)
-    return _write_over(platform, present, wanted)
+        return CommandFailure(
+            REFUSED,
+            f"{name} cannot be {STATE_ACTIONS[state]}: {_findings_count_text(len(findings))}",
+            findings,
+        )
+    return _replace_present(platform, present, wanted)
 
 
 def set_zone_state(
@@ -113,7 +117,7 @@
     wanted = [_with_zone_state(resource, name, state) for resource in present.resources]
     if not any(isinstance(resource, Zone) and resource.metadata.name == name for resource in wanted):
         return CommandFailure(REFUSED, f"no zone {name!r} in generation {present.generation}")
-    return _write_over(platform, present, wanted)
+    return _replace_present(platform, present, wanted)
 
 
 def wait_for_update(
@@ -139,5 +143,5 @@
     return msgspec.structs.replace(resource, spec=msgspec.structs.replace(resource.spec, state=state))
 
 
-def _count(findings: int) -> str:
+def _findings_count_text(findings: int) -> str:
     return f"{findings} finding" if findings == 1 else f"{findings} findings"
--- a/sloepond/cli/draining.py
+++ b/sloepond/cli/draining.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from sloepond.cli.access_options import finish, open_balancers, open_platform
+from sloepond.cli.access_options import open_balancers, open_platform, report_update
 from sloepond.cli.configuration_update import set_backend_state, set_zone_state
 from sloepond.cli.endpoints import ApiUrls
 from sloepond.cli.exit_codes import BAD_INPUT
@@ -12,7 +12,7 @@
 from sloepond.cli.operator import DEFAULT_TIMEOUT_S
 from sloepond.resources.model import BackendState, ZoneState
 
-ZONE_WORD = "zone"
+ZONE_KEYWORD = "zone"
 """First word of a command that means a zone."""
 
 
@@ -39,7 +39,7 @@
     :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
-    states = DrainedStates(BackendState.DRAINING, ZoneState.EVACUATED)
+    states = TargetStates(BackendState.DRAINING, ZoneState.EVACUATED)
     return _set_state(subject, zone, states, platform, WaitOptions(wait, timeout, api, token))
 
 
@@ -63,11 +63,11 @@
     :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
-    states = DrainedStates(BackendState.ACTIVE, ZoneState.ACTIVE)
+    states = TargetStates(BackendState.ACTIVE, ZoneState.ACTIVE)
     return _set_state(subject, zone, states, platform, WaitOptions(wait, timeout, api, token))
 
 
-class DrainedStates(NamedTuple):
+class TargetStates(NamedTuple):
     """What a command sets: the state of a back end, or that of a zone."""
 
     backend: BackendState
@@ -84,11 +84,11 @@
 
 
 def _set_state(
-    subject: str, zone: str, states: DrainedStates, platform: str | None, options: WaitOptions
+    subject: str, zone: str, states: TargetStates, platform: str | None, options: WaitOptions
 ) -> int:
     """Set the state of a zone where one is named, else that of a back end."""
-    if zone and subject != ZONE_WORD:
-        return report_failure(CommandFailure(BAD_INPUT, f"name a back end, or {ZONE_WORD} and its name"))
+    if zone and subject != ZONE_KEYWORD:
+        return report_failure(CommandFailure(BAD_INPUT, f"name a back end, or {ZONE_KEYWORD} and its name"))
     balancers = open_balancers(options.api, options.token) if options.wait else None
     if isinstance(balancers, CommandFailure):
         return report_failure(balancers)
@@ -99,4 +99,4 @@
         update = set_zone_state(access, zone, states.zone)
     else:
         update = set_backend_state(access, subject, states.backend)
-    return finish(update, balancers, options.timeout_s)
+    return report_update(update, balancers, options.timeout_s)
--- a/sloepond/cli/fleet.py
+++ b/sloepond/cli/fleet.py
@@ -45,13 +45,13 @@
     reports: dict[str, BalancerReport] = {}
     for status in statuses:
         for member in status.members:
-            reports.setdefault(member, _unknown(member, status.name))
+            reports.setdefault(member, _without_report(member, status.name))
         for peer in status.peers:
             if peer.name not in status.members:
                 continue
-            reports[peer.name] = _newer(reports.get(peer.name), _hearsay(peer, status.name))
+            reports[peer.name] = _merge_reports(reports.get(peer.name), _from_peer_report(peer, status.name))
     for status in statuses:
-        reports[status.name] = _own(status)
+        reports[status.name] = _from_own_status(status)
     return tuple(reports[name] for name in sorted(reports))
 
 
@@ -67,7 +67,7 @@
     )
 
 
-def _own(status: BalancerStatus) -> BalancerReport:
+def _from_own_status(status: BalancerStatus) -> BalancerReport:
     return BalancerReport(
         name=status.name,
         state=status.state,
@@ -87,7 +87,7 @@
     return None
 
 
-def _hearsay(peer: PeerReport, heard_from: str) -> BalancerReport:
+def _from_peer_report(peer: PeerReport, heard_from: str) -> BalancerReport:
     return BalancerReport(
         name=peer.name,
         state=peer.state,
@@ -100,12 +100,12 @@
     )
 
 
-def _unknown(name: str, heard_from: str) -> BalancerReport:
+def _without_report(name: str, heard_from: str) -> BalancerReport:
     return BalancerReport(name, UNKNOWN_STATE, None, 0, 0, 0, heard_from)
 
 
-def _newer(known: BalancerReport | None, heard: BalancerReport) -> BalancerReport:
-    if known is None or known.state == UNKNOWN_STATE:
-        return heard
-    newest = max(known, heard, key=lambda report: (report.epoch, report.generation))
-    return msgspec.structs.replace(newest, suspected=known.suspected and heard.suspected)
+def _merge_reports(former: BalancerReport | None, reported: BalancerReport) -> BalancerReport:
+    if former is None or former.state == UNKNOWN_STATE:
+        return reported
+    newest = max(former, reported, key=lambda report: (report.epoch, report.generation))
+    return msgspec.structs.replace(newest, suspected=former.suspected and reported.suspected)
--- a/sloepond/cli/http_access.py
+++ b/sloepond/cli/http_access.py
@@ -12,7 +12,7 @@
 from sloepond.cli.failures import CommandFailure
 
 REQUEST_TIMEOUT_S = 3.0
-MAXIMUM_BODY = 64 * 1024 * 1024
+MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
 """Largest body taken from a server, in bytes."""
 
 STATUS_OK = 200
@@ -59,8 +59,10 @@
         body = bytearray()
         for chunk in response.iter_bytes():
             body += chunk
-            if len(body) > MAXIMUM_BODY:
-                return CommandFailure(UNREACHABLE, f"{self.url}: answer larger than {MAXIMUM_BODY} bytes")
+            if len(body) > MAXIMUM_BODY_BYTES:
+                return CommandFailure(
+                    UNREACHABLE, f"{self.url}: answer larger than {MAXIMUM_BODY_BYTES} bytes"
+                )
         return Answer(response.status_code, bytes(body))
 
     def stream_lines(self, path: str, query: Mapping[str, str]) -> Iterator[str | Answer | CommandFailure]:
--- a/sloepond/cli/lab.py
+++ b/sloepond/cli/lab.py
@@ -17,11 +17,11 @@
 from sloepond.lab.scenario import Scenario, ScenarioError, scaled
 from sloepond.lab.trace import FlowTracer
 
-HOLDS = 0
-BROKEN = 1
+PASSED = 0
+FAILED = 1
 BAD_INPUT = 2
 
-_SHOWN_EVENTS = 3
+_SHOWN_VIOLATIONS = 3
 
 POLICY = "token"
 """Name of the one node that the lab runs."""
@@ -39,11 +39,11 @@
     try:
         scenarios = all_scenarios()
     except ScenarioError as invalid:
-        return _refuse(invalid)
+        return _report_invalid_scenario(invalid)
     for scenario in scenarios:
         flows = sum(load.flows for load in scenario.load)
         sys.stdout.write(f"{scenario.name:<36}{flows:>8} flows  {scenario.description}\n")
-    return HOLDS
+    return PASSED
 
 
 def run(
@@ -71,19 +71,19 @@
     try:
         _check_policy(policy)
         loaded = scaled(find_scenario(scenario), share)
-        outcome = _run_traced(loaded, seed, trace) if trace else _run_shown(loaded, seed)
+        outcome = _run_traced(loaded, seed, trace) if trace else _run_with_progress(loaded, seed)
     except ScenarioError as invalid:
-        return _refuse(invalid)
+        return _report_invalid_scenario(invalid)
     except (msgspec.ValidationError, ValueError) as error:
-        return _refuse_text(str(error))
+        return _report_bad_input(str(error))
     if result:
         Path(result).write_bytes(msgspec.json.encode(outcome))
     if json:
         sys.stdout.write(msgspec.json.encode(outcome.measures).decode() + "\n")
     else:
         _print_measures(outcome)
-    _print_broken(outcome)
-    return HOLDS if outcome.holds else BROKEN
+    _print_broken_promises(outcome)
+    return PASSED if outcome.holds else FAILED
 
 
 def plot(result: str, *, output: str = "") -> int:
@@ -97,11 +97,11 @@
     try:
         outcome = msgspec.json.decode(source.read_bytes(), type=LabResult)
     except (OSError, msgspec.DecodeError) as error:
-        return _refuse_text(f"{source}: {error}")
+        return _report_bad_input(f"{source}: {error}")
     target = Path(output) if output else source.with_suffix(".png")
     plot_result(outcome, target)
     sys.stdout.write(f"{target}\n")
-    return HOLDS
+    return PASSED
 
 
 def _check_policy(policy: str) -> None:
@@ -116,7 +116,7 @@
     sys.stderr.write(f"--policy: {policy} no longer exists; the run uses {POLICY}\n")
 
 
-def _run_shown(scenario: Scenario, seed: int) -> LabResult:
+def _run_with_progress(scenario: Scenario, seed: int) -> LabResult:
     """Run with a progress bar where standard error is a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
@@ -140,19 +140,19 @@
     Console().print(table)
 
 
-def _print_broken(outcome: LabResult) -> None:
+def _print_broken_promises(outcome: LabResult) -> None:
     for promise in outcome.broken_promises:
         sys.stderr.write(f"broken: {promise.name} is {promise.measured}, at most {promise.limit}\n")
-        for violation in promise.first[:_SHOWN_EVENTS]:
+        for violation in promise.first[:_SHOWN_VIOLATIONS]:
             sys.stderr.write(f"  {violation.at:.3f} s: {violation.detail}\n")
 
 
-def _refuse(invalid: ScenarioError) -> int:
+def _report_invalid_scenario(invalid: ScenarioError) -> int:
     for finding in invalid.findings:
         sys.stderr.write(f"{finding.place}: {finding.message}\n")
     return BAD_INPUT
 
 
-def _refuse_text(text: str) -> int:
+def _report_bad_input(text: str) -> int:
     sys.stderr.write(f"{text}\n")
     return BAD_INPUT
--- a/sloepond/cli/operator.py
+++ b/sloepond/cli/operator.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sloepond import __version__
-from sloepond.cli.access_options import finish, open_balancers, open_platform
+from sloepond.cli.access_options import open_balancers, open_platform, report_update
 from sloepond.cli.balancer_access import BalancerAccess
 from sloepond.cli.configuration_update import (
     load_declared,
@@ -73,7 +73,7 @@
     if isinstance(access, CommandFailure):
         return report_failure(access)
     update = replace_configuration(access, resources)
-    return finish(update, balancers, timeout)
+    return report_update(update, balancers, timeout)
 
 
 def get(
--- a/sloepond/cli/rendering.py
+++ b/sloepond/cli/rendering.py
@@ -50,22 +50,22 @@
     if output is OutputFormat.table:
         _print_resource_tables(resources)
         return
-    values = [_explicit(resource) for resource in resources]
+    values = [_with_defaults(resource) for resource in resources]
     if output is OutputFormat.json:
         print_json({"resources": values})
     else:
         print(yaml.safe_dump_all(values, sort_keys=False), end="")
 
 
-def _explicit(value: object) -> object:
+def _with_defaults(value: object) -> object:
     """Return a resource, or a part of one, as plain values with all defaults written out."""
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.fields(value)
-        plain = {field.encode_name: _explicit(getattr(value, field.name)) for field in fields}
+        plain = {field.encode_name: _with_defaults(getattr(value, field.name)) for field in fields}
         known = {name: item for name, item in plain.items() if item is not None}
         return {KIND_FIELD: type(value).__name__} | known if isinstance(value, Resource) else known
     if isinstance(value, tuple):
-        return [_explicit(item) for item in value]
+        return [_with_defaults(item) for item in value]
     return str(value) if isinstance(value, enum.StrEnum) else value
 
 
--- a/sloepond/cli/rollout.py
+++ b/sloepond/cli/rollout.py
@@ -39,13 +39,13 @@
     """
     while True:
         answer = access.statuses()
-        result = judge(answer, generation, time.monotonic() - started)
+        result = check_rollout(answer, generation, time.monotonic() - started)
         if isinstance(result, InForce) or time.monotonic() - started >= timeout_s:
             return result
         time.sleep(POLL_INTERVAL_S)
 
 
-def judge(answer: FleetAnswer, generation: int, seconds: float) -> InForce | CommandFailure:
+def check_rollout(answer: FleetAnswer, generation: int, seconds: float) -> InForce | CommandFailure:
     """Return whether `generation` is in force on all balancers that are heard of."""
     if not answer.statuses:
         return answer.failures[0]
--- a/sloepond/cli/standin.py
+++ b/sloepond/cli/standin.py
@@ -29,13 +29,13 @@
 from sloepond.standins.started import StandinStarted, print_started
 from sloepond.standins.workload import WorkloadSettings, plan_workload
 
-ANY_PORT = "127.0.0.1:0"
-EXIT_FINDINGS = 2
+ANY_LOOPBACK_PORT = "127.0.0.1:0"
+EXIT_BAD_INPUT = 2
 
 _BALANCER_SEPARATOR = "="
 
 
-def platform(*, address: str = ANY_PORT, resources: Sequence[Path] = ()) -> None:
+def platform(*, address: str = ANY_LOOPBACK_PORT, resources: Sequence[Path] = ()) -> None:
     """Run the platform's configuration service and list of machines, in memory.
 
     :param address: `ip:port` to serve HTTP on; port 0 takes a free port.
@@ -55,8 +55,8 @@
 
 def fabric(
     *,
-    address: str = ANY_PORT,
-    control: str = ANY_PORT,
+    address: str = ANY_LOOPBACK_PORT,
+    control: str = ANY_LOOPBACK_PORT,
     balancers: Sequence[str] = (),
     platform_url: str = "",
     poll_s: float = 2.0,
@@ -94,7 +94,7 @@
 def _parse_balancer(text: str) -> Balancer:
     name, separator, address = text.partition(_BALANCER_SEPARATOR)
     if not separator:
-        _exit_with([f"{text}: not of the form name=ip:port"])
+        _exit_with_errors([f"{text}: not of the form name=ip:port"])
     return Balancer(name, address)
 
 
@@ -102,7 +102,7 @@
     *,
     resources: Sequence[Path],
     names: Sequence[str] = (),
-    control: str = ANY_PORT,
+    control: str = ANY_LOOPBACK_PORT,
     queue: int = 16,
     service_s: float = 0.02,
     cold_s: float = 0.0,
@@ -135,7 +135,7 @@
     )
     backends = hosted_backends(_load(resources), names, settings, seed)
     if not backends:
-        _exit_with(["no such back end is declared"])
+        _exit_with_errors(["no such back end is declared"])
     _run_until_interrupted(partial(_run_backends, BackendHost(backends), control))
 
 
@@ -150,8 +150,8 @@
     fabric_address: str,
     resources: Sequence[Path],
     services: Sequence[str] = (),
-    address: str = ANY_PORT,
-    control: str = ANY_PORT,
+    address: str = ANY_LOOPBACK_PORT,
+    control: str = ANY_LOOPBACK_PORT,
     flows: int = 300,
     opening_s: float = 10.0,
     lifetime_s: float = 15.0,
@@ -175,7 +175,7 @@
     """
     called = called_services(_load(resources), services)
     if not called:
-        _exit_with(["no such service is declared"])
+        _exit_with_errors(["no such service is declared"])
     random_source = random.Random(seed)
     workload = WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s)
     planned = plan_workload(called, workload, random_source)
@@ -197,14 +197,14 @@
 def _load(paths: Sequence[Path]) -> tuple[Resource, ...]:
     loaded = load_resources(paths)
     if loaded.findings:
-        _exit_with([str(finding) for finding in loaded.findings])
+        _exit_with_errors([str(finding) for finding in loaded.findings])
     return loaded.resources
 
 
-def _exit_with(findings: Sequence[str]) -> None:
-    for finding in findings:
-        print(finding, file=sys.stderr)
-    raise SystemExit(EXIT_FINDINGS)
+def _exit_with_errors(errors: Sequence[str]) -> None:
+    for error in errors:
+        print(error, file=sys.stderr)
+    raise SystemExit(EXIT_BAD_INPUT)
 
 
 def _run_until_interrupted(run: Callable[[], object]) -> None:
