--- a/features/steps/cli_race_steps.py
+++ b/features/steps/cli_race_steps.py
@@ -1,4 +1,4 @@
-"""Operators who write at the same time, against a platform kept in memory."""
+"""Steps for operators who write concurrently, on a platform in memory."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 class RacingPlatform:
-    """Answers reads and writes; another operator writes after a number of reads."""
+    """Answers reads and writes; another operator writes after a given number of reads."""
 
     def __init__(self, resources, reads_before_race):
         self.snapshot = make_snapshot(1, list(resources))
@@ -54,8 +54,8 @@
     return next(r.spec.weight for r in snapshot.resources if r.metadata.name == name)
 
 
-@then("cli property: a write made after the drain has read is never overwritten")
-def never_overwritten(_):
+@then("for any cli drain a concurrent write after its read is not overwritten")
+def write_is_not_overwritten(_):
     resources = load_declared([EXAMPLE])
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=20)
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the operators' commands; servers run on loopback in threads."""
+"""Steps for the operators' commands; servers run on loopback in threads."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from sloepond.standins.platform import ModeRequest, PlatformMode, PlatformService, PlatformState
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
-BROKEN = """
+INVALID_RESOURCE = """
 apiVersion: sloepond/v2
 kind: Backend
 metadata: {name: Upper, extra: 1}
@@ -59,7 +59,7 @@
 
 
 class BackgroundServer:
-    """Serves one application in a thread of its own."""
+    """Serves one application in a separate thread."""
 
     def __init__(self, application) -> None:
         self._application = application
@@ -106,10 +106,10 @@
     return context.names
 
 
-@given("a cli resources file with 7 faults")
-def broken_file(context):
+@given("a cli resources file with 7 errors")
+def invalid_file(context):
     with tempfile.NamedTemporaryFile("w", suffix=".yaml", delete=False) as file:
-        file.write(BROKEN)
+        file.write(INVALID_RESOURCE)
     context.add_cleanup(os.unlink, file.name)
     names_of(context)["file"] = file.name
 
@@ -120,7 +120,7 @@
     names_of(context)["platform"] = serve(context, PlatformService(context.platform).application)
 
 
-@given('cli balancers "{names}" that follow it')
+@given('cli balancers "{names}" that use the configuration of that platform')
 def start_balancers(context, names):
     context.members = tuple(names.split(", "))
     context.fixed_generations = {}
@@ -130,10 +130,10 @@
 
 
 class FakeBalancer:
-    """Answers as the API of a balancer that has what the platform has."""
+    """The API of a balancer whose configuration is the platform's newest one."""
 
     def __init__(self, context, name: str) -> None:
-        self._world = {
+        self._fleet = {
             "platform": context.platform,
             "members": context.members,
             "fixed": context.fixed_generations,
@@ -150,14 +150,14 @@
         )
 
     def _generation(self, name: str) -> int:
-        return self._world["fixed"].get(name, self._world["platform"].latest.generation)
+        return self._fleet["fixed"].get(name, self._fleet["platform"].latest.generation)
 
     async def _status(self, _request) -> Response:
-        generations = {name: self._generation(name) for name in self._world["members"]}
-        return json_response(make_status(self._name, generations, self._world["suspected"]))
+        generations = {name: self._generation(name) for name in self._fleet["members"]}
+        return json_response(make_status(self._name, generations, self._fleet["suspected"]))
 
     async def _resources(self, request) -> Response:
-        configuration = CompiledConfiguration(self._world["platform"].latest)
+        configuration = CompiledConfiguration(self._fleet["platform"].latest)
         kind = request.query_params.get("kind")
         listed = [with_status(item, configuration) for item in configuration.snapshot.resources]
         chosen = tuple(item for item in listed if kind in (None, type(item).__name__))
@@ -168,14 +168,14 @@
 
     async def _watch(self, request) -> Response:
         kind = request.query_params["kind"]
-        events = listing_events(CompiledConfiguration(self._world["platform"].latest))
+        events = listing_events(CompiledConfiguration(self._fleet["platform"].latest))
         chosen = [event for event in events if type(event.resource).__name__ == kind]
         chosen.append(WatchEvent(ChangeType.GONE, 1, 1))
         return Response(b"".join(msgspec.json.encode(event) + b"\n" for event in chosen))
 
 
 def make_status(name: str, generations: dict, suspected: set) -> BalancerStatus:
-    """Return what `name` says of itself and of the others in `generations`."""
+    """Return the status of `name`, with reports on the others in `generations`."""
     peers = tuple(
         PeerReport(peer, "127.0.0.1:1", "active", 1, generation, "", 0, 0.1, peer in suspected)
         for peer, generation in generations.items()
@@ -185,7 +185,7 @@
     return BalancerStatus(name, 1, "h", "active", 1, members, True, generations[name], "", 0, 0, peers, ())
 
 
-@given('the cli balancer "{name}" stays at generation {generation:d}')
+@given('the cli balancer "{name}" remains at generation {generation:d}')
 def fix_generation(context, name, generation):
     context.fixed_generations[name] = generation
 
@@ -201,7 +201,7 @@
     context.code, context.output, context.errors = run_cli(filled)
 
 
-@when("the cli platform gives its generation {generation:d} to readers")
+@when("the cli platform returns generation {generation:d} to readers")
 def make_stale(context, generation):
     assert context.platform.set_mode(ModeRequest(PlatformMode.STALE, generation)) is None
 
@@ -251,13 +251,13 @@
 
 
 @then("the cli platform has no draining back end and no evacuated zone")
-def nothing_drained(context):
+def nothing_is_drained(context):
     resources = context.platform.latest.resources
     states = [item.spec.state for item in resources if isinstance(item, Backend | Zone)]
     assert set(states) == {BackendState.ACTIVE, ZoneState.ACTIVE}
 
 
-@then('the cli platform gives no back end of zone "{zone}" new flows')
+@then('the cli platform allows no new flows to the back ends of zone "{zone}"')
 def zone_evacuated(context, zone):
     compiled = CompiledConfiguration(context.platform.latest)
     inside = [item for item in compiled.backends_by_name.values() if item.location.zone == zone]
@@ -289,7 +289,7 @@
     assert [int(line.split()[0]) for line in lines if line.strip()] == list(EXIT_CODES), lines
 
 
-@then("for any cli arguments the code is documented and each error is one line")
+@then("for any cli arguments the exit code is documented and only a failure prints an error")
 def any_arguments(context):
     url = "http://127.0.0.1:1"
     options = [
@@ -304,7 +304,8 @@
     options += [["--api", url], ["--platform", url], ["--platform=http://["], [f"--api={url}/\n"]]
     options += [[word] for word in ("backend", "missing.yaml", str(EXAMPLES / "accra"))]
     commands = st.sampled_from(["check", "apply", "get", "watch", "status", "drain", "undrain", "version"])
-    text = st.text(st.characters(exclude_characters="./"), min_size=1, max_size=3)  # names no directory
+    # Without dots and slashes, a word is not the path of an existing directory.
+    text = st.text(st.characters(exclude_characters="./"), min_size=1, max_size=3)
     words = st.lists(st.sampled_from(options) | text.map(lambda word: [word]), max_size=4)
     codes = set()
 
@@ -321,7 +322,7 @@
     assert {exit_codes.REFUSED, exit_codes.BAD_INPUT, exit_codes.UNREACHABLE} <= codes, codes
 
 
-@then("for any cli arguments repeated API options are joined and all else keeps its order")
+@then("for any cli arguments repeated API options are joined and the others keep their order")
 def api_options(context):
     url = st.sampled_from(["u1", "u2", "u3"])
     pieces = st.one_of(
@@ -342,18 +343,18 @@
     check()
 
 
-@then("for any cli statuses the lagging balancers are those whose best known generation is older")
+@then("for any cli statuses a balancer lags if its own or else highest reported generation is older")
 def fleet_property(context):
     generations = st.fixed_dictionaries({name: st.integers(0, 3) for name in "abcd"})
-    asked = st.dictionaries(st.sampled_from("abcd"), generations, min_size=1)
+    fleet_reports = st.dictionaries(st.sampled_from("abcd"), generations, min_size=1)
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=200)
-    @for_any(asked, st.integers(1, 3))
-    def check(heard, generation):
-        statuses = [make_status(name, known, set()) for name, known in heard.items()]
+    @for_any(fleet_reports, st.integers(1, 3))
+    def check(reports, generation):
+        statuses = [make_status(name, known, set()) for name, known in reports.items()]
         expected = set()
         for name in "abcd":
-            best = heard[name][name] if name in heard else max(known[name] for known in heard.values())
+            best = reports[name][name] if name in reports else max(known[name] for known in reports.values())
             if best < generation:
                 expected.add(name)
         behind = {report.name for report in lagging(combine_statuses(statuses), generation)}
--- a/sloepond/cli/access_options.py
+++ b/sloepond/cli/access_options.py
@@ -1,4 +1,4 @@
-"""What commands that change declared state share: access by their options, and how they end."""
+"""Shared parts of commands that change declared state: access by options, report of the result."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def open_platform(option: str | None) -> PlatformAccess | CommandFailure:
-    """Return access to the platform named by an option or the environment."""
+    """Return access to the platform given by the option or else the environment."""
     url = resolve_platform(option)
     if isinstance(url, CommandFailure):
         return url
@@ -28,7 +28,7 @@
 
 
 def open_balancers(option: ApiUrls | None, token: str | None) -> BalancerAccess | CommandFailure:
-    """Return access to the balancers named by an option or the environment."""
+    """Return access to the balancers given by the option or else the environment."""
     urls = resolve_api(option)
     if isinstance(urls, CommandFailure):
         return urls
@@ -44,7 +44,10 @@
 def report_update(
     update: ConfigurationUpdate | CommandFailure, balancers: BalancerAccess | None, timeout_s: float
 ) -> int:
-    """Print what was written and, where balancers are given, wait for it."""
+    """Print the result of a write and return the exit code.
+
+    :param balancers: if given, wait until the update is in force on all of them.
+    """
     if isinstance(update, CommandFailure):
         return report_failure(update)
     print(update)
--- a/sloepond/cli/balancer.py
+++ b/sloepond/cli/balancer.py
@@ -1,4 +1,4 @@
-"""`sloepond balancer`: the daemon."""
+"""The command `sloepond balancer`, which runs the daemon."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
     platform_url: str = "",
     check_settings: bool = False,
 ) -> int:
-    """Run a balancer until SIGTERM has stopped it.
+    """Run a balancer until SIGTERM stops it.
 
-    Flags that are given win over the settings file.
+    Flags override the settings file.
 
     :param settings: settings file (TOML).
     :param name: name of this balancer.
     :param region: region of this machine.
     :param zone: zone of this machine.
     :param hall: hall of this machine.
-    :param edge_address: ip:port that takes callers' packets from the fabric.
-    :param backend_address: ip:port that talks to back ends.
-    :param peer_address: ip:port that talks to other balancers.
+    :param edge_address: ip:port for callers' packets from the fabric.
+    :param backend_address: ip:port for packets to and from back ends.
+    :param peer_address: ip:port for messages to and from other balancers.
     :param api_address: ip:port of the operators' API.
     :param platform_url: base URL of the platform's service.
-    :param check_settings: check the settings, print all findings and end.
-    :returns: 0 after a planned stop, 1 after a forced one, 2 where the settings are refused.
+    :param check_settings: check the settings, print all findings and exit.
+    :returns: 0 after a planned stop, 1 after a forced one, 2 if the settings are refused.
     """
     flags = {
         ("name",): name,
@@ -86,8 +86,8 @@
 ) -> ExitCode:
     """Run a balancer until it has stopped.
 
-    :param file: settings file, which SIGHUP reads again with the overrides.
-    :param unread: settings of the file without effect, named in the log once.
+    :param file: settings file, read again with the overrides on SIGHUP.
+    :param unread: settings in the file that have no effect; logged once.
     """
     handler = create_log_handler(settings.log)
     logger = create_logger()
@@ -110,7 +110,7 @@
 
 
 def _api_extension(settings: BalancerSettings) -> list[Extension]:
-    """Return the task of the operators' API, where it has an address and is built in."""
+    """Return the task of the operators' API if it has an address and is installed."""
     if not settings.api_address or importlib.util.find_spec("sloepond.api.server") is None:
         return []
     from sloepond.api.server import serve_daemon
--- a/sloepond/cli/balancer_access.py
+++ b/sloepond/cli/balancer_access.py
@@ -1,4 +1,4 @@
-"""Asking the balancers' API."""
+"""Client of the balancers' API."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class ResourceListing(msgspec.Struct, frozen=True):
-    """Body of `GET /v1/resources`, as far as the commands need it."""
+    """The part of the body of `GET /v1/resources` that the commands use."""
 
     resources: tuple[Resource, ...]
 
 
 class FleetAnswer(msgspec.Struct, frozen=True):
-    """Statuses of the balancers that answered, and why others did not."""
+    """Statuses of the balancers that answered, and the failures of the others."""
 
     statuses: tuple[BalancerStatus, ...]
     failures: tuple[CommandFailure, ...]
@@ -40,7 +40,7 @@
         self._servers = servers
 
     def statuses(self) -> FleetAnswer:
-        """Ask every balancer for its status."""
+        """Request the status of every balancer."""
         statuses: list[BalancerStatus] = []
         failures: list[CommandFailure] = []
         for server in self._servers:
@@ -52,14 +52,14 @@
         return FleetAnswer(tuple(statuses), tuple(failures))
 
     def resources(self, kind: Kind | None) -> ResourceListing | CommandFailure:
-        """Return the resources in force, of the first balancer that answers."""
+        """Return the resources in force on the first balancer that answers."""
         answer = self._first_answer(RESOURCES_PATH, _kind_query(kind))
         if isinstance(answer, CommandFailure):
             return answer
         return decode_body(answer.body, ResourceListing) or _malformed(RESOURCES_PATH)
 
     def resource(self, kind: Kind, name: str) -> Resource | CommandFailure:
-        """Return one resource in force, of the first balancer that answers."""
+        """Return one resource in force on the first balancer that answers."""
         path = f"{RESOURCES_PATH}/{kind}/{name}"
         answer = self._first_answer(path, {})
         if isinstance(answer, CommandFailure):
@@ -68,7 +68,7 @@
         return resource or _malformed(path)
 
     def watch(self, kind: Kind | None, since: int) -> Iterator[WatchEvent | CommandFailure]:
-        """Yield changes as they come in force, from the first balancer named.
+        """Yield changes as they come into force, from the first balancer given.
 
         :param since: generation to start after; 0 lists all resources first.
         """
--- a/sloepond/cli/changes.py
+++ b/sloepond/cli/changes.py
@@ -1,4 +1,4 @@
-"""What a new set of resources changes in the present one."""
+"""Summary of the difference between two sets of resources."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def compare_resources(present: Sequence[Resource], wanted: Sequence[Resource]) -> ResourceChanges:
-    """Return what replacing `present` by `wanted` changes."""
+    """Return the changes made by replacing `present` with `wanted`."""
     before = {resource_key(resource): resource for resource in present}
     after = {resource_key(resource): resource for resource in wanted}
     shared = before.keys() & after.keys()
--- a/sloepond/cli/configuration_update.py
+++ b/sloepond/cli/configuration_update.py
@@ -1,4 +1,4 @@
-"""Changing the platform's configuration: whole from files, or one back end."""
+"""Updates of the platform's configuration: all resources, or the state of one back end or zone."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True):
-    """What a command has written.
+    """The result of a write.
 
-    :ivar generation: generation to be in force; the present one where nothing changed.
-    :ivar written_at: when the platform had it, on the monotonic clock, in seconds.
+    :ivar generation: generation that should come into force; the present one if nothing changed.
+    :ivar written_at: when the platform had confirmed it, on the monotonic clock, in seconds.
     """
 
     generation: int
@@ -44,11 +44,11 @@
 
 
 STATE_ACTIONS = {BackendState.DRAINING: "drained", BackendState.ACTIVE: "undrained"}
-"""What setting a state is called."""
+"""Participles of the commands that set a state, for error messages."""
 
 
 def load_declared(files: Sequence[Path]) -> tuple[Resource, ...] | CommandFailure:
-    """Return the resources of `files`, or all findings."""
+    """Return the resources of `files`, or a failure with all findings."""
     if not files:
         return CommandFailure(BAD_INPUT, "no file: name files or directories of resources")
     loaded = load_resources(files)
@@ -60,7 +60,7 @@
 def replace_configuration(
     platform: PlatformAccess, wanted: Sequence[Resource]
 ) -> ConfigurationUpdate | CommandFailure:
-    """Make `wanted` the platform's whole configuration, unless it is already."""
+    """Replace the platform's whole configuration with `wanted`, unless they are equal."""
     present = platform.read()
     if isinstance(present, CommandFailure):
         return present
@@ -70,10 +70,10 @@
 def _replace_present(
     platform: PlatformAccess, present: ConfigurationSnapshot, wanted: Sequence[Resource]
 ) -> ConfigurationUpdate | CommandFailure:
-    """Write `wanted` in place of `present`; refused where that is no longer in force.
+    """Replace `present` with `wanted`; refused if `present` is no longer the newest configuration.
 
-    What is written must rest on one read: a second one would hide a change that
-    another operator made in between.
+    `present` must be the read from which `wanted` was derived.  With a second read, a change
+    by another operator between the two reads would be overwritten.
     """
     changes = compare_resources(present.resources, wanted)
     if changes.is_empty:
@@ -87,7 +87,7 @@
 def set_backend_state(
     platform: PlatformAccess, name: str, state: BackendState
 ) -> ConfigurationUpdate | CommandFailure:
-    """Set the state of the back end `name`, leaving all else as it is."""
+    """Set the state of the back end `name` and change nothing else."""
     present = platform.read()
     if isinstance(present, CommandFailure):
         return present
@@ -107,9 +107,9 @@
 def set_zone_state(
     platform: PlatformAccess, name: str, state: ZoneState
 ) -> ConfigurationUpdate | CommandFailure:
-    """Set the state of the zone `name`, leaving all else as it is.
+    """Set the state of the zone `name` and change nothing else.
 
-    A zone is evacuated also where a service then has no back end left: its new flows are refused.
+    A zone can be evacuated even if a service then has no back end left; its new flows are refused.
     """
     present = platform.read()
     if isinstance(present, CommandFailure):
--- a/sloepond/cli/draining.py
+++ b/sloepond/cli/draining.py
@@ -1,4 +1,4 @@
-"""Commands that give a back end, or a whole zone, no new flows, and that take this back."""
+"""The commands `drain` and `undrain`, for a back end or a whole zone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sloepond.resources.model import BackendState, ZoneState
 
 ZONE_KEYWORD = "zone"
-"""First word of a command that means a zone."""
+"""First argument if the command applies to a zone."""
 
 
 def drain(
@@ -26,10 +26,10 @@
     api: ApiUrls | None = None,
     token: str | None = None,
 ) -> int:
-    """Give a back end, or all of a zone, no new flows: `drain BACKEND` or `drain zone NAME`.
+    """Stop new flows to a back end or a whole zone: `drain BACKEND` or `drain zone NAME`.
 
-    Established flows go on.  Files in version control are not changed: a later `apply`
-    of them sets the state they declare.
+    Established flows continue.  Files in version control are not changed: a later `apply`
+    of them sets the state that they declare.
 
     :param subject: name of the back end, or `zone`
     :param zone: name of the zone where the first word is `zone`
@@ -53,7 +53,7 @@
     api: ApiUrls | None = None,
     token: str | None = None,
 ) -> int:
-    """Give a back end, or a zone, new flows again: `undrain BACKEND` or `undrain zone NAME`.
+    """Allow new flows to a back end or a zone again: `undrain BACKEND` or `undrain zone NAME`.
 
     :param subject: name of the back end, or `zone`
     :param zone: name of the zone where the first word is `zone`
@@ -68,7 +68,7 @@
 
 
 class TargetStates(NamedTuple):
-    """What a command sets: the state of a back end, or that of a zone."""
+    """The states that a command sets: one for a back end, one for a zone."""
 
     backend: BackendState
     zone: ZoneState
@@ -86,7 +86,7 @@
 def _set_state(
     subject: str, zone: str, states: TargetStates, platform: str | None, options: WaitOptions
 ) -> int:
-    """Set the state of a zone where one is named, else that of a back end."""
+    """Set the state of the zone if one is given, else that of the back end."""
     if zone and subject != ZONE_KEYWORD:
         return report_failure(CommandFailure(BAD_INPUT, f"name a back end, or {ZONE_KEYWORD} and its name"))
     balancers = open_balancers(options.api, options.token) if options.wait else None
--- a/sloepond/cli/endpoints.py
+++ b/sloepond/cli/endpoints.py
@@ -1,4 +1,4 @@
-"""Where the platform and the balancers' API are, from options or environment."""
+"""URLs and tokens of the platform and the balancers' API, from options or the environment."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
 
 
 def merge_api_options(arguments: Sequence[str]) -> list[str]:
-    """Join repeated `--api URL` options into one, which is what the parser takes.
+    """Join repeated `--api URL` options into one, because the parser accepts only one.
 
-    What stands after `--`, and an option without its URL, is left as it is.
+    Arguments after `--` and an option without its URL are left unchanged.
     """
     merged: list[str] = []
     urls: list[str] = []
@@ -103,7 +103,7 @@
 
 
 def resolve_ca_file() -> str:
-    """Return the file of certificates trusted besides the system's; empty for none."""
+    """Return the file of certificates to trust in addition to the system's; empty for none."""
     return os.environ.get(CA_FILE_VARIABLE, "")
 
 
--- a/sloepond/cli/failures.py
+++ b/sloepond/cli/failures.py
@@ -1,4 +1,4 @@
-"""Why a command failed, as a value: its exit code and one line of text."""
+"""Failures of commands as values: an exit code and one line of text."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class CommandFailure(msgspec.Struct, frozen=True):
-    """A command failed.
+    """The failure of a command.
 
     :ivar exit_code: one of `sloepond.cli.exit_codes`.
     :ivar reason: one line of text.
-    :ivar findings: all findings, where resources were refused.
+    :ivar findings: all findings, if resources were refused.
     """
 
     exit_code: int
@@ -23,7 +23,7 @@
 
 
 def report_failure(failure: CommandFailure, *, list_findings: bool = True) -> int:
-    """Print a failure to standard error, one line each finding; return its exit code."""
+    """Print a failure to standard error, with one line for each finding; return its exit code."""
     for finding in failure.findings if list_findings else ():
         print(one_line(str(finding)), file=sys.stderr)
     print(f"sloepond: {one_line(failure.reason)}", file=sys.stderr)
@@ -31,6 +31,6 @@
 
 
 def one_line(text: str) -> str:
-    """Return `text` on one line, with what a terminal cannot take escaped."""
+    """Return `text` on one line, with characters that cannot be encoded escaped."""
     printable = text.encode(errors="backslashreplace").decode()
     return " ".join(printable.split())
--- a/sloepond/cli/fleet.py
+++ b/sloepond/cli/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as its balancers report it: one line for each balancer."""
+"""Combines the statuses of balancers into one report for each balancer of the fleet."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class BalancerReport(msgspec.Struct, frozen=True):
-    """What is known of one balancer.
+    """State of one balancer, as reported by itself or by others.
 
-    :ivar has_lease: None where it was not asked itself.
-    :ivar control_bytes_per_second: sent to peers and received from them; None
-        where it was not asked itself.
-    :ivar heard_from: `itself`, or the name of the balancer that told of it.
-    :ivar suspected: whether every balancer that told of it suspects it.
+    :ivar has_lease: None if the balancer itself did not report.
+    :ivar control_bytes_per_second: sent to peers and received from them; None if
+        the balancer itself did not report.
+    :ivar heard_from: `itself`, or the name of the balancer that reported it.
+    :ivar suspected: whether every balancer that reported it suspects it.
     """
 
     name: str
@@ -37,10 +37,10 @@
 
 
 def combine_statuses(statuses: Sequence[BalancerStatus]) -> tuple[BalancerReport, ...]:
-    """Return one report for each balancer that answered or is in the view of one that did.
+    """Return one report for each balancer that answered or is a member in such an answer.
 
-    What a balancer says of itself wins.  Of what others say, the highest epoch
-    and generation win: neither ever goes back.  Reports are sorted by name.
+    A balancer's own status wins over reports by others.  Among these, the highest
+    epoch and generation win, as neither ever decreases.  Reports are sorted by name.
     """
     reports: dict[str, BalancerReport] = {}
     for status in statuses:
@@ -56,9 +56,9 @@
 
 
 def lagging(reports: Sequence[BalancerReport], generation: int) -> tuple[BalancerReport, ...]:
-    """Return the balancers on which `generation` or a later one is not in force yet.
+    """Return the balancers on which neither `generation` nor a later one is in force.
 
-    One that is leaving need not take it any more.
+    Leaving balancers are omitted, as they need not apply it.
     """
     return tuple(
         report
--- a/sloepond/cli/http_access.py
+++ b/sloepond/cli/http_access.py
@@ -1,4 +1,4 @@
-"""HTTP requests of the commands; every failure is a value with a reason."""
+"""HTTP client of the commands; failures are returned as values, not raised."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 REQUEST_TIMEOUT_S = 3.0
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
-"""Largest body taken from a server, in bytes."""
+"""Size limit of a response body; a larger one is a failure."""
 
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of a server."""
+    """A complete response of a server."""
 
     status: int
     body: bytes
@@ -31,7 +31,7 @@
 
     :param url: base URL without a trailing slash.
     :param token: bearer token; empty for none.
-    :param tls: how the server's certificate is checked; False for plain HTTP.
+    :param tls: context that verifies the server's certificate; False for plain HTTP.
     """
 
     def __init__(self, url: str, token: str, tls: ssl.SSLContext | bool) -> None:
@@ -47,7 +47,7 @@
     def request(
         self, method: str, path: str, query: Mapping[str, str] | None = None, body: bytes | None = None
     ) -> Answer | CommandFailure:
-        """Send one request and return the whole answer."""
+        """Send one request and return the complete response."""
         headers = {"content-type": "application/json"} if body is not None else None
         try:
             with self._client.stream(method, path, params=query, content=body, headers=headers) as response:
@@ -66,10 +66,10 @@
         return Answer(response.status_code, bytes(body))
 
     def stream_lines(self, path: str, query: Mapping[str, str]) -> Iterator[str | Answer | CommandFailure]:
-        """Yield the lines of an endless answer.
+        """Yield the lines of a streaming response.
 
-        An answer with another status than 200 is yielded whole; it or a failure
-        ends the lines.
+        A response with a status other than 200 is yielded as one `Answer`.  An `Answer` or a
+        failure is the last value.
         """
         timeout = httpx.Timeout(REQUEST_TIMEOUT_S, read=None)
         try:
@@ -91,9 +91,9 @@
 
 
 def open_http(url: str, token: str, ca_file: str) -> HttpAccess | CommandFailure:
-    """Return access to a server whose certificate must be one that is trusted.
+    """Return access to a server; for HTTPS its certificate must be trusted.
 
-    :param ca_file: file of certificates trusted besides the system's; empty for none.
+    :param ca_file: file of certificates to trust in addition to the system's; empty for none.
     """
     if not url.startswith("https://"):
         return HttpAccess(url, token, tls=False)
@@ -101,6 +101,6 @@
     try:
         if ca_file:
             context.load_verify_locations(ca_file)
-    except OSError as error:  # ssl.SSLError is one
+    except OSError as error:  # ssl.SSLError is a subclass.
         return CommandFailure(BAD_INPUT, f"certificates of {ca_file} cannot be read: {error.strerror}")
     return HttpAccess(url, token, context)
--- a/sloepond/cli/lab.py
+++ b/sloepond/cli/lab.py
@@ -1,4 +1,4 @@
-"""Commands of the lab: list and run scenarios on the simulated fleet, draw results."""
+"""Commands of the lab: list scenarios, run them on a simulated fleet, plot results."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 _SHOWN_VIOLATIONS = 3
 
 POLICY = "token"
-"""Name of the one node that the lab runs."""
+"""Name of the only policy that the lab runs."""
 FORMER_POLICIES = frozenset(
     {"hash", "bounded-load", "two-choices", "hot-cold", "least-loaded", "stateless", "omniscient"}
 )
-"""Names that `--policy` still takes, so that old command lines run; they choose nothing."""
+"""Former names that `--policy` still accepts without effect, so that old command lines work."""
 
 
 def list_scenarios() -> int:
     """List the scenarios of the lab.
 
-    :returns: exit code, 2 where a scenario is wrong.
+    :returns: exit code, 2 if a scenario is invalid.
     """
     try:
         scenarios = all_scenarios()
@@ -56,17 +56,17 @@
     result: str = "",
     trace: str = "",
 ) -> int:
-    """Run one scenario and check what must hold.
+    """Run one scenario and check its promises.
 
     :param scenario: name of a scenario, or the path of a TOML file.
     :param seed: the same seed gives the same run.
-    :param policy: `token`, the node that is always run; names of former policies are taken with a warning.
+    :param policy: `token`, the only policy; names of former policies are accepted with a warning.
     :param json: print exactly one JSON object with the measures.
-    :param share: run this share of the flows, over the same time.
-    :param result: file to write the whole result to, for `plot`.
-    :param trace: incarnation of a flow, as named by a broken promise; its packets
+    :param share: share of the scenario's flows to run, over the same time.
+    :param result: file to write the complete result to, for `plot`.
+    :param trace: incarnation of a flow, as printed for a broken promise; its packets
         are written to standard error.
-    :returns: exit code, 0 where every promise held, 1 where one broke, 2 for bad input.
+    :returns: exit code, 0 if every promise held, 1 if one was broken, 2 for bad input.
     """
     try:
         _check_policy(policy)
@@ -87,11 +87,11 @@
 
 
 def plot(result: str, *, output: str = "") -> int:
-    """Draw the result file of a run as PNG.
+    """Plot the result file of a run as PNG.
 
     :param result: file written by `run --result`.
     :param output: file to write; the result's name with `.png` if empty.
-    :returns: exit code, 2 where the file is no result.
+    :returns: exit code, 2 if the file is not a result.
     """
     source = Path(result)
     try:
@@ -105,9 +105,9 @@
 
 
 def _check_policy(policy: str) -> None:
-    """Warn of a policy that is gone.
+    """Print a warning for a former policy.
 
-    :raises ValueError: where there never was one of that name.
+    :raises ValueError: if the policy is unknown.
     """
     if policy in ("", POLICY):
         return
@@ -117,7 +117,7 @@
 
 
 def _run_with_progress(scenario: Scenario, seed: int) -> LabResult:
-    """Run with a progress bar where standard error is a terminal."""
+    """Run a scenario, with a progress bar if standard error is a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
         return run_scenario(scenario, seed)
--- a/sloepond/cli/main.py
+++ b/sloepond/cli/main.py
@@ -1,7 +1,7 @@
-"""The command `sloepond`: builds the tree of commands and runs one.
+"""The command `sloepond`: builds the command tree and runs one command.
 
-The daemon, the stand-ins and the lab are imported only where their commands are
-named or listed, so that the operators' commands start quickly.
+The daemon, the stand-ins and the lab are imported only when their commands are
+run or listed, so that the operators' commands start quickly.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 CommandFunction = Callable[..., Any]
 CommandTree = dict[str, Any]
-"""Functions by command name; a group of commands is a tree of its own."""
+"""Functions by command name; a group of commands is a nested tree."""
 
 
 class CommandReference(msgspec.Struct, frozen=True):
-    """A command that is imported when it is needed.
+    """A command whose module is imported on demand.
 
-    :ivar module: name of a module of `sloepond.cli`.
-    :ivar function: the function that carries the command out.
+    :ivar module: name of a module in `sloepond.cli`.
+    :ivar function: name of the function that runs the command.
     """
 
     module: str
@@ -46,7 +46,7 @@
     function.__name__: function for function in (check, apply, get, watch, status, drain, undrain, version)
 }
 DAEMON_COMMANDS = {"balancer": CommandReference("balancer", "balancer")}
-"""Commands that stand beside the operators' commands, in no group."""
+"""Ungrouped commands that are imported on demand."""
 
 GROUPS = {
     "standin": {
@@ -65,13 +65,13 @@
 DESCRIPTION = "A layer-4 load balancer for operators of regulated data."
 EPILOG = f"{EXIT_CODES_HELP}\n{ENVIRONMENT_HELP}"
 INTERRUPTED = 130
-"""Exit code after an interrupt from the keyboard, as shells have it."""
+"""Exit code after a keyboard interrupt, as in shells."""
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the command named in `arguments` and exit with its code.
+    """Run the command given by `arguments` and exit with its code.
 
-    :param arguments: without the program's name; None takes those of the process.
+    :param arguments: without the program's name; None for those of the process.
     """
     given = sys.argv[1:] if arguments is None else arguments
     sys.exit(run(given))
@@ -80,7 +80,7 @@
 def run(arguments: Sequence[str]) -> int:
     """Run one command and return its exit code.
 
-    :raises SystemExit: for bad usage and `--help`, by the parser.
+    :raises SystemExit: by the parser, for bad usage and `--help`.
     """
     try:
         result = defopt.run(
@@ -98,7 +98,7 @@
 
 
 def command_tree(first: str) -> CommandTree:
-    """Return the commands among which `first` is; all where it names none."""
+    """Return the part of the command tree that contains `first`; the whole tree if it is no command."""
     if first in OPERATOR_COMMANDS:
         return OPERATOR_COMMANDS
     if first in GROUPS:
--- a/sloepond/cli/operator.py
+++ b/sloepond/cli/operator.py
@@ -1,4 +1,4 @@
-"""The operators' commands on declared and present state."""
+"""The operators' commands for declared resources and the state of the fleet."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 def check(*files: Path, output: OutputFormat = OutputFormat.table) -> int:
-    """Check resource files; print every finding with its place.
+    """Validate resource files; print every finding with its position.
 
-    :param files: YAML or JSON files, or directories of them, taken as one set
+    :param files: YAML or JSON files, or directories of them, validated as one set
     :param output: table prints findings as lines to standard error; json and yaml to standard output
     """
     resources = load_declared(files)
@@ -51,12 +51,12 @@
     api: ApiUrls | None = None,
     token: str | None = None,
 ) -> int:
-    """Check resource files and make them the platform's whole configuration.
+    """Validate resource files and replace the platform's whole configuration with them.
 
-    Resources that are not in the files are removed.  Nothing is written where
-    there are findings, or where somebody else writes at the same time.
+    Resources that are not in the files are removed.  Nothing is written if there
+    are findings, or if another operator writes at the same time.
 
-    :param files: YAML or JSON files, or directories of them, taken as one set
+    :param files: YAML or JSON files, or directories of them, applied as one set
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
@@ -84,12 +84,12 @@
     api: ApiUrls | None = None,
     token: str | None = None,
 ) -> int:
-    """Print resources in force, as a balancer has them.
+    """Print resources in force on a balancer.
 
     :param kind: region, zone, hall, service, backend or all
     :param name: name of one resource
     :param output: table, json or yaml
-    :param api: URL of a balancer's API, repeatable, the first answer counts (environment: SLOEPOND_API)
+    :param api: URL of a balancer's API, repeatable; the first answer is printed (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
     selected = _parse_kind(kind)
@@ -156,7 +156,7 @@
 
 
 def _parse_kind(text: str) -> Kind | None | CommandFailure:
-    """Return the kind meant by `backend`, `backends` or `Backend`; None for all."""
+    """Return the kind given as `backend`, `backends` or `Backend`, for instance; None for all."""
     lowered = text.lower()
     if lowered == ALL_KINDS:
         return None
--- a/sloepond/cli/platform_access.py
+++ b/sloepond/cli/platform_access.py
@@ -1,4 +1,4 @@
-"""Reading and writing the platform's configuration for operators."""
+"""Client of the platform's configuration service, for operators' commands."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Written(msgspec.Struct, frozen=True):
-    """Answer to a write: what the platform has now."""
+    """Body of the response to a successful write."""
 
     generation: int
     digest: str
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Answer that refuses a write."""
+    """Body of the response to a refused write."""
 
     findings: tuple[Finding, ...] = ()
     reason: str = ""
@@ -45,7 +45,7 @@
         self._http = http
 
     def read(self) -> ConfigurationSnapshot | CommandFailure:
-        """Return the newest configuration; generation 0 where none was written yet."""
+        """Return the newest configuration; generation 0 if none has been written yet."""
         answer = self._http.request("GET", CONFIGURATION_PATH)
         if isinstance(answer, CommandFailure):
             return answer
@@ -61,8 +61,8 @@
     def write(self, resources: Sequence[Resource], base_generation: int | None) -> Written | CommandFailure:
         """Replace the whole configuration.
 
-        :param base_generation: generation the change was made from; the write is
-            refused where it is not the newest any more.
+        :param base_generation: generation that the change is based on; the write is
+            refused if it is no longer the newest.
         """
         body = msgspec.json.encode(ConfigurationWrite(tuple(resources), base_generation))
         answer = self._http.request("PUT", CONFIGURATION_PATH, body=body)
@@ -87,7 +87,7 @@
 
 
 def decode_body(body: bytes, expected: type[BodyType]) -> BodyType | None:
-    """Return a JSON body as `expected`; None where it is not one."""
+    """Decode a JSON body as `expected`; None if it is malformed."""
     try:
         return msgspec.json.decode(body, type=expected)
     except (msgspec.MsgspecError, ValueError, RecursionError):
--- a/sloepond/cli/rendering.py
+++ b/sloepond/cli/rendering.py
@@ -1,4 +1,4 @@
-"""Resources and the fleet as tables, JSON or YAML on standard output."""
+"""Prints resources, the fleet and findings to standard output as tables, JSON or YAML."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class OutputFormat(enum.Enum):
-    """How results are printed."""
+    """Format of printed results."""
 
     table = "table"
     json = "json"
@@ -46,7 +46,7 @@
 
 
 def print_resources(resources: Sequence[Resource], output: OutputFormat) -> None:
-    """Print resources, tables one for each kind."""
+    """Print resources; as tables, one for each kind."""
     if output is OutputFormat.table:
         _print_resource_tables(resources)
         return
@@ -58,7 +58,7 @@
 
 
 def _with_defaults(value: object) -> object:
-    """Return a resource, or a part of one, as plain values with all defaults written out."""
+    """Return a resource, or a part of one, as plain values including all defaults."""
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.fields(value)
         plain = {field.encode_name: _with_defaults(getattr(value, field.name)) for field in fields}
@@ -96,7 +96,7 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-    """Print rows of text under the names of their columns."""
+    """Print a table without borders."""
     table = Table(box=None, pad_edge=False)
     for column in columns:
         table.add_column(column, no_wrap=True)
--- a/sloepond/cli/rollout.py
+++ b/sloepond/cli/rollout.py
@@ -1,4 +1,4 @@
-"""Waiting until a generation is in force on every live balancer."""
+"""Waits until a generation is in force on every live balancer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class InForce(msgspec.Struct, frozen=True):
     """A generation is in force on every live balancer.
 
-    :ivar seconds: from the start of the wait.
+    :ivar seconds: duration since the configuration was written.
     """
 
     generation: int
@@ -33,9 +33,9 @@
 def wait_in_force(
     access: BalancerAccess, generation: int, started: float, timeout_s: float
 ) -> InForce | CommandFailure:
-    """Ask the balancers until `generation` is in force on all of them.
+    """Poll the balancers until `generation` is in force on all of them, or the timeout is over.
 
-    :param started: when the wait began, on the monotonic clock, in seconds.
+    :param started: when the generation was written, on the monotonic clock, in seconds.
     """
     while True:
         answer = access.statuses()
@@ -46,7 +46,7 @@
 
 
 def check_rollout(answer: FleetAnswer, generation: int, seconds: float) -> InForce | CommandFailure:
-    """Return whether `generation` is in force on all balancers that are heard of."""
+    """Return `InForce` if `generation` is in force on all reported balancers, else a failure."""
     if not answer.statuses:
         return answer.failures[0]
     reports = combine_statuses(answer.statuses)
--- a/sloepond/cli/standin.py
+++ b/sloepond/cli/standin.py
@@ -1,6 +1,6 @@
 """Commands that run the stand-ins: `sloepond standin platform|fabric|backend|client`.
 
-Each prints one JSON line when it is ready and runs until it is interrupted.
+Each prints one JSON line when it is ready and runs until interrupted.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 def platform(*, address: str = ANY_LOOPBACK_PORT, resources: Sequence[Path] = ()) -> None:
     """Run the platform's configuration service and list of machines, in memory.
 
-    :param address: `ip:port` to serve HTTP on; port 0 takes a free port.
-    :param resources: files or directories to start with as generation 1.
+    :param address: `ip:port` to serve HTTP on; port 0 selects a free port.
+    :param resources: files or directories whose resources are the initial generation 1.
     """
     state = PlatformState()
     if resources:
@@ -66,17 +66,17 @@
     delay_s: float = 0.0,
     seed: int = 1,
 ) -> None:
-    """Spray callers' datagrams over balancers.
+    """Distribute callers' datagrams over balancers.
 
-    :param address: UDP `ip:port` callers send to; port 0 takes a free port.
+    :param address: UDP `ip:port` that callers send to; port 0 selects a free port.
     :param control: `ip:port` of the HTTP interface that changes the balancers.
-    :param balancers: balancers as `name=ip:port`, with the address they take callers' packets on.
-    :param platform_url: platform whose list of machines is polled; empty uses all balancers.
+    :param balancers: balancers as `name=ip:port`, with the address for callers' packets.
+    :param platform_url: platform whose list of machines is polled; empty to use all balancers.
     :param poll_s: seconds between polls.
-    :param loss: share of datagrams that vanish.
-    :param duplication: share of datagrams that come twice.
-    :param reordering: share of datagrams that are held back up to 50 ms.
-    :param delay_s: seconds each datagram takes.
+    :param loss: share of datagrams that are dropped.
+    :param duplication: share of datagrams that are delivered twice.
+    :param reordering: share of datagrams that are delayed by up to 50 ms.
+    :param delay_s: delay of each datagram in seconds.
     :param seed: seed of all random choices.
     """
     settings = FabricSettings(loss=loss, duplication=duplication, reordering=reordering, delay_s=delay_s)
@@ -114,15 +114,15 @@
     """Run declared back ends on their own addresses.
 
     :param resources: files or directories that declare them.
-    :param names: back ends to run; all if none is named.
+    :param names: back ends to run; all if none is given.
     :param control: `ip:port` of the HTTP interface (executions, draining).
-    :param queue: requests that may wait at one back end; more are shed.
-    :param service_s: mean seconds a request runs.
-    :param cold_s: seconds after the first packet during which requests run slower.
-    :param load_lag_s: age a reported load may have, in seconds.
-    :param load_factor: multiplies the reported load; 0 claims to be idle.
-    :param ordered_flows: take flows as streams, in which a copy of a request is known as one;
-        where balancers forward by token.
+    :param queue: requests that can wait at one back end; more are shed.
+    :param service_s: mean execution time of a request in seconds.
+    :param cold_s: seconds after the first packet during which requests run more slowly.
+    :param load_lag_s: maximum age of a reported load in seconds.
+    :param load_factor: factor applied to the reported load; 0 reports an idle back end.
+    :param ordered_flows: treat flows as byte streams, in which a duplicate of a request is
+        answered again without another execution; for balancers that forward by token.
     :param seed: seed of all random choices.
     """
     settings = BackendSettings(
@@ -159,18 +159,18 @@
     patience_s: float = 8.0,
     seed: int = 1,
 ) -> None:
-    """Open flows through the fabric, check every answer and print a report as JSON.
+    """Open flows through the fabric, check every answer and print a JSON report.
 
     :param fabric_address: UDP `ip:port` of the fabric.
     :param resources: files or directories that declare the services.
-    :param services: services to call; all if none is named.
+    :param services: services to call; all if none is given.
     :param address: UDP `ip:port` to send from.
     :param control: `ip:port` of the HTTP interface (progress and report).
-    :param flows: flows to open in all.
+    :param flows: total number of flows to open.
     :param opening_s: seconds over which they are opened.
-    :param lifetime_s: seconds a flow goes on sending requests.
+    :param lifetime_s: seconds during which a flow sends requests.
     :param pause_s: mean seconds between the requests of a flow.
-    :param patience_s: seconds after which a request is given up.
+    :param patience_s: seconds after which the client gives up a request.
     :param seed: seed of all random choices.
     """
     called = called_services(_load(resources), services)
@@ -179,7 +179,7 @@
     random_source = random.Random(seed)
     workload = WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s)
     planned = plan_workload(called, workload, random_source)
-    # The seed may be used twice at once; incarnations of flows must not be.
+    # Two clients may run with the same seed, but incarnations of flows must be unique.
     caller_settings = CallerSettings(patience_s=patience_s, feed_patience_s=patience_s)
     running = Client(planned, caller_settings, random.SystemRandom())
     _run_until_interrupted(partial(_run_client, running, address, fabric_address, control))
@@ -211,7 +211,7 @@
     try:
         trio.run(run)  # type: ignore[arg-type]
     except* KeyboardInterrupt:
-        pass  # An interrupt is how a stand-in is ended.
+        pass  # A stand-in is stopped by an interrupt.
 
 
 STANDIN_COMMANDS: list[Callable[..., None]] = [platform, fabric, backend, client]
@@ -219,7 +219,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one stand-in; used by tools that start stand-ins as processes."""
+    """Run one stand-in; for tools that start stand-ins as processes."""
     defopt.run(STANDIN_COMMANDS, argv=arguments)
 
 
