--- a/features/api/watch.feature
+++ b/features/api/watch.feature
@@ -14,7 +14,7 @@
   Scenario: A watch of a reader that falls too far behind ends
     Given an api feed at generation 3
     When 70 generations pass before the api watch from 3 is read again
-    Then the api watch ends with gone
+    Then the api watch ends with a gone event
 
   Scenario: A feed keeps a bounded number of events
     Given an api feed at generation 3
--- a/features/steps/api_watch_steps.py
+++ b/features/steps/api_watch_steps.py
@@ -187,7 +187,7 @@
     run_simulated(body)
 
 
-@then("the api watch ends with gone")
+@then("the api watch ends with a gone event")
 def watch_ends_with_gone(context):
     assert [event.type for batch in context.api_batches for event in batch] == [ChangeType.GONE]
 
--- a/sloepond/cli/balancer_access.py
+++ b/sloepond/cli/balancer_access.py
@@ -84,7 +84,7 @@
                 return
 
     def _first_answer(self, path: str, query: dict[str, str]) -> Answer | CommandFailure:
-        failure = CommandFailure(UNREACHABLE, "no balancer was asked")
+        failure = CommandFailure(UNREACHABLE, "no balancer was queried")
         for server in self._servers:
             answer = server.request("GET", path, query)
             if isinstance(answer, CommandFailure):
--- a/sloepond/cli/draining.py
+++ b/sloepond/cli/draining.py
@@ -36,7 +36,7 @@
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
-    :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
+    :param api: URL of a balancer's API, repeatable; at least one in each cell (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
     states = TargetStates(BackendState.DRAINING, ZoneState.EVACUATED)
@@ -60,7 +60,7 @@
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
-    :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
+    :param api: URL of a balancer's API, repeatable; at least one in each cell (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
     states = TargetStates(BackendState.ACTIVE, ZoneState.ACTIVE)
--- a/sloepond/cli/operator.py
+++ b/sloepond/cli/operator.py
@@ -60,7 +60,7 @@
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
-    :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
+    :param api: URL of a balancer's API, repeatable; at least one in each cell (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
     resources = load_declared(files)
@@ -134,7 +134,7 @@
     """Print the fleet: state, lease, epoch, generation in force and flows of each balancer.
 
     :param output: table, json or yaml
-    :param api: URL of a balancer's API, repeatable; one of each cell at least (environment: SLOEPOND_API)
+    :param api: URL of a balancer's API, repeatable; at least one in each cell (environment: SLOEPOND_API)
     :param token: bearer token of the balancers' API (environment: SLOEPOND_TOKEN)
     """
     balancers = open_balancers(api, token)
--- a/sloepond/cli/rendering.py
+++ b/sloepond/cli/rendering.py
@@ -62,8 +62,8 @@
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.fields(value)
         plain = {field.encode_name: _with_defaults(getattr(value, field.name)) for field in fields}
-        known = {name: item for name, item in plain.items() if item is not None}
-        return {KIND_FIELD: type(value).__name__} | known if isinstance(value, Resource) else known
+        set_fields = {name: item for name, item in plain.items() if item is not None}
+        return {KIND_FIELD: type(value).__name__} | set_fields if isinstance(value, Resource) else set_fields
     if isinstance(value, tuple):
         return [_with_defaults(item) for item in value]
     return str(value) if isinstance(value, enum.StrEnum) else value
