--- a/sloepond/api/application.py
+++ b/sloepond/api/application.py
@@ -50,7 +50,7 @@
 
 
 class LeaveAccepted(msgspec.Struct, frozen=True):
-    """Body of the answer to `POST /v1/leave`."""
+    """Body of the response to `POST /v1/leave`."""
 
     name: str
     state: str
--- a/sloepond/api/checking.py
+++ b/sloepond/api/checking.py
@@ -17,7 +17,7 @@
 
 
 class CheckAnswer(msgspec.Struct, frozen=True):
-    """Body of the answer to `POST /v1/check`.
+    """Body of the response to `POST /v1/check`.
 
     :ivar resources: number of resources that are valid by themselves.
     """
--- a/sloepond/cli/draining.py
+++ b/sloepond/cli/draining.py
@@ -32,7 +32,7 @@
     of them sets the state that they declare.
 
     :param subject: name of the back end, or `zone`
-    :param zone: name of the zone where the first word is `zone`
+    :param zone: name of the zone if the first argument is `zone`
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
@@ -56,7 +56,7 @@
     """Allow new flows to a back end or a zone again: `undrain BACKEND` or `undrain zone NAME`.
 
     :param subject: name of the back end, or `zone`
-    :param zone: name of the zone where the first word is `zone`
+    :param zone: name of the zone if the first argument is `zone`
     :param platform: URL of the platform (environment: SLOEPOND_PLATFORM)
     :param wait: wait until the generation is in force on every live balancer
     :param timeout: seconds to wait before exit code 3
--- a/sloepond/cli/rollout.py
+++ b/sloepond/cli/rollout.py
@@ -31,16 +31,16 @@
 
 
 def wait_in_force(
-    access: BalancerAccess, generation: int, started: float, timeout_s: float
+    access: BalancerAccess, generation: int, written_at: float, timeout_s: float
 ) -> InForce | CommandFailure:
     """Poll the balancers until `generation` is in force on all of them, or the timeout is over.
 
-    :param started: when the generation was written, on the monotonic clock, in seconds.
+    :param written_at: when the generation was written, on the monotonic clock, in seconds.
     """
     while True:
         answer = access.statuses()
-        result = check_rollout(answer, generation, time.monotonic() - started)
-        if isinstance(result, InForce) or time.monotonic() - started >= timeout_s:
+        result = check_rollout(answer, generation, time.monotonic() - written_at)
+        if isinstance(result, InForce) or time.monotonic() - written_at >= timeout_s:
             return result
         time.sleep(POLL_INTERVAL_S)
 
