--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -32,7 +32,7 @@
 )
 from sloepond.core.forwarding.peers.messages import BackendFailing
 from sloepond.core.forwarding.peers.peer_table import PeerTable
-from sloepond.core.forwarding.placement.rendezvous import assigned
+from sloepond.core.forwarding.placement.rendezvous import assigned_balancers
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.core.forwarding.state.backends import BackendDirectory
 
@@ -158,7 +158,7 @@
     fleet = context.fleet
     backend = ForwardingBackend(record(1), 0.0)
     fleet.mute = {backend.name}
-    for ip in assigned(backend, fleet.ips, ASSIGNED_BALANCERS):
+    for ip in assigned_balancers(backend, fleet.ips, ASSIGNED_BALANCERS):
         fleet.kill(ip)
 
 
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -37,7 +37,7 @@
 from sloepond.core.forwarding.load.flow_observer import FlowObserver
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.placement.held_openings import LONGEST_HOLD_S
+from sloepond.core.forwarding.placement.held_openings import MAXIMUM_QUEUE_TIME_S
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendState
 from sloepond.core.forwarding.state.routes import Share, WeightedRoundRobin
@@ -194,7 +194,7 @@
         offer(context, segment(EXPORT, port, opening=True))
     assert 0 < len(context.placed_at) < 40
     assert context.held == 40 - len(context.placed_at)
-    end = harness.now + LONGEST_HOLD_S + 0.05
+    end = harness.now + MAXIMUM_QUEUE_TIME_S + 0.05
     while harness.now < end:
         harness.run_to(harness.now + 0.01, TimerFired())
         for command in harness.all(ReprocessPackets):
@@ -217,7 +217,7 @@
 @then("forwarding lets the rest wait and places all of them within 0.6 seconds")
 def all_placed(context):
     assert sorted(context.placed_at) == list(range(40))
-    assert max(context.placed_at.values()) - 100.0 <= LONGEST_HOLD_S + 0.02
+    assert max(context.placed_at.values()) - 100.0 <= MAXIMUM_QUEUE_TIME_S + 0.02
     assert context.held < 40
 
 
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -21,7 +21,7 @@
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.peers.messages import BackendFailing, FailureMessage, RequestUnanswered
 from sloepond.core.forwarding.peers.peer_table import PeerTable
-from sloepond.core.forwarding.placement.rendezvous import assigned
+from sloepond.core.forwarding.placement.rendezvous import assigned_balancers
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.core.forwarding.state.backend_records import BackendState
 from sloepond.core.forwarding.state.backends import BackendDirectory
@@ -158,7 +158,7 @@
         """Report an unanswered request to the balancers assigned to its back end."""
         if not self._reports.take(now, 1.0):
             return
-        for ip in assigned(backend, [*self._peers.alive(now), self._ip], ASSIGNED_BALANCERS):
+        for ip in assigned_balancers(backend, [*self._peers.alive(now), self._ip], ASSIGNED_BALANCERS):
             if ip == self._ip:
                 self._detect(backend, ip, now)
             else:
--- a/sloepond/core/forwarding/placement/admission.py
+++ b/sloepond/core/forwarding/placement/admission.py
@@ -29,18 +29,18 @@
 
     def __init__(self) -> None:
         self.balancer_count = 1
-        self._started = 0.0
+        self._started_at = 0.0
 
     def start(self, now: float) -> None:
         """Begin as a young balancer."""
-        self._started = now
+        self._started_at = now
 
     def limit(self, backend: ForwardingBackend, now: float) -> int:
         """Return how many requests this balancer may have under way at a back end, at least 1."""
-        if now - self._started < MINIMUM_SHARE_PERIOD_S:
+        if now - self._started_at < MINIMUM_SHARE_PERIOD_S:
             return 1
         return max(1, round((backend.slots + QUEUE_PER_BACKEND) / self.balancer_count))
 
-    def room(self, backends: Iterable[ForwardingBackend], now: float) -> int:
+    def spare_capacity(self, backends: Iterable[ForwardingBackend], now: float) -> int:
         """Return for how many more requests there is room at these back ends."""
         return sum(max(0, self.limit(backend, now) - backend.in_flight) for backend in backends)
--- a/sloepond/core/forwarding/placement/early_openings.py
+++ b/sloepond/core/forwarding/placement/early_openings.py
@@ -13,7 +13,7 @@
 LONGEST_WAIT_S = 1.0
 """Seconds an opening packet waits: its caller gives up after 1.4 s.  The rule switched off costs a
 day with faults 0.0008 of worth (mean of five); the length was not measured."""
-MAXIMUM_WAITING = 512
+MAXIMUM_EARLY = 512
 """Flows that wait at once.  Bounds memory; not measured."""
 
 
@@ -21,12 +21,12 @@
     """An opening packet that waits.
 
     :ivar route_key: endpoint that the caller sends to.
-    :ivar since: when it came, seconds of the node's clock.
+    :ivar received_at: when it came, seconds of the node's clock.
     """
 
     datagram: bytes
     route_key: int
-    since: float
+    received_at: float
 
 
 class EarlyOpenings:
@@ -40,10 +40,10 @@
 
     def add(self, flow_key: int, opening: EarlyOpening) -> None:
         """Keep the packet of a flow; a copy takes the place of an earlier one."""
-        if len(self._waiting) < MAXIMUM_WAITING or flow_key in self._waiting:
+        if len(self._waiting) < MAXIMUM_EARLY or flow_key in self._waiting:
             self._waiting[flow_key] = opening
 
-    def take(self, must_wait: Callable[[int], bool], now: float) -> tuple[bytes, ...]:
+    def release(self, must_wait: Callable[[int], bool], now: float) -> tuple[bytes, ...]:
         """Return the packets that wait no longer, and forget them and those that have waited too long.
 
         :param must_wait: tells whether the flows to an endpoint wait on.
@@ -53,7 +53,7 @@
         waiting, self._waiting = self._waiting, {}
         released: list[bytes] = []
         for flow_key, opening in waiting.items():
-            if now - opening.since > LONGEST_WAIT_S:
+            if now - opening.received_at > LONGEST_WAIT_S:
                 continue
             if must_wait(opening.route_key):
                 self._waiting[flow_key] = opening
--- a/sloepond/core/forwarding/placement/eligibility.py
+++ b/sloepond/core/forwarding/placement/eligibility.py
@@ -43,7 +43,7 @@
         """
         return self._narrowed(self._backends.candidates(service), route, now)
 
-    def eligible_or_vanished(self, service: str, route: Route, now: float) -> Sequence[ForwardingBackend]:
+    def eligible_or_departed(self, service: str, route: Route, now: float) -> Sequence[ForwardingBackend]:
         """Return the same; where none of the service is listed, those that vanished a moment ago."""
         backends = self._backends.candidates(service)
         if not backends:
@@ -67,6 +67,6 @@
             backends = self._slow_start.usable(backends, now)
         return self._ejection.usable(backends, now)
 
-    def opened(self, backend: ForwardingBackend, now: float) -> None:
+    def flow_opened(self, backend: ForwardingBackend, now: float) -> None:
         """Note that a back end was given a new flow."""
-        self._slow_start.opened(backend, now)
+        self._slow_start.flow_opened(backend, now)
--- a/sloepond/core/forwarding/placement/evacuations.py
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -31,10 +31,10 @@
         self.current = newer
         if is_changed:
             self._backends.halls_evacuated(frozenset(newer.halls))
-            self._start_slowly(returned, now)
+            self._mark_cold(returned, now)
         return is_changed
 
-    def _start_slowly(self, halls: frozenset[str], now: float) -> None:
+    def _mark_cold(self, halls: frozenset[str], now: float) -> None:
         """Count the back ends of halls that return as just started.
 
         They may have been, and their own word of it may come later than the hall's return.
--- a/sloepond/core/forwarding/placement/held_openings.py
+++ b/sloepond/core/forwarding/placement/held_openings.py
@@ -12,92 +12,92 @@
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.packets import Segment
 
-LONGEST_HOLD_S = 0.6
+MAXIMUM_QUEUE_TIME_S = 0.6
 """Seconds a new flow waits for room at most; its caller gives up after 1.4 s.  Waits of 0, 0.3 and
 0.6 s: worth 0.944, 0.946, 0.944 on a day with faults and 0.973 each on one with a changing number
 of balancers.  On a day where retries feed an overload: 0.92 to 0.95 with 0.6 s (six runs), 0.86
 to 0.95 with 0.25 s, 0.87 to 0.95 with 0.9 s."""
-MAXIMUM_HELD = 256
+MAXIMUM_QUEUED = 256
 """New flows that wait at once; more are placed anyway.  Bounds memory; not measured."""
 RELEASE_INTERVAL_S = 0.01
 """Seconds between two looks for room while flows wait: short against the 0.6 s they wait at most.
 Not measured."""
 
 
-class HeldOpening(msgspec.Struct):
+class QueuedOpening(msgspec.Struct):
     """A new flow that waits for room.
 
     :ivar datagram: its opening packet.
     :ivar priority: of its route, 0 is the highest.
     :ivar services: services it may go to.
-    :ivar held_since: seconds of the node's clock.
+    :ivar queued_at: seconds of the node's clock.
     """
 
     segment: Segment
     datagram: bytes
     priority: int
     services: tuple[str, ...]
-    held_since: float
+    queued_at: float
 
 
-class HeldOpenings:
+class QueuedOpenings:
     """Flows that wait for room, by flow key."""
 
     def __init__(self) -> None:
-        self._held: dict[int, HeldOpening] = {}
+        self._queue: dict[int, QueuedOpening] = {}
         self._released_at: dict[int, float] = {}
 
-    def may_hold(self, segment: Segment) -> bool:
+    def may_queue(self, segment: Segment) -> bool:
         """Tell whether a new flow may wait; one that has waited is placed anyway."""
         key = segment.flow_key
-        return key not in self._released_at and (key in self._held or len(self._held) < MAXIMUM_HELD)
+        return key not in self._released_at and (key in self._queue or len(self._queue) < MAXIMUM_QUEUED)
 
-    def hold(self, opening: HeldOpening) -> None:
+    def add(self, opening: QueuedOpening) -> None:
         """Let a new flow wait; a copy of its opening packet takes the place of the first."""
-        earlier = self._held.get(opening.segment.flow_key)
+        earlier = self._queue.get(opening.segment.flow_key)
         if earlier is not None:
-            opening.held_since = earlier.held_since
-        self._held[opening.segment.flow_key] = opening
+            opening.queued_at = earlier.queued_at
+        self._queue[opening.segment.flow_key] = opening
 
     def next_deadline(self, now: float) -> float:
         """Return when to look for room next."""
-        return now + RELEASE_INTERVAL_S if self._held else NEVER
+        return now + RELEASE_INTERVAL_S if self._queue else NEVER
 
     def services(self) -> set[str]:
         """Return the services that flows wait for."""
-        return {service for opening in self._held.values() for service in opening.services}
+        return {service for opening in self._queue.values() for service in opening.services}
 
-    def release(self, rooms: dict[str, int], now: float) -> list[bytes]:
+    def release(self, spare_by_service: dict[str, int], now: float) -> list[bytes]:
         """Return the opening packets that are placed now, the most urgent first.
 
-        :param rooms: requests there is room for, by service; reduced by what is released.
+        :param spare_by_service: requests there is room for, by service; reduced by what is released.
         """
         released: list[bytes] = []
-        for key, opening in sorted(self._held.items(), key=_urgency):
-            service = _service_with_room(opening, rooms)
-            if service is None and now - opening.held_since < LONGEST_HOLD_S:
+        for key, opening in sorted(self._queue.items(), key=_urgency):
+            service = _service_with_spare_capacity(opening, spare_by_service)
+            if service is None and now - opening.queued_at < MAXIMUM_QUEUE_TIME_S:
                 continue
             if service is not None:
-                rooms[service] -= 1
-            del self._held[key]
+                spare_by_service[service] -= 1
+            del self._queue[key]
             self._released_at[key] = now
             released.append(opening.datagram)
         return released
 
     def forget_released(self, now: float) -> None:
         """Forget flows that were released some time ago."""
-        old = [key for key, at in self._released_at.items() if now - at > LONGEST_HOLD_S]
+        old = [key for key, at in self._released_at.items() if now - at > MAXIMUM_QUEUE_TIME_S]
         for key in old:
             del self._released_at[key]
 
 
-def _urgency(item: tuple[int, HeldOpening]) -> tuple[int, float]:
+def _urgency(item: tuple[int, QueuedOpening]) -> tuple[int, float]:
     opening = item[1]
-    return (opening.priority, opening.held_since)
+    return (opening.priority, opening.queued_at)
 
 
-def _service_with_room(opening: HeldOpening, rooms: dict[str, int]) -> str | None:
+def _service_with_spare_capacity(opening: QueuedOpening, spare_by_service: dict[str, int]) -> str | None:
     for service in opening.services:
-        if rooms.get(service, 0) > 0:
+        if spare_by_service.get(service, 0) > 0:
             return service
     return None
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -28,7 +28,7 @@
 from sloepond.core.forwarding.placement.admission import Admission
 from sloepond.core.forwarding.placement.early_openings import EarlyOpening, EarlyOpenings
 from sloepond.core.forwarding.placement.eligibility import Eligibility
-from sloepond.core.forwarding.placement.held_openings import HeldOpening, HeldOpenings
+from sloepond.core.forwarding.placement.held_openings import QueuedOpening, QueuedOpenings
 from sloepond.core.forwarding.placement.selection import Selector
 from sloepond.core.forwarding.placement.unconfirmed_list import UnconfirmedList
 from sloepond.core.forwarding.state.backend import Decision, ForwardingBackend
@@ -43,7 +43,7 @@
 _NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
 _NOT_CONFIGURED = Decision(refusal=Refusal.NOT_CONFIGURED)
 _NO_BACKEND = Decision(refusal=Refusal.NO_BACKEND, reset=True)
-_WAITS = Decision(queue=True)
+_HOLD = Decision(queue=True)
 _STALE = Decision(refusal=Refusal.STALE_KNOWLEDGE)
 
 
@@ -73,7 +73,7 @@
         self._observer = observer
         self._counters = counters
         self._early = EarlyOpenings()
-        self._held = HeldOpenings()
+        self._queued = QueuedOpenings()
         self.admission = Admission()
 
     def decide(self, segment: Segment, now: float) -> Decision:
@@ -82,91 +82,91 @@
         :param now: seconds of the node's clock.
         """
         if not self._routes.version:
-            return _WAITS if self._eligibility.are_backends_known else _NOT_CONFIGURED
+            return _HOLD if self._eligibility.are_backends_known else _NOT_CONFIGURED
         if not self._stall_guard.may_place:
             return _STALE
         route = self._routes.find(segment.route_key)
         if route is None:
             return _NO_ROUTE
         if self._unconfirmed_list.must_wait(route, now):
-            return _WAITS
+            return _HOLD
         unanswered = self._observer.known_backend(segment) if segment.acknowledgement else None
         if unanswered is not None:
-            backend = self._chosen_instead_of(unanswered, route, now)
-        elif self._must_wait(segment, route, now):
-            return _WAITS
+            backend = self._choose_other(unanswered, route, now)
+        elif self._must_queue(segment, route, now):
+            return _HOLD
         else:
-            backend = self._chosen_in_turn(route, now)
+            backend = self._choose_by_weight(route, now)
         if backend is None:
             return _NO_BACKEND
         self._counters.flows_placed += 1
-        self._eligibility.opened(backend, now)
+        self._eligibility.flow_opened(backend, now)
         self._observer.observe_opening(segment, backend, now)
         return backend.decision if unanswered is None else Decision(backend, suspect=unanswered.name)
 
-    def _must_wait(self, segment: Segment, route: Route, now: float) -> bool:
+    def _must_queue(self, segment: Segment, route: Route, now: float) -> bool:
         """Tell whether no service of the route has room, one has back ends, and the flow may wait."""
-        if any(self._has_room(share.service, route, now) for share in route.shares):
+        if any(self._has_spare_capacity(share.service, route, now) for share in route.shares):
             return False
         if not any(self._eligibility.eligible(share.service, route, now) for share in route.shares):
             return False
-        return self._held.may_hold(segment)
+        return self._queued.may_queue(segment)
 
-    def _chosen_in_turn(self, route: Route, now: float) -> ForwardingBackend | None:
+    def _choose_by_weight(self, route: Route, now: float) -> ForwardingBackend | None:
         """Return a back end of the service whose turn it is, or of another one that has room."""
         service = self._routes.round_robin(route).next()
-        if not self._has_room(service, route, now):
-            service = self._service_with_room(route, now) or service
-        return self._chosen(service, route, now, "")
+        if not self._has_spare_capacity(service, route, now):
+            service = self._service_with_spare_capacity(route, now) or service
+        return self._choose(service, route, now, "")
 
-    def _chosen_instead_of(
+    def _choose_other(
         self, unanswered: ForwardingBackend, route: Route, now: float
     ) -> ForwardingBackend | None:
         """Return another back end than the one that left the first opening packet unanswered."""
         unanswered.avoided_until = now + SILENCE_S
         self._counters.second_choices += 1
-        return self._chosen(unanswered.service, route, now, unanswered.name)
+        return self._choose(unanswered.service, route, now, unanswered.name)
 
-    def _chosen(self, service: str, route: Route, now: float, avoided: str) -> ForwardingBackend | None:
-        eligible = self._eligibility.eligible_or_vanished(service, route, now)
+    def _choose(self, service: str, route: Route, now: float, avoided: str) -> ForwardingBackend | None:
+        eligible = self._eligibility.eligible_or_departed(service, route, now)
         return self._selector.choose(eligible, now, avoided)
 
-    def _has_room(self, service: str, route: Route | None, now: float) -> bool:
-        return self._room(service, route, now) > 0
+    def _has_spare_capacity(self, service: str, route: Route | None, now: float) -> bool:
+        return self._spare_capacity(service, route, now) > 0
 
-    def _room(self, service: str, route: Route | None, now: float) -> int:
+    def _spare_capacity(self, service: str, route: Route | None, now: float) -> int:
         """Return for how many more requests there is room at a service."""
-        return self.admission.room(self._eligibility.eligible(service, route, now), now)
+        return self.admission.spare_capacity(self._eligibility.eligible(service, route, now), now)
 
-    def _service_with_room(self, route: Route, now: float) -> str | None:
+    def _service_with_spare_capacity(self, route: Route, now: float) -> str | None:
         for share in route.shares:
-            if share.weight > 0 and self._has_room(share.service, route, now):
+            if share.weight > 0 and self._has_spare_capacity(share.service, route, now):
                 self._counters.flows_diverted += 1
                 return share.service
         return None
 
     def hold(self, segment: Segment, datagram: bytes, now: float) -> None:
         """Let a new flow wait for room, or until enough is known to place it."""
-        if self._comes_early(segment.route_key, now):
+        if self._is_early(segment.route_key, now):
             self._early.add(segment.flow_key, EarlyOpening(datagram, segment.route_key, now))
             return
         route = self._routes.find(segment.route_key)
         if route is None:
             return
         services = tuple(share.service for share in route.shares if share.weight > 0)
-        self._held.hold(HeldOpening(segment, datagram, route.priority, services, now))
+        self._queued.add(QueuedOpening(segment, datagram, route.priority, services, now))
         self._counters.flows_held += 1
 
     def next_deadline(self, now: float) -> float:
         """Return when to look next for flows that wait no longer."""
         waits_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
-        return min(self._held.next_deadline(now), waits_until if waits_until > now else NEVER)
+        return min(self._queued.next_deadline(now), waits_until if waits_until > now else NEVER)
 
     def release_early(self, now: float) -> tuple[bytes, ...]:
         """Return the opening packets that came before enough was known to place them, once it is."""
-        return self._early.take(lambda route_key: self._comes_early(route_key, now), now)
+        return self._early.release(lambda route_key: self._is_early(route_key, now), now)
 
-    def _comes_early(self, route_key: int, now: float) -> bool:
+    def _is_early(self, route_key: int, now: float) -> bool:
         """Tell whether too little is known to place a flow: no routes, or no confirmed list."""
         if not self._routes.version:
             return True
@@ -175,13 +175,13 @@
 
     def release_queued(self, now: float) -> list[bytes]:
         """Return the opening packets that waited for room and are decided on again."""
-        services = self._held.services()
+        services = self._queued.services()
         if not services:
             return []
         self._observer.expire_requests(now)
-        rooms = {service: self._room(service, None, now) for service in services}
-        return self._held.release(rooms, now)
+        spare_by_service = {service: self._spare_capacity(service, None, now) for service in services}
+        return self._queued.release(spare_by_service, now)
 
     def forget_released(self, now: float) -> None:
         """Forget flows that have waited and were placed some time ago."""
-        self._held.forget_released(now)
+        self._queued.forget_released(now)
--- a/sloepond/core/forwarding/placement/rendezvous.py
+++ b/sloepond/core/forwarding/placement/rendezvous.py
@@ -17,6 +17,6 @@
     return binascii.crc32(ip.encode(), binascii.crc32(backend.prefix))
 
 
-def assigned(backend: ForwardingBackend, ips: Iterable[str], count: int) -> list[str]:
+def assigned_balancers(backend: ForwardingBackend, ips: Iterable[str], count: int) -> list[str]:
     """Return the balancers assigned to a back end, the first one first."""
     return heapq.nlargest(count, ips, key=lambda ip: rendezvous_weight(backend, ip))
--- a/sloepond/core/forwarding/placement/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -12,10 +12,10 @@
 
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
-SAMPLE = 16
+SAMPLE_SIZE = 16
 """Back ends looked at for one choice; of more, a random few are, which bounds the time of a choice
 in a large fleet.  Not measured."""
-COLD_FACTOR = 0.4
+COLD_SLOTS_FACTOR = 0.4
 """Share of its slots that counts while a back end is slow from its start.  Without the rule a day
 with faults loses 0.0015 of worth (mean of five).  Trial on two simulated days with faults: worth
 0.940 / 0.940 / 0.940 at half / as is / double, and 0.862 / 0.862 / not run."""
@@ -29,7 +29,7 @@
 back end near by is not loaded much more for it.  With 0.25, 0.5 and 1.0: worth 0.944, 0.944, 0.945
 on a day with faults and 0.973 each on one with a changing number of balancers.  Trial on two other
 days with faults: 0.941 / 0.940 / 0.942 at half / as is / double, and not run / 0.862 / 0.863."""
-SLOW_FACTOR = 2.0
+SLOW_LATENCY_RATIO = 2.0
 """How many times longer than the middle one of its service a back end takes to answer before it
 counts as slow: times of one kind of request vary by half, and the mean of a few may lie half as
 high again by chance.  With 1.5 and a half-life of 4 s a day of slow back ends had 0.9686 of worth,
@@ -54,8 +54,8 @@
         :param avoided: name of a back end taken only where there is no other.
         """
         sample = eligible
-        if len(eligible) > SAMPLE:
-            sample = self._random.sample(eligible, SAMPLE)
+        if len(eligible) > SAMPLE_SIZE:
+            sample = self._random.sample(eligible, SAMPLE_SIZE)
         others = [backend for backend in sample if backend.name != avoided] or sample
         answering = [backend for backend in others if backend.avoided_until <= now] or others
         if not answering:
@@ -79,7 +79,7 @@
 
         :param slowness: how many times longer than usual it takes to answer.
         """
-        slots = backend.slots * (COLD_FACTOR if now < backend.warm_at else 1.0) / slowness
+        slots = backend.slots * (COLD_SLOTS_FACTOR if now < backend.warm_at else 1.0) / slowness
         load = (backend.in_flight + FLOW_WEIGHT * backend.flows + 1.0) / slots
         return load if backend.hall == self._hall else load + OTHER_HALL_LOAD
 
@@ -94,6 +94,6 @@
 
 def _slowness(latency_s: float | None, typical_s: float) -> float:
     """Return how many times longer than usual a back end takes, 1 unless that is far from usual."""
-    if latency_s is None or not typical_s or latency_s < SLOW_FACTOR * typical_s:
+    if latency_s is None or not typical_s or latency_s < SLOW_LATENCY_RATIO * typical_s:
         return 1.0
     return latency_s / typical_s
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -19,17 +19,17 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 from sloepond.core.forwarding.state.route_table import RouteTable
 
-OPENERS = 5
+MAXIMUM_OWNERS = 5
 """Balancers that may find themselves to be the one that opens flows at a back end: where 15 of
 74 have just started and know a third of the others each, there are 4 at the most in 99.7% of
 the draws (computed: binomial, 15 of 1/25 beside the right one)."""
 WINDOW_S = 1.1
 """Seconds for which flows are counted: the second of the limit, and the 0.1 s by which their ways to
 a back end may differ.  Not measured."""
-KNOWS_FLEET_S = 5.0
+FLEET_DISCOVERY_S = 5.0
 """Age in seconds below which a balancer knows too little of its fleet to open flows there: it learns
 of about 15 others a second."""
-OWNERSHIP_S = 1.0
+OWNERSHIP_CACHE_S = 1.0
 """Seconds for which the opener of a back end is remembered: finding it goes over all peers.  Not
 measured."""
 
@@ -45,16 +45,16 @@
     slack_per_s: float
 
 
-class SeenOpener(msgspec.Struct):
+class Ownership(msgspec.Struct):
     """What is remembered of one back end.
 
-    :ivar found_at: when the opener was last looked for.
-    :ivar is_opener: whether this balancer was found to open flows there.
+    :ivar checked_at: when the opener was last looked for.
+    :ivar is_owner: whether this balancer was found to open flows there.
     :ivar opened_at: times of the last flows it has opened.
     """
 
-    found_at: float
-    is_opener: bool
+    checked_at: float
+    is_owner: bool
     opened_at: list[float] = msgspec.field(default_factory=list)
 
 
@@ -69,12 +69,12 @@
         self._peers = peers
         self._routes = routes
         self._limit = limit
-        self._seen: dict[str, SeenOpener] = {}
-        self._knows_fleet_at = 0.0
+        self._ownerships: dict[str, Ownership] = {}
+        self._fleet_known_at = 0.0
 
     def start(self, now: float) -> None:
         """Begin without knowing the fleet."""
-        self._knows_fleet_at = now + KNOWS_FLEET_S
+        self._fleet_known_at = now + FLEET_DISCOVERY_S
 
     def usable(self, backends: Sequence[ForwardingBackend], now: float) -> Sequence[ForwardingBackend]:
         """Return the back ends that may be given a new flow now."""
@@ -82,44 +82,48 @@
             return backends
         return [backend for backend in backends if backend.warm_at <= now or self._may_open(backend, now)]
 
-    def opened(self, backend: ForwardingBackend, now: float) -> None:
+    def flow_opened(self, backend: ForwardingBackend, now: float) -> None:
         """Note a new flow."""
-        seen = self._seen.get(backend.name)
-        if seen is not None and backend.warm_at > now:
-            seen.opened_at.append(now)
+        ownership = self._ownerships.get(backend.name)
+        if ownership is not None and backend.warm_at > now:
+            ownership.opened_at.append(now)
 
     def forget(self, now: float) -> None:
         """Forget back ends that were not looked at for long."""
-        old = [name for name, seen in self._seen.items() if now - seen.found_at > 2 * OWNERSHIP_S]
+        old = [
+            name
+            for name, ownership in self._ownerships.items()
+            if now - ownership.checked_at > 2 * OWNERSHIP_CACHE_S
+        ]
         for name in old:
-            del self._seen[name]
+            del self._ownerships[name]
 
     def _may_open(self, backend: ForwardingBackend, now: float) -> bool:
-        if now < self._knows_fleet_at:
+        if now < self._fleet_known_at:
             return False
-        seen = self._seen.get(backend.name)
-        if seen is None:
-            seen = SeenOpener(now, self._is_opener(backend))
-            self._seen[backend.name] = seen
-        elif now - seen.found_at > OWNERSHIP_S:
-            seen.found_at = now
-            seen.is_opener = self._is_opener(backend)
-        if not seen.is_opener:
+        ownership = self._ownerships.get(backend.name)
+        if ownership is None:
+            ownership = Ownership(now, self._is_owner(backend))
+            self._ownerships[backend.name] = ownership
+        elif now - ownership.checked_at > OWNERSHIP_CACHE_S:
+            ownership.checked_at = now
+            ownership.is_owner = self._is_owner(backend)
+        if not ownership.is_owner:
             return False
-        seen.opened_at = [at for at in seen.opened_at if now - at < WINDOW_S]
-        return len(seen.opened_at) < self._allowed(backend.service)
+        ownership.opened_at = [at for at in ownership.opened_at if now - at < WINDOW_S]
+        return len(ownership.opened_at) < self._maximum_flows(backend.service)
 
-    def _allowed(self, service: str) -> int:
+    def _maximum_flows(self, service: str) -> int:
         """Return how many flows a second this balancer may open at a back end of a service.
 
         One that bears none according to the routes still gets its part of what the settings add.
         """
         assert self._limit is not None
         cold_start = self._routes.cold_start(service)
-        borne_per_s = cold_start.flows_per_s if cold_start is not None else 0.0
-        return int((borne_per_s * self._limit.factor + self._limit.slack_per_s) / OPENERS)
+        capacity_per_s = cold_start.flows_per_s if cold_start is not None else 0.0
+        return int((capacity_per_s * self._limit.factor + self._limit.slack_per_s) / MAXIMUM_OWNERS)
 
-    def _is_opener(self, backend: ForwardingBackend) -> bool:
+    def _is_owner(self, backend: ForwardingBackend) -> bool:
         """Tell whether no other balancer known has a higher weight; those out of reach count too.
 
         A view that is full may be partial, so that it shows nobody to be the one.
