--- a/sloepond/core/forwarding/placement/__init__.py
+++ b/sloepond/core/forwarding/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about packets: where each one is forwarded, and which back end a new flow gets."""
+"""Decides where each packet is forwarded and which back end a new flow gets."""
--- a/sloepond/core/forwarding/placement/early_openings.py
+++ b/sloepond/core/forwarding/placement/early_openings.py
@@ -1,7 +1,8 @@
-"""New flows that come before a fresh balancer knows enough to place them.
+"""New flows that arrive before a balancer that has just started can place them.
 
-Some wait for the routes, some until the list of back ends is confirmed (`unconfirmed_list`).  Owns their
-opening packets; `opening` adds them and takes them back once they can be decided on.
+They wait for the routes, or for the list of back ends to be confirmed (`unconfirmed_list`).
+Owns: their opening packets.  Relies on: `opening`, which adds packets and releases them once they can be
+placed.
 """
 
 from __future__ import annotations
@@ -11,17 +12,16 @@
 import msgspec
 
 LONGEST_WAIT_S = 1.0
-"""Seconds an opening packet waits: its caller gives up after 1.4 s.  The rule switched off costs a
-day with faults 0.0008 of worth (mean of five); the length was not measured."""
+"""Seconds after which an early opening packet is dropped; its caller gives up after 1.4 s."""
 MAXIMUM_EARLY = 512
-"""Flows that wait at once.  Bounds memory; not measured."""
+"""Flows that wait at the same time; bounds memory."""
 
 
 class EarlyOpening(msgspec.Struct, frozen=True):
-    """An opening packet that waits.
+    """An opening packet that cannot be placed yet.
 
     :ivar route_key: endpoint that the caller sends to.
-    :ivar received_at: when it came, seconds of the node's clock.
+    :ivar received_at: time of arrival in seconds of the node's clock.
     """
 
     datagram: bytes
@@ -30,7 +30,7 @@
 
 
 class EarlyOpenings:
-    """Opening packets, one for each flow."""
+    """Opening packets that cannot be placed yet, the latest one of each flow."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, EarlyOpening] = {}
@@ -39,14 +39,14 @@
         return len(self._waiting)
 
     def add(self, flow_key: int, opening: EarlyOpening) -> None:
-        """Keep the packet of a flow; a copy takes the place of an earlier one."""
+        """Store the packet of a flow; a retransmission replaces the earlier packet."""
         if len(self._waiting) < MAXIMUM_EARLY or flow_key in self._waiting:
             self._waiting[flow_key] = opening
 
     def release(self, must_wait: Callable[[int], bool], now: float) -> tuple[bytes, ...]:
-        """Return the packets that wait no longer, and forget them and those that have waited too long.
+        """Remove and return the packets that can be placed now; drop those that have waited too long.
 
-        :param must_wait: tells whether the flows to an endpoint wait on.
+        :param must_wait: returns whether flows to an endpoint still have to wait.
         """
         if not self._waiting:
             return ()
--- a/sloepond/core/forwarding/placement/evacuations.py
+++ b/sloepond/core/forwarding/placement/evacuations.py
@@ -1,7 +1,7 @@
-"""Evacuated halls: they get no new flow, and one that returns begins with slow start.
+"""Evacuated halls get no new flows; a hall whose evacuation ends begins with slow start.
 
-Owns the newest set of evacuated halls; tells the list of back ends, which leaves out those of an
-evacuated hall.
+Owns: the newest set of evacuated halls.  Relies on: the list of back ends, which excludes the back ends of
+evacuated halls from new flows.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Evacuations:
-    """The newest set of evacuated halls; an older one never replaces it.
+    """The newest set of evacuated halls; an older set never replaces it.
 
     :ivar current: the set in force.
     """
@@ -23,7 +23,7 @@
         self.current = EvacuatedHalls()
 
     def apply(self, newer: EvacuatedHalls, now: float) -> bool:
-        """Put a set in force if it is newer; return whether the halls differ."""
+        """Put a set in force if its revision is newer; return whether the evacuated halls changed."""
         if newer.revision <= self.current.revision:
             return False
         returned = frozenset(self.current.halls) - frozenset(newer.halls)
@@ -35,9 +35,10 @@
         return is_changed
 
     def _mark_cold(self, halls: frozenset[str], now: float) -> None:
-        """Count the back ends of halls that return as just started.
+        """Treat the back ends of halls whose evacuation has ended as just started.
 
-        They may have been, and their own word of it may come later than the hall's return.
+        They may have restarted in the meantime, and their new entries may arrive after the end of the
+        evacuation.
         """
         for backend in self._backends:
             cold_start = self._routes.cold_start(backend.service)
--- a/sloepond/core/forwarding/placement/forwarder.py
+++ b/sloepond/core/forwarding/placement/forwarder.py
@@ -1,8 +1,8 @@
-"""The data path: what becomes of each packet of a caller.
+"""The data path: decides what happens to each packet of a caller.
 
-An opening packet is given a back end (`opening`).  Every other packet names its back end by
-the routing token it carries, so any balancer forwards it alike, whatever it knows of the flow.
-Owns no state; relies on the list of back ends, the observer of flows and the openings.
+`opening` chooses a back end for an opening packet.  Every other packet carries the routing token of its back
+end, so every balancer forwards it to the same back end without any state of the flow.
+Owns: no state.  Relies on: the list of back ends, the flow observer and `Openings`.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class Forwarder:
-    """Decides on packets; pure but for what it counts.
+    """Decides on packets, without side effects other than counts.
 
-    :ivar observer: counts flows and requests of the packets decided on.
+    :ivar observer: counts the flows and requests of the packets.
     :ivar openings: decides on opening packets.
     """
 
@@ -33,10 +33,11 @@
     def decide(self, segment: Segment, now: float) -> Decision:
         """Apply the rules for a packet of an open flow in their order.
 
-        1. An opening packet is `Openings.decide`'s.
-        2. No back end has the token: without a token it is refused, else peers are asked for it.
-        3. The back end is gone: the caller's flow is reset, so that it opens another one.
-        4. It is forwarded; where there is reason to suspect that the back end is gone, that is checked.
+        1. `Openings.decide` handles opening packets.
+        2. No back end has the packet's token: a packet without a token is refused; otherwise peers are asked
+           for the token.
+        3. The back end is unreachable: the flow is reset, so that its caller opens another one.
+        4. The packet is forwarded.  If the back end may be gone, it is checked as well.
 
         :param now: seconds of a monotonic clock.
         """
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -1,21 +1,25 @@
-"""What becomes of an opening packet: the rules for a new flow, as `Openings.decide` applies them.
+"""Decides on opening packets.
 
-1. No routes known yet: the flow waits if the back ends are known, so that a fresh process that has
-   read one of the two loses none; else it is refused.
-2. The process has slept: nothing is placed until what it knows is confirmed.
+`Openings.decide` applies the first of these rules that matches:
+
+1. No routes are known yet: the flow is held if the back ends are known, so that a process that has just
+   started and has read only the back ends loses no flow; otherwise it is refused.
+2. The process has stalled: no flow is placed until the process's state is confirmed.
 3. No route for the endpoint: the flow is reset at once.
-4. The list of back ends may be old, and those of a service of the route bear few new flows after a
-   start: the flow waits until the list is confirmed.
-5. A copy of an opening packet: the back end chosen for the first one has not answered, so another
-   one of the same service is chosen.
-6. No service of the route has room for it here, and one has back ends: the flow waits, once.
-7. Else the services take weighted turns; one without room is skipped for one that has some.
-8. Of the service's eligible back ends the selector takes the least loaded; with none eligible the
-   flow is reset at once.
-
-Owns the flows that wait for routes, for a confirmed list or for room; relies on `unconfirmed_list`,
-`eligibility` (which back ends may be given a flow), `admission` (where there is room) and `selection`
-(the choice among them).
+4. The list of back ends may be out of date, and a service of the route needs slow start: the flow is held
+   until the list is confirmed.
+5. A retransmission of an opening packet: the back end chosen for the first one has not answered, so another
+   back end of the same service is chosen.
+6. No service of the route has spare capacity here, and at least one has eligible back ends: the flow is
+   queued, once.
+7. Otherwise the service is chosen by weighted round robin; if it has no spare capacity, a service that has
+   some is chosen instead.
+8. The selector chooses the least loaded of the service's eligible back ends; if none is eligible, the flow is
+   reset at once.
+
+Owns: the flows held for routes, for a confirmed list or for spare capacity.  Relies on: `unconfirmed_list`,
+`eligibility` (which back ends may get a flow), `admission` (spare capacity) and `selection` (the choice among
+the eligible back ends).
 """
 
 from __future__ import annotations
@@ -36,9 +40,7 @@
 from sloepond.core.forwarding.state.routes import Route
 
 SILENCE_S = 2.0
-"""Seconds for which a back end that left an opening packet unanswered is chosen only where there
-is no other.  The rule as a whole, switched off: worth +0.0001, -0.0011 and +0.0011 (three
-deployments, five days with faults each), within the spread; the length was not measured."""
+"""Seconds for which a back end that left an opening packet unanswered is chosen only if there is no other."""
 
 _NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
 _NOT_CONFIGURED = Decision(refusal=Refusal.NOT_CONFIGURED)
@@ -48,11 +50,12 @@
 
 
 class Openings:
-    """Decides on opening packets, and keeps those that wait.
+    """Decides on opening packets, and holds those that cannot be placed yet.
 
-    :param stall_guard: whether what is known is fresh enough to place new flows.
-    :param unconfirmed_list: whether flows wait until the first list of back ends is confirmed.
-    :param observer: back ends chosen for earlier copies of an opening packet.
+    :param stall_guard: determines whether the process's state is recent enough to place new flows.
+    :param unconfirmed_list: determines whether flows wait until the first list of back ends is confirmed.
+    :param observer: knows the back ends chosen for earlier transmissions of an opening packet.
+    :ivar admission: limits the requests in flight at each back end.
     """
 
     def __init__(
@@ -77,7 +80,7 @@
         self.admission = Admission()
 
     def decide(self, segment: Segment, now: float) -> Decision:
-        """Apply the rules for a new flow in their order; the module's docstring lists them.
+        """Apply the rules for a new flow that the module's doc comment lists, in their order.
 
         :param now: seconds of the node's clock.
         """
@@ -105,7 +108,11 @@
         return backend.decision if unanswered is None else Decision(backend, suspect=unanswered.name)
 
     def _must_queue(self, segment: Segment, route: Route, now: float) -> bool:
-        """Tell whether no service of the route has room, one has back ends, and the flow may wait."""
+        """Return whether the flow has to be queued.
+
+        That is the case if no service of the route has spare capacity, at least one has eligible back ends,
+        and the queue accepts the flow.
+        """
         if any(self._has_spare_capacity(share.service, route, now) for share in route.shares):
             return False
         if not any(self._eligibility.eligible(share.service, route, now) for share in route.shares):
@@ -113,7 +120,7 @@
         return self._queued.may_queue(segment)
 
     def _choose_by_weight(self, route: Route, now: float) -> ForwardingBackend | None:
-        """Return a back end of the service whose turn it is, or of another one that has room."""
+        """Return a back end of the next service in weighted round robin, or of one with spare capacity."""
         service = self._routes.round_robin(route).next()
         if not self._has_spare_capacity(service, route, now):
             service = self._service_with_spare_capacity(route, now) or service
@@ -122,7 +129,7 @@
     def _choose_other(
         self, unanswered: ForwardingBackend, route: Route, now: float
     ) -> ForwardingBackend | None:
-        """Return another back end than the one that left the first opening packet unanswered."""
+        """Return a back end other than the one that left the first opening packet unanswered."""
         unanswered.avoided_until = now + SILENCE_S
         self._counters.second_choices += 1
         return self._choose(unanswered.service, route, now, unanswered.name)
@@ -135,7 +142,7 @@
         return self._spare_capacity(service, route, now) > 0
 
     def _spare_capacity(self, service: str, route: Route | None, now: float) -> int:
-        """Return for how many more requests there is room at a service."""
+        """Return how many more requests this balancer may send to a service."""
         return self.admission.spare_capacity(self._eligibility.eligible(service, route, now), now)
 
     def _service_with_spare_capacity(self, route: Route, now: float) -> str | None:
@@ -146,7 +153,7 @@
         return None
 
     def hold(self, segment: Segment, datagram: bytes, now: float) -> None:
-        """Let a new flow wait for room, or until enough is known to place it."""
+        """Hold a new flow until the state needed to place it is known, or queue it for spare capacity."""
         if self._is_early(segment.route_key, now):
             self._early.add(segment.flow_key, EarlyOpening(datagram, segment.route_key, now))
             return
@@ -158,23 +165,23 @@
         self._counters.flows_held += 1
 
     def next_deadline(self, now: float) -> float:
-        """Return when to look next for flows that wait no longer."""
+        """Return when to check next whether held flows can be placed."""
         waits_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
         return min(self._queued.next_deadline(now), waits_until if waits_until > now else NEVER)
 
     def release_early(self, now: float) -> tuple[bytes, ...]:
-        """Return the opening packets that came before enough was known to place them, once it is."""
+        """Remove and return the early opening packets that can be placed now."""
         return self._early.release(lambda route_key: self._is_early(route_key, now), now)
 
     def _is_early(self, route_key: int, now: float) -> bool:
-        """Tell whether too little is known to place a flow: no routes, or no confirmed list."""
+        """Return whether a flow cannot be placed yet, because routes or a confirmed list are missing."""
         if not self._routes.version:
             return True
         route = self._routes.find(route_key)
         return route is not None and self._unconfirmed_list.must_wait(route, now)
 
     def release_queued(self, now: float) -> list[bytes]:
-        """Return the opening packets that waited for room and are decided on again."""
+        """Remove and return the queued opening packets that are decided on again."""
         services = self._queued.services()
         if not services:
             return []
@@ -183,5 +190,5 @@
         return self._queued.release(spare_by_service, now)
 
     def forget_released(self, now: float) -> None:
-        """Forget flows that have waited and were placed some time ago."""
+        """Forget flows that were released from the queue some time ago."""
         self._queued.forget_released(now)
--- a/sloepond/core/forwarding/placement/places.py
+++ b/sloepond/core/forwarding/placement/places.py
@@ -1,6 +1,7 @@
-"""Places: where the flows of a service and of a route may go.
+"""Places: the halls and regions to which the flows of a service and of a route may go.
 
-Owns nothing; the rules come from the settings, `state.backends` and `eligibility` apply them.
+Owns: no state.  Relies on: the settings, which contain the rules; `state.backends` and `eligibility` apply
+them.
 """
 
 from __future__ import annotations
@@ -11,8 +12,9 @@
 
 
 class PlaceRules(msgspec.Struct, frozen=True):
-    """Permitted halls by service; a service that is not named may go anywhere.
+    """Rules on where new flows may go.
 
+    :ivar halls: permitted halls of each service; a service that is not named may use every hall.
     :ivar regions: region of each hall.
     """
 
@@ -20,12 +22,12 @@
     regions: Mapping[str, str] = {}
 
     def is_permitted(self, service: str, hall: str) -> bool:
-        """Tell whether flows of a service may go to a hall."""
+        """Return whether flows of a service may go to a hall."""
         permitted = self.halls.get(service)
         return permitted is None or hall in permitted
 
     def is_within(self, regions: tuple[str, ...], hall: str) -> bool:
-        """Tell whether a hall stands in one of some regions; one of an unknown region does not."""
+        """Return whether a hall is in one of the regions; False if the region of the hall is unknown."""
         return self.regions.get(hall) in regions
 
 
--- a/sloepond/core/forwarding/placement/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -1,8 +1,8 @@
-"""The choice of a back end for a new flow: the least loaded one of a random sample.
+"""Chooses the back end of a new flow: the least loaded one of a random sample.
 
-Owns no state.  Load is what this balancer has seen itself, for each slot, with a penalty for
-back ends of other halls (locality-weighted choice).  Relies on the counts and latencies that
-`load` keeps at each back end; which back ends may be chosen is `eligibility`'s.
+The load is computed for each slot from what this balancer itself has observed, with a penalty for back ends
+in other halls (locality-weighted choice).  Owns: no state.  Relies on: the counts and latencies that `load`
+keeps on each back end, and `eligibility`, which determines the back ends to choose from.
 """
 
 from __future__ import annotations
@@ -13,31 +13,22 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 SAMPLE_SIZE = 16
-"""Back ends looked at for one choice; of more, a random few are, which bounds the time of a choice
-in a large fleet.  Not measured."""
+"""Back ends compared for one choice; of more, a random sample is compared.  Bounds the time of a choice in a
+large fleet."""
 COLD_SLOTS_FACTOR = 0.4
-"""Share of its slots that counts while a back end is slow from its start.  Without the rule a day
-with faults loses 0.0015 of worth (mean of five).  Trial on two simulated days with faults: worth
-0.940 / 0.940 / 0.940 at half / as is / double, and 0.862 / 0.862 / not run."""
+"""Share of a back end's slots that counts while it is still slow after its start."""
 FLOW_WEIGHT = 0.15
-"""Load of an open flow without a request, in requests.  With 0 in its place the worth of a day
-changed by +0.0003, -0.0014 and +0.0058 (three deployments, five days with faults each), which is
-within the spread.  Trial on two simulated days with faults: worth 0.941 / 0.940 / 0.941 at half /
-as is / double, and 0.863 / 0.862 / 0.861."""
+"""Load of an open flow, in requests; added to the load of its requests in flight."""
 OTHER_HALL_LOAD = 0.5
-"""Load for each slot added for standing in another hall: bytes between halls are priced, but a
-back end near by is not loaded much more for it.  With 0.25, 0.5 and 1.0: worth 0.944, 0.944, 0.945
-on a day with faults and 0.973 each on one with a changing number of balancers.  Trial on two other
-days with faults: 0.941 / 0.940 / 0.942 at half / as is / double, and not run / 0.862 / 0.863."""
+"""Load per slot added to a back end in another hall.  Traffic between halls has a price, but a back end in
+the same hall must not be loaded much more to avoid it."""
 SLOW_LATENCY_RATIO = 2.0
-"""How many times longer than the middle one of its service a back end takes to answer before it
-counts as slow: times of one kind of request vary by half, and the mean of a few may lie half as
-high again by chance.  With 1.5 and a half-life of 4 s a day of slow back ends had 0.9686 of worth,
-in place of 0.9537 to 0.9704: within the spread."""
+"""Ratio of a back end's latency to the median of the sample from which it counts as slow.  The latencies of
+one kind of request vary by half, and the mean of a few may exceed the true mean by half by chance."""
 
 
 class Selector:
-    """Chooses the least loaded of a random sample of back ends.
+    """Chooses the least loaded back end of a random sample.
 
     :param hall: hall of this balancer.
     """
@@ -49,9 +40,9 @@
     def choose(
         self, eligible: Sequence[ForwardingBackend], now: float, avoided: str = ""
     ) -> ForwardingBackend | None:
-        """Return the least loaded back end of a sample, None where there is none; ties are random.
+        """Return the least loaded back end of a sample, None if there is none; ties are broken at random.
 
-        :param avoided: name of a back end taken only where there is no other.
+        :param avoided: name of a back end that is chosen only if there is no other.
         """
         sample = eligible
         if len(eligible) > SAMPLE_SIZE:
@@ -66,7 +57,7 @@
         return answering[min(order, key=loads.__getitem__)]
 
     def _loads(self, backends: Sequence[ForwardingBackend], now: float) -> list[float]:
-        """Return the load of each back end, slow ones compared with the middle one."""
+        """Return the load of each back end; its slots count less the slower it is than the median."""
         latencies = [backend.latency.mean(now) for backend in backends]
         typical_s = _typical_latency(latencies)
         return [
@@ -75,9 +66,9 @@
         ]
 
     def _load(self, backend: ForwardingBackend, slowness: float, now: float) -> float:
-        """Return the expected load for each slot, in requests.
+        """Return the expected load per slot with the new flow, in requests.
 
-        :param slowness: how many times longer than usual it takes to answer.
+        :param slowness: ratio of the back end's latency to the median, see `_slowness`.
         """
         slots = backend.slots * (COLD_SLOTS_FACTOR if now < backend.warm_at else 1.0) / slowness
         load = (backend.in_flight + FLOW_WEIGHT * backend.flows + 1.0) / slots
@@ -85,7 +76,7 @@
 
 
 def _typical_latency(latencies: Sequence[float | None]) -> float:
-    """Return the middle latency in seconds, 0 where that of fewer than half is known."""
+    """Return the median of the known latencies in seconds, 0 if fewer than half are known."""
     known = sorted(latency_s for latency_s in latencies if latency_s is not None)
     if not known or 2 * len(known) < len(latencies):
         return 0.0
@@ -93,7 +84,7 @@
 
 
 def _slowness(latency_s: float | None, typical_s: float) -> float:
-    """Return how many times longer than usual a back end takes, 1 unless that is far from usual."""
+    """Return the ratio of a latency to the median, 1 if it is below `SLOW_LATENCY_RATIO` or unknown."""
     if latency_s is None or not typical_s or latency_s < SLOW_LATENCY_RATIO * typical_s:
         return 1.0
     return latency_s / typical_s
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -1,11 +1,11 @@
-"""Slow start: a back end that has just started is given few new flows a second.
+"""Slow start: limits the new flows per second of a back end that has just started ("cold").
 
-What it bears is counted over all balancers.  Of those that know each other one opens flows
-there, found by rendezvous hashing; the others skip it.  Views of the fleet differ for a while,
-so several may find themselves to be that one, and each keeps to its part of the limit.
+The limit holds for all balancers together.  Rendezvous hashing selects one balancer, the owner, that opens
+flows at the cold back end; the others skip it.  While their views of the fleet differ, several balancers
+may consider themselves the owner, so each one uses only its share of the limit.
 
-Owns the flows this balancer has opened at such back ends within the last second; relies on the
-peers known and on what the routes say a service's back ends bear after a start.
+Owns: the times of the flows that this balancer has recently opened at cold back ends.  Relies on: the known
+peers, and the routes, which contain the limits of each service after a start.
 """
 
 from __future__ import annotations
@@ -20,25 +20,24 @@
 from sloepond.core.forwarding.state.route_table import RouteTable
 
 MAXIMUM_OWNERS = 5
-"""Balancers that may find themselves to be the one that opens flows at a back end: where 15 of
-74 have just started and know a third of the others each, there are 4 at the most in 99.7% of
-the draws (computed: binomial, 15 of 1/25 beside the right one)."""
+"""Balancers among which the limit is divided, since several may consider themselves the owner of a back
+end.  If 15 of 74 balancers have just started and each of these knows a third of the others, there are at
+most 4 owners with a probability of 99.7% (binomial: 15 with 1/25 each, beside the true owner)."""
 WINDOW_S = 1.1
-"""Seconds for which flows are counted: the second of the limit, and the 0.1 s by which their ways to
-a back end may differ.  Not measured."""
+"""Seconds for which opened flows are counted: the second to which the limit applies, and the 0.1 s by which
+the network delays to a back end may differ."""
 FLEET_DISCOVERY_S = 5.0
-"""Age in seconds below which a balancer knows too little of its fleet to open flows there: it learns
-of about 15 others a second."""
+"""Seconds after its start for which a balancer opens no flows at cold back ends, because it knows too few
+of its peers; it discovers about 15 per second."""
 OWNERSHIP_CACHE_S = 1.0
-"""Seconds for which the opener of a back end is remembered: finding it goes over all peers.  Not
-measured."""
+"""Seconds for which the result of the search for the owner is cached; the search iterates over all peers."""
 
 
 class SlowStartLimit(msgspec.Struct, frozen=True):
-    """Limit of new flows at a back end that is slow from its start, from the settings.
+    """Limit on new flows at a cold back end, from the settings.
 
-    :ivar factor: multiplies what the routes say it bears.
-    :ivar slack_per_s: new flows a second added to that.
+    :ivar factor: factor applied to the flows per second that the routes permit.
+    :ivar slack_per_s: flows per second added to the product.
     """
 
     factor: float
@@ -46,11 +45,11 @@
 
 
 class Ownership(msgspec.Struct):
-    """What is remembered of one back end.
+    """Cached ownership of one cold back end.
 
-    :ivar checked_at: when the opener was last looked for.
-    :ivar is_owner: whether this balancer was found to open flows there.
-    :ivar opened_at: times of the last flows it has opened.
+    :ivar checked_at: when the owner was last searched for.
+    :ivar is_owner: whether this balancer is the owner.
+    :ivar opened_at: times of the flows that this balancer has opened there within `WINDOW_S`.
     """
 
     checked_at: float
@@ -59,9 +58,11 @@
 
 
 class SlowStart:
-    """Which of the back ends that are slow from their start this balancer may use now.
+    """Determines which cold back ends this balancer may use now.
 
-    :param limit: None where nothing limits flows there: they only count as smaller then.
+    :param ip: address of this balancer.
+    :param limit: limit on new flows; None if there is none, cold back ends then only count as smaller
+        (`selection`).
     """
 
     def __init__(self, ip: str, peers: PeerTable, routes: RouteTable, limit: SlowStartLimit | None) -> None:
@@ -73,23 +74,23 @@
         self._fleet_known_at = 0.0
 
     def start(self, now: float) -> None:
-        """Begin without knowing the fleet."""
+        """Begin the period in which too few peers are known to use cold back ends."""
         self._fleet_known_at = now + FLEET_DISCOVERY_S
 
     def usable(self, backends: Sequence[ForwardingBackend], now: float) -> Sequence[ForwardingBackend]:
-        """Return the back ends that may be given a new flow now."""
+        """Return the back ends that may get a new flow now."""
         if self._limit is None:
             return backends
         return [backend for backend in backends if backend.warm_at <= now or self._may_open(backend, now)]
 
     def flow_opened(self, backend: ForwardingBackend, now: float) -> None:
-        """Note a new flow."""
+        """Count a new flow if its back end is cold."""
         ownership = self._ownerships.get(backend.name)
         if ownership is not None and backend.warm_at > now:
             ownership.opened_at.append(now)
 
     def forget(self, now: float) -> None:
-        """Forget back ends that were not looked at for long."""
+        """Forget back ends whose ownership was not needed recently."""
         old = [
             name
             for name, ownership in self._ownerships.items()
@@ -114,9 +115,9 @@
         return len(ownership.opened_at) < self._maximum_flows(backend.service)
 
     def _maximum_flows(self, service: str) -> int:
-        """Return how many flows a second this balancer may open at a back end of a service.
+        """Return how many flows per second this balancer may open at a cold back end of a service.
 
-        One that bears none according to the routes still gets its part of what the settings add.
+        If the routes permit none, the share of `SlowStartLimit.slack_per_s` remains.
         """
         assert self._limit is not None
         cold_start = self._routes.cold_start(service)
@@ -124,9 +125,10 @@
         return int((capacity_per_s * self._limit.factor + self._limit.slack_per_s) / MAXIMUM_OWNERS)
 
     def _is_owner(self, backend: ForwardingBackend) -> bool:
-        """Tell whether no other balancer known has a higher weight; those out of reach count too.
+        """Return whether this balancer has the highest weight of all known ones, unreachable ones included.
 
-        A view that is full may be partial, so that it shows nobody to be the one.
+        False if the table of peers is full: it may then be incomplete, so that no balancer can be sure to
+        be the owner.
         """
         others = self._peers.peers_staying()
         if len(others) >= MAXIMUM_PEERS - 1:
--- a/sloepond/core/forwarding/placement/unconfirmed_list.py
+++ b/sloepond/core/forwarding/placement/unconfirmed_list.py
@@ -1,13 +1,12 @@
-"""Whether new flows wait until the list of back ends is confirmed.
+"""Decides whether new flows wait until the list of back ends is confirmed.
 
-A fresh balancer may begin with a list that is some seconds old: enough to forward the packets of open
-flows, but a back end that has become slow since then looks as fast as the others in it.  Slow start is
-counted over the whole fleet, so every balancer that begins like this exceeds what the back end bears.
-Measured in a model of 20 balancers of which 6 are killed and the network is parted in three as 12 back ends
-become slow: 58 of the 85 openings in the seconds above the limit were placed by such a list.
+A balancer that has just started may begin with a list that is some seconds old.  That is sufficient to
+forward the packets of open flows, but a back end that has become cold since then is not marked as cold in it.
+The limit of slow start holds for the whole fleet, so every balancer that places flows by such a list exceeds
+it.
 
-Owns no state.  Relies on the watcher of the back ends, which has the list confirmed, and on the routes,
-which say whose back ends are slow after a start.
+Owns: no state.  Relies on: the watcher of the back ends, which gets the list confirmed, and the routes, which
+name the services that need slow start.
 """
 
 from __future__ import annotations
@@ -19,16 +18,16 @@
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 LONGEST_WAIT_S = 2.0
-"""Seconds after the first list for which a confirmation is waited for; then the store and all readers are
-out of reach, and a list that is some seconds old is better than none.  Not measured: several tries of a
-read, whose waits add up to 1.0 s."""
+"""Seconds after the first list for which flows wait for its confirmation.  Without one by then, the store
+and all readers are unreachable, and a list that is some seconds old is better than none.  Long enough for
+several attempts of a read, whose delays add up to 1.0 s."""
 
 
 class UnconfirmedList:
-    """Whether what is known of the back ends is too uncertain for slow start.
+    """Determines whether the list of back ends may be too old for slow start.
 
-    :param watcher: of the back ends.
-    :param limit: limit of slow start; without one nothing waits.
+    :param watcher: watcher of the back ends.
+    :param limit: limit of slow start; no flow waits if there is none.
     """
 
     def __init__(self, watcher: StoreWatcher, routes: RouteTable, limit: SlowStartLimit | None) -> None:
@@ -37,7 +36,7 @@
         self._limit = limit
 
     def must_wait(self, route: Route, now: float) -> bool:
-        """Tell whether a new flow of a route waits.
+        """Return whether a new flow of a route has to wait.
 
         :param now: seconds of the node's clock.
         """
@@ -47,7 +46,7 @@
 
     @property
     def ends_at(self) -> float:
-        """Until when new flows wait unless the list is confirmed sooner, `-NEVER` where none waits."""
+        """Time until which new flows wait unless the list is confirmed earlier, `-NEVER` if none waits."""
         if self._limit is None or self._watcher.unconfirmed_since == NEVER:
             return -NEVER
         return self._watcher.unconfirmed_since + LONGEST_WAIT_S
