--- a/features/forwarding/admission.feature
+++ b/features/forwarding/admission.feature
@@ -1,23 +1,23 @@
-Feature: A balancer takes its part of each back end
+Feature: A balancer uses its share of each back end
 
-  Scenario: New flows without room wait, and are placed in any case
+  Scenario: New flows without spare capacity are queued, and are placed in any case
     Given a forwarding node with routes and back ends
-    When forwarding gets more new flows at once than there is room for
-    Then forwarding lets the rest wait and places all of them within 0.6 seconds
+    When forwarding receives more new flows at once than there is spare capacity for
+    Then forwarding queues the rest and places all of them within 0.6 seconds
 
-  Scenario: The most urgent flow is placed first
+  Scenario: The queued flow of the highest priority is placed first
     Given a forwarding node with routes and back ends
-    When forwarding has flows of two priorities waiting and one place becomes free
-    Then forwarding places the more urgent one
+    When forwarding has queued flows of two priorities and capacity for one of them becomes free
+    Then forwarding places the flow of the higher priority
 
-  Scenario: A split goes to the part that has room
+  Scenario: A split route uses the service that has spare capacity
     Given a forwarding node with routes and back ends
-    When forwarding fills one part of a split
-    Then forwarding gives new flows of the split to the other part
+    When forwarding uses all capacity of one service of a split route
+    Then forwarding places new flows of the split route on the other service
 
-  Scenario: An answer makes room
-    Then forwarding property: requests in flight are counted from packets and never below zero
+  Scenario: An answer frees capacity
+    Then forwarding property: requests in flight are counted from packets and are never negative
 
-  Scenario: A balancer that has just started takes one request at each back end
+  Scenario: A balancer that has just started places one flow on each back end
     Given a forwarding node with routes and back ends
-    Then forwarding places as many flows at once as the service has back ends, and lets the next one wait
+    Then forwarding places as many flows at once as the service has back ends, and queues the next one
--- a/features/forwarding/evacuation.feature
+++ b/features/forwarding/evacuation.feature
@@ -1,23 +1,23 @@
-Feature: An evacuated zone gets no new flow, and keeps those that are open
+Feature: An evacuated zone gets no new flows and keeps its open flows
 
-  Scenario: Evacuations reach all within two seconds, whatever else changes and gets lost
-    Then forwarding property: zones evacuated and taken back are known to a fleet with losses within 2 seconds
+  Scenario: Evacuations reach all balancers within two seconds despite other changes and packet loss
+    Then forwarding property: evacuated and restored zones are known to a fleet with packet loss within 2 seconds
 
-  Scenario: Evacuations reach all while the store refuses a third and processes start anew
-    Then forwarding property: evacuations reach a fleet of which a third is refused and some restart
+  Scenario: Evacuations reach all balancers while the store refuses a third of them and some restart
+    Then forwarding property: evacuations reach a fleet while the store refuses a third of it and some restart
 
-  Scenario: The newer of two sets of evacuated zones stays in force, in whatever order they come
+  Scenario: The newest set of evacuated zones is in force, whatever the order of messages
     Then forwarding property: the newest set of evacuated zones is in force in any order of messages
 
-  Scenario: A read that fails forgets no evacuation
+  Scenario: A failed read does not end an evacuation
     Given a forwarding node with routes and back ends
-    When forwarding learns that zone north is evacuated and its reads fail
-    Then forwarding refuses a new flow at once for want of a back end
+    When forwarding reads that zone north is evacuated and its later reads fail
+    Then forwarding refuses a new flow at once because there is no back end
 
-  Scenario: Flows that are open stay, new ones go elsewhere or are refused at once
+  Scenario: Open flows stay; new flows go to other zones or are refused at once
     Then forwarding property: no new flow goes to an evacuated zone, and every open flow stays
 
-  Scenario: A zone that is taken back gets few flows until its back ends must be warm
-    Given a forwarding node that spares back ends after a start
-    When forwarding learns that zone south is evacuated and taken back
-    Then forwarding places no flow in zone south for 2 seconds, and some then
+  Scenario: A restored zone gets flows only under the slow-start limit until its back ends are warm
+    Given a forwarding node with a limit for slow start
+    When forwarding reads that zone south is evacuated and then restored
+    Then forwarding places no flow in zone south for 2 seconds, and some afterwards
--- a/features/forwarding/planned_stop.feature
+++ b/features/forwarding/planned_stop.feature
@@ -40,19 +40,19 @@
     of its hall, counted too many or too few of them as ready, and ended while routers used all:
       1.0 10.1.0.12 stopping zone_ready=2 zone_others=3 (six in the hall)
       1.8 10.1.0.6 stop_completed reason=no_packets zone_ready=3 zone_others=3 (two were ready)
-    Then for each of 8 seeds at most half as many packets are lost as with ends after 1.8 seconds
+    Then for each of 8 seeds at most half as many packets are lost as with stops that end after 1.8 seconds
 
   Scenario: A balancer that stops asks its hall, and the hall answers
-    Given a forwarding node that has heard of one peer in its hall, of one elsewhere, and of one by name only
-    When forwarding is asked to stop among its peers
-    Then forwarding tells the peer in its hall and the one known by name only
+    Given a forwarding node that knows one peer in its hall, one in another hall, and one by address only
+    When forwarding is requested to stop while it has peers
+    Then forwarding notifies the peer in its hall and the one known by address only
 
   Scenario: A peer of the hall that stops is answered once
-    Given a forwarding node that has heard of one peer in its hall, of one elsewhere, and of one by name only
-    When the peer in its hall says twice that it stops
+    Given a forwarding node that knows one peer in its hall, one in another hall, and one by address only
+    When the peer in its hall announces twice that it is stopping
     Then forwarding sends it one heartbeat that names its own hall
-    When the peer elsewhere says that it stops
-    Then forwarding sends the peer elsewhere no heartbeat
+    When the peer in the other hall announces that it is stopping
+    Then forwarding sends the peer in the other hall no heartbeat
 
   Scenario: A stop during a start
     Given a fresh forwarding node whose store is silent
--- a/features/forwarding/readers.feature
+++ b/features/forwarding/readers.feature
@@ -73,9 +73,9 @@
       0.01  confirmation base=118 revision=118, no changes (all others know up to 113)
       0.11  request of changes since 113, and again at 0.31 and 0.51
       0.518 backend_changed i-00000002 state=ready rev=114 told=peer
-    Given a forwarding node that knows all up to revision 113
-    When forwarding becomes a reader and reads at revision 118 that a back end leaves
-    Then its first confirmation holds all changes from revision 113 to 118
+    Given a forwarding node that has all changes up to revision 113
+    When forwarding becomes a reader and reads at revision 118 that a back end is leaving
+    Then its first confirmation contains all changes from revision 113 to 118
 
   Scenario: A fleet that was killed whole asks the store at a bounded rate
     Given a simulated fleet of 40 forwarding nodes
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on evacuated zones, back ends that have just started, and regions of routes."""
+"""Steps on evacuated zones, slow start, and regions of routes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 WITHOUT_SHRINKING = (Phase.explicit, Phase.generate)
-"""A smaller seed of a fleet is no simpler case; looking for one takes minutes."""
+"""Phases without shrinking: a smaller seed of a fleet is not a simpler case, and the search takes minutes."""
 FLEET_PROPERTY = settings(
     derandomize=True, deadline=None, database=None, max_examples=6, phases=WITHOUT_SHRINKING
 )
@@ -46,11 +46,13 @@
 
 
 def zoned_records(numbers, revision=1):
-    """Return back ends of one service, one zone after the other."""
+    """Return back ends of one service, distributed over the zones in turn."""
     return tuple(record(number, hall=ZONES[number % 3], revision=revision) for number in numbers)
 
 
-@then("forwarding property: zones evacuated and taken back are known to a fleet with losses within 2 seconds")
+@then(
+    "forwarding property: evacuated and restored zones are known to a fleet with packet loss within 2 seconds"
+)
 def evacuations_reach_all(context):
     @FLEET_PROPERTY
     @for_all(
@@ -70,7 +72,7 @@
     check()
 
 
-@then("forwarding property: evacuations reach a fleet of which a third is refused and some restart")
+@then("forwarding property: evacuations reach a fleet while the store refuses a third of it and some restart")
 def evacuations_under_failure(context):
     @FLEET_PROPERTY
     @for_all(st.integers(0, 2**32), st.sampled_from(ZONES), st.sampled_from(ZONES))
@@ -105,9 +107,9 @@
         evacuations = Evacuations(RouteTable(random.Random(1)), directory)
         for entry in zoned_records(range(6)):
             directory.apply_record(entry, 1.0)
-        told = list(written)
-        chance.shuffle(told)
-        for revision in told:
+        order = list(written)
+        chance.shuffle(order)
+        for revision in order:
             evacuations.apply(EvacuatedHalls(revision, tuple(sorted(written[revision]))), 1.0)
         newest = written[max(written)]
         assert set(evacuations.current.halls) == newest
@@ -116,7 +118,7 @@
     check()
 
 
-@when("forwarding learns that zone north is evacuated and its reads fail")
+@when("forwarding reads that zone north is evacuated and its later reads fail")
 def evacuated_and_failing(context):
     harness = context.harness
     harness.handle(RoutesRead(30, ROUTES, ("north",)))
@@ -126,7 +128,7 @@
     harness.run_to(harness.now + 3.0, TimerFired())
 
 
-@then("forwarding refuses a new flow at once for want of a back end")
+@then("forwarding refuses a new flow at once because there is no back end")
 def refused_at_once(context):
     decision = context.harness.node.decide(segment(STREAM, 1, opening=True), context.harness.now)
     assert decision.refusal is Refusal.NO_BACKEND and decision.reset and not decision.queue
@@ -158,37 +160,37 @@
     check()
 
 
-@given("a forwarding node that spares back ends after a start")
-def sparing_node(context):
+@given("a forwarding node with a limit for slow start")
+def node_with_limit(context):
     node = fresh_node(slow_start_limit=SlowStartLimit(factor=1.5, slack_per_s=0.0))
     context.harness = Harness(node).configure(WARM_ROUTES, zoned_records(range(1, 7)))
     context.harness.run_to(context.harness.now + 6.0, TimerFired())
 
 
-@when("forwarding learns that zone south is evacuated and taken back")
-def evacuated_and_back(context):
+@when("forwarding reads that zone south is evacuated and then restored")
+def evacuated_and_restored(context):
     context.harness.handle(RoutesRead(50, WARM_ROUTES, ("south",)))
     context.harness.run_to(context.harness.now + 3.0, TimerFired())
     context.harness.handle(RoutesRead(51, WARM_ROUTES, ()))
 
 
-@then("forwarding places no flow in zone south for 2 seconds, and some then")
-def spared_then_used(context):
+@then("forwarding places no flow in zone south for 2 seconds, and some afterwards")
+def limited_then_used(context):
     harness = context.harness
-    begun = harness.now
+    restored_at = harness.now
     zones = defaultdict(set)
     for port in range(80):
         decision = harness.node.decide(segment(STREAM, port, opening=True), harness.now)
         assert decision.queue or decision.backend is not None
         if decision.backend is not None:
-            zones[harness.now - begun < COLD_S].add(decision.backend.hall)
+            zones[harness.now - restored_at < COLD_S].add(decision.backend.hall)
         harness.run_to(harness.now + 0.05, TimerFired())
     assert zones[True] == {"north", "west"}
     assert zones[False] == set(ZONES)
 
 
 class Openings:
-    """Opens flows at all nodes of a fleet and counts those of each cold back end."""
+    """Opens flows at random nodes of a fleet and records the time of each by back end."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -196,12 +198,12 @@
         self.placed = 0
         self.port = 0
 
-    def open_for(self, seconds, flows_a_step):
-        """Open flows at random nodes, one step each 50 ms."""
+    def open_for(self, seconds, flows_per_step):
+        """Open flows at random nodes, in steps of 50 ms."""
         fleet = self.fleet
         end = fleet.now + seconds
         while fleet.now < end:
-            for _ in range(flows_a_step):
+            for _ in range(flows_per_step):
                 self.port += 1
                 node = fleet.nodes[fleet.random.choice(sorted(fleet.nodes))]
                 opening = segment(443, self.port % 60_000, opening=True)
@@ -212,7 +214,7 @@
             fleet.run(0.05)
 
     def most_in_a_second(self, names):
-        """Return the most openings of one back end in any one second."""
+        """Return the maximum number of flows opened on one of the back ends in any one second."""
         return max(
             (
                 sum(at <= other < at + 1.0 for other in times)
@@ -225,7 +227,7 @@
 
 
 def cold_fleet(seed, share_cold, count=20):
-    """Return a fleet of which a share of the back ends has just started, and their names."""
+    """Return a fleet in which a share of the back ends is cold, and the names of these back ends."""
     fleet = Fleet(count, seed, slow_start_limit=LIMIT)
     fleet.store.configure(
         [Route("r0", 443, (Share("booking", 1),))], fleet.now, (ColdStart("booking", 60.0, 0.0),)
@@ -243,21 +245,21 @@
     return fleet, {record(number).name for number in cold}
 
 
-@then("forwarding property: in no second a cold back end is opened more often than it bears")
+@then("forwarding property: in any second a cold back end gets no more new flows than its limit")
 def within_limit(context):
     @FLEET_PROPERTY
     @for_all(st.integers(0, 2**32), st.sampled_from((0.34, 0.7, 1.0)), st.integers(2, 12))
-    def check(seed, share_cold, flows_a_step):
+    def check(seed, share_cold, flows_per_step):
         fleet, cold = cold_fleet(seed, share_cold)
         openings = Openings(fleet)
-        openings.open_for(3.0, flows_a_step)
+        openings.open_for(3.0, flows_per_step)
         assert openings.placed > 0
         assert openings.most_in_a_second(cold) <= LIMIT.slack_per_s
 
     check()
 
 
-@then("forwarding property: cold back ends are spared while views of the fleet differ")
+@then("forwarding property: cold back ends stay within their limit while views of the fleet differ")
 def within_limit_views_differ(context):
     @FLEET_PROPERTY
     @for_all(st.integers(0, 2**32))
@@ -284,10 +286,10 @@
     assert openings.placed >= 2 * len(cold)
 
 
-@then("forwarding property: first, second and last choices stay within the regions of a route")
+@then("forwarding property: first, second and last-resort choices stay within the regions of a route")
 def within_regions(context):
-    homed = Route("homed", 77 << 16 | 443, (Share("booking", 1),), regions=("here",))
-    routes = RouteConfiguration(9, (*ROUTES.routes, homed))
+    restricted = Route("homed", 77 << 16 | 443, (Share("booking", 1),), regions=("here",))
+    routes = RouteConfiguration(9, (*ROUTES.routes, restricted))
     actions = st.lists(st.tuples(st.integers(1, 9), st.integers(0, 3)), min_size=1, max_size=40)
 
     @PROPERTY
@@ -308,16 +310,16 @@
             else:
                 harness.run_to(harness.now + 0.1 * number, TimerFired())
             for copies in range(3):
-                opening = segment(homed.key, step, opening=True, copies=copies)
+                opening = segment(restricted.key, step, opening=True, copies=copies)
                 decision = harness.node.decide(opening, harness.now)
                 assert decision.backend is None or REGIONS[decision.backend.hall] == "here"
 
     check()
 
 
-@then("forwarding refuses a flow whose route names regions when it knows no region of any zone")
+@then("forwarding refuses a flow whose route names regions if the region of no zone is known")
 def unknown_regions(context):
-    homed = Route("homed", 77 << 16 | 443, (Share("booking", 1),), regions=("here",))
-    harness = Harness().configure(RouteConfiguration(9, (homed,)), zoned_records(range(1, 10)))
-    decision = harness.node.decide(segment(homed.key, 1, opening=True), harness.now)
+    restricted = Route("homed", 77 << 16 | 443, (Share("booking", 1),), regions=("here",))
+    harness = Harness().configure(RouteConfiguration(9, (restricted,)), zoned_records(range(1, 10)))
+    decision = harness.node.decide(segment(restricted.key, 1, opening=True), harness.now)
     assert decision.refusal is Refusal.NO_BACKEND and decision.reset
--- a/features/steps/forwarding_latency_steps.py
+++ b/features/steps/forwarding_latency_steps.py
@@ -22,7 +22,7 @@
 
 
 def exchange(harness, backend, port, latency_s, is_answered=True):
-    """Let one request go over an open flow, its answer arrive if there is one, and the flow close."""
+    """Send one request over an open flow, acknowledge its answer if there is one, and close the flow."""
     node, token = harness.node, backend.token
     node.decide(segment(STREAM, port, token, acknowledgement=7), harness.now)
     node.decide(segment(STREAM, port, token, length=90, acknowledgement=7), harness.now)
@@ -35,8 +35,8 @@
     node.decide(closing, harness.now)
 
 
-def see_latencies(context, latency_of, is_answered=lambda backend: True):
-    """Let four requests go to each back end."""
+def observe_latencies(context, latency_of, is_answered=lambda backend: True):
+    """Send four requests to each back end."""
     harness = context.harness
     backends = [b for b in harness.node.backends if b.service == "booking"]
     harness.run_to(harness.now + 5.0, TimerFired())
@@ -46,27 +46,27 @@
             exchange(harness, backend, port, latency_of(backend), is_answered(backend))
 
 
-@when("forwarding sees one back end answer eight times slower than the others")
+@when("forwarding observes one back end answering eight times slower than the others")
 def one_slow(context):
-    see_latencies(context, lambda backend: SLOW_S if backend.number == SLOW else FAST_S)
+    observe_latencies(context, lambda backend: SLOW_S if backend.number == SLOW else FAST_S)
 
 
-@when("forwarding sees callers of one back end close without an answer")
+@when("forwarding observes callers of one back end closing flows without an answer")
 def one_hangs(context):
-    see_latencies(
+    observe_latencies(
         context,
         lambda backend: SLOW_S if backend.number == SLOW else FAST_S,
         lambda backend: backend.number != SLOW,
     )
 
 
-@when("forwarding sees all back ends answer slowly")
+@when("forwarding observes all back ends answering slowly")
 def all_slow(context):
-    see_latencies(context, lambda backend: SLOW_S)
+    observe_latencies(context, lambda backend: SLOW_S)
 
 
 def placed_on(context, first_port):
-    """Place flows one after the other, each closed at once; return how many each back end got."""
+    """Place flows one after the other, closing each at once; return how many each back end got."""
     harness = context.harness
     counts = Counter()
     for port in range(first_port, first_port + FLOWS):
@@ -78,24 +78,24 @@
     return counts
 
 
-@then("forwarding gives it less than a fifth of an equal part")
+@then("forwarding places less than a fifth of an equal share of flows on it")
 def few_flows(context):
     assert placed_on(context, 2000)[SLOW] < FLOWS / 5 / 5
 
 
-@then("forwarding gives it an equal part again 20 seconds later")
+@then("forwarding places an equal share of flows on it again 20 seconds later")
 def tried_again(context):
     context.harness.run_to(context.harness.now + 20.0, TimerFired())
     assert placed_on(context, 4000)[SLOW] > FLOWS / 5 / 2
 
 
-@then("forwarding gives each of them an equal part")
+@then("forwarding places an equal share of flows on each of them")
 def equal_parts(context):
     counts = placed_on(context, 2000)
     assert len(counts) == 5 and min(counts.values()) > FLOWS / 5 / 2
 
 
-@then("forwarding property: an estimated latency lies among those seen, and is unknown 20 seconds later")
+@then("forwarding property: an estimated latency is within the observed range, and unknown 20 seconds later")
 def estimate_within(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.floats(0.001, 9.0), st.floats(0.0, 3.0)), min_size=1, max_size=40))
--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -52,11 +52,11 @@
 
 
 def settle(harness):
-    """Let the balancer grow old enough to use all room it has."""
+    """Run the balancer until it no longer uses only the minimum share."""
     harness.run_to(harness.now + SETTLED_S, TimerFired())
 
 
-@then("forwarding property: turns stay within two flows of every share")
+@then("forwarding property: weighted round robin stays within two flows of every share")
 def exact_turns(context):
     @PROPERTY
     @for_all(
@@ -76,7 +76,7 @@
     check()
 
 
-@then("forwarding property: no flow is placed on a back end that leaves, is gone or stands elsewhere")
+@then("forwarding property: no flow is placed on a back end that is leaving, departed or in a forbidden hall")
 def no_flow_to_leaving(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.integers(1, 9), st.integers(0, 3)), min_size=1, max_size=60))
@@ -107,13 +107,13 @@
     check()
 
 
-@when("forwarding finds the list empty")
+@when("forwarding reads an empty list of back ends")
 def list_empty(context):
     settle(context.harness)
     context.harness.handle(BackendsRead(40, ()))
 
 
-@then("forwarding places flows on those that left without a word for two seconds, then on none")
+@then("forwarding places flows on back ends that departed unannounced for two seconds, then on none")
 def last_resort(context):
     harness = context.harness
     assert place(harness).backend is not None
@@ -125,8 +125,8 @@
     assert decision.refusal is Refusal.NO_BACKEND
 
 
-@when("forwarding finds the list empty and then whole again")
-def list_whole_again(context):
+@when("forwarding reads an empty list of back ends and then the complete list again")
+def list_complete_again(context):
     harness = context.harness
     settle(harness)
     harness.handle(BackendsRead(40, ()))
@@ -141,28 +141,28 @@
     assert placed == {1, 2, 3, 4, 5}
 
 
-@when("forwarding gets a copy of an opening packet")
-def copied_opening(context):
+@when("forwarding receives a retransmission of an opening packet")
+def retransmitted_opening(context):
     context.first = place(context.harness).backend
     context.harness.now += 0.2
     context.second = place(context.harness, copies=1).backend
 
 
-@then("forwarding gives it to another back end of the same service")
+@then("forwarding forwards it to another back end of the same service")
 def another_backend(context):
     assert context.first is not context.second
     assert context.first.service == context.second.service
     assert place(context.harness, port=1001).backend is not context.first
 
 
-@when("forwarding learns of a back end that is slow from its start")
+@when("forwarding receives the entry of a cold back end")
 def cold_backend(context):
     harness = context.harness
     settle(harness)
     harness.handle(BackendsChanged(30, (record(20, revision=30, cold_s=300.0),)))
 
 
-@then("forwarding gives it less than half of an equal part")
+@then("forwarding places less than half of an equal share of flows on it")
 def less_to_cold(context):
     harness = context.harness
     placed = Counter()
@@ -173,7 +173,7 @@
     assert placed[20] < 60 / 6 / 2
 
 
-@then("forwarding resets a flow to no route")
+@then("forwarding resets a flow to an endpoint without a route")
 def reset_no_route(context):
     decision = place(context.harness, NOWHERE)
     assert decision.reset and decision.refusal is Refusal.NO_ROUTE
@@ -185,7 +185,7 @@
     assert decision.reset and decision.refusal is Refusal.NO_BACKEND
 
 
-@when("forwarding gets more new flows at once than there is room for")
+@when("forwarding receives more new flows at once than there is spare capacity for")
 def too_many_flows(context):
     harness = context.harness
     context.placed_at = {}
@@ -203,7 +203,7 @@
 
 
 def offer(context, opening):
-    """Decide on an opening packet as the data path does."""
+    """Decide on an opening packet, and hold it if the decision says so, as the data path does."""
     harness = context.harness
     decision = harness.node.decide(opening, harness.now)
     if decision.backend is not None:
@@ -214,22 +214,22 @@
         harness.handle(OpeningQueued(opening, str(opening.source_port).encode()))
 
 
-@then("forwarding lets the rest wait and places all of them within 0.6 seconds")
+@then("forwarding queues the rest and places all of them within 0.6 seconds")
 def all_placed(context):
     assert sorted(context.placed_at) == list(range(40))
     assert max(context.placed_at.values()) - 100.0 <= MAXIMUM_QUEUE_TIME_S + 0.02
     assert context.held < 40
 
 
-@then("forwarding places as many flows at once as the service has back ends, and lets the next one wait")
-def least_part(context):
+@then("forwarding places as many flows at once as the service has back ends, and queues the next one")
+def minimum_share(context):
     backends = [backend for backend in records() if backend.service == "booking"]
     placed = Counter(place(context.harness, port=port).backend.name for port in range(len(backends)))
     assert placed == Counter({backend.name: 1 for backend in backends})
     assert place(context.harness, port=len(backends)).queue
 
 
-@when("forwarding has flows of two priorities waiting and one place becomes free")
+@when("forwarding has queued flows of two priorities and capacity for one of them becomes free")
 def two_priorities(context):
     harness = context.harness
     context.opened = []
@@ -248,29 +248,29 @@
     harness.run_to(harness.now + 0.02, TimerFired())
 
 
-@then("forwarding places the more urgent one")
-def urgent_first(context):
+@then("forwarding places the flow of the higher priority")
+def priority_first(context):
     released = [d for command in context.harness.all(ReprocessPackets) for d in command.datagrams]
     assert released == [b"export"]
 
 
-@when("forwarding fills one part of a split")
-def fill_one_part(context):
+@when("forwarding uses all capacity of one service of a split route")
+def use_all_capacity(context):
     harness = context.harness
     for port in range(20):
         if place(harness, STREAM, port).queue:
             return
-    raise AssertionError("there was room for 20 flows")
+    raise AssertionError("there was spare capacity for 20 flows")
 
 
-@then("forwarding gives new flows of the split to the other part")
-def other_part(context):
+@then("forwarding places new flows of the split route on the other service")
+def other_service(context):
     decision = place(context.harness, MIXED, 500)
     assert decision.backend.service == "roster"
     assert context.harness.node.counters.flows_diverted >= 1
 
 
-@then("forwarding property: requests in flight are counted from packets and never below zero")
+@then("forwarding property: requests in flight are counted from packets and are never negative")
 def counted_requests(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 4), st.integers(0, 9)), max_size=80))
@@ -304,38 +304,38 @@
 
 
 class NewFlow(NamedTuple):
-    """What is true when a packet opens a flow."""
+    """The situation in which a packet opens a flow."""
 
     are_routes_known: bool
     are_backends_known: bool
-    has_slept: bool
+    has_stalled: bool
     route: int
-    is_copy: bool
+    is_retransmission: bool
     is_full: bool
 
 
 def decision_on(flow):
-    """Bring a balancer into a situation; return its decision and the back end of an earlier copy."""
+    """Put a balancer into the situation; return its decision and the back end of an earlier transmission."""
     harness = Harness()
     if flow.are_routes_known:
         harness.handle(RoutesRead(10, ROUTES))
     if flow.are_backends_known:
         harness.handle(BackendsRead(10, records()))
     settle(harness)
-    earlier = place(harness, flow.route, 1000).backend if flow.is_copy else None
+    earlier = place(harness, flow.route, 1000).backend if flow.is_retransmission else None
     port = 1001
     while flow.is_full and place(harness, flow.route, port).backend is not None:
         port += 1
-    if flow.has_slept:
+    if flow.has_stalled:
         harness.now += 3.0
-    return place(harness, flow.route, 1000, copies=int(flow.is_copy)), earlier
+    return place(harness, flow.route, 1000, copies=int(flow.is_retransmission)), earlier
 
 
 def expected_refusal(flow):
-    """Return why a flow that was not chosen a back end for before is refused, None where it isn't."""
+    """Return why a flow without an earlier choice is refused, None if it is not."""
     if not flow.are_routes_known:
         return None if flow.are_backends_known else Refusal.NOT_CONFIGURED
-    if flow.has_slept:
+    if flow.has_stalled:
         return Refusal.STALE_KNOWLEDGE
     if flow.route == NOWHERE:
         return Refusal.NO_ROUTE
@@ -344,7 +344,7 @@
     return None
 
 
-@then("forwarding property: rules for a new flow apply in their order, whatever else is true")
+@then("forwarding property: the rules for a new flow apply in their order in every situation")
 def rules_in_order(context):
     flag = st.booleans()
 
@@ -356,8 +356,8 @@
         assert decision.refusal is refusal
         assert decision.reset is (refusal in (Refusal.NO_ROUTE, Refusal.NO_BACKEND))
         waits_for_routes = not flow.are_routes_known and flow.are_backends_known
-        waits_for_room = refusal is None and flow.is_full and earlier is None
-        assert decision.queue is (waits_for_routes or waits_for_room)
+        waits_for_capacity = refusal is None and flow.is_full and earlier is None
+        assert decision.queue is (waits_for_routes or waits_for_capacity)
         if refusal is None and not decision.queue:
             assert decision.backend.service == "roster" and decision.backend is not earlier
             assert decision.suspect == (earlier.name if earlier is not None else "")
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -1,6 +1,6 @@
 """Decides on opening packets.
 
-`Openings.decide` applies the first of these rules that matches:
+`Openings.decide` applies these rules in their order:
 
 1. No routes are known yet: the flow is held if the back ends are known, so that a process that has just
    started and has read only the back ends loses no flow; otherwise it is refused.
