--- a/sloepond/core/forwarding/placement/eligibility.py
+++ b/sloepond/core/forwarding/placement/eligibility.py
@@ -1,6 +1,6 @@
 """Eligibility: determines which back ends may get one more new flow.
 
-The rules are filters, applied in a fixed order (`Eligibility._narrowed`); `selection` chooses among the back
+The rules are filters, applied in a fixed order (`Eligibility._filtered`); `selection` chooses among the back
 ends that remain.  Owns: no state.  Relies on: the list of back ends, slow start and outlier ejection.
 """
 
@@ -38,16 +38,16 @@
         :param route: route of the flow; None stands for any route that does not name regions.
         :param now: seconds of the node's clock.
         """
-        return self._narrowed(self._backends.candidates(service), route, now)
+        return self._filtered(self._backends.candidates(service), route, now)
 
     def eligible_or_departed(self, service: str, route: Route, now: float) -> Sequence[ForwardingBackend]:
         """Return the eligible back ends; if none is listed, those that recently left the list unannounced."""
         backends = self._backends.candidates(service)
         if not backends:
             backends = self._backends.recently_departed(service, now - LAST_RESORT_S)
-        return self._narrowed(backends, route, now)
+        return self._filtered(backends, route, now)
 
-    def _narrowed(
+    def _filtered(
         self, backends: Sequence[ForwardingBackend], route: Route | None, now: float
     ) -> Sequence[ForwardingBackend]:
         """Apply the filters in their order.
