--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -18,9 +18,9 @@
 from sloepond.core.forwarding.counters import ForwardingCounters
 from sloepond.core.forwarding.events import PeerMessageReceived, TimerFired
 from sloepond.core.forwarding.health.outlier_detector import (
-    FAILURES,
-    FAILURES_OF_ONE,
-    LASTS_S,
+    EJECTION_DURATIONS_S,
+    FAILURES_TO_EJECT,
+    FAILURES_TO_EJECT_BY_ONE,
     WINDOW_S,
     OutlierDetector,
 )
@@ -179,13 +179,13 @@
     harness = context.harness
     context.flow = segment(STREAM, 1234, token=1, length=5)
     harness.node.decide(context.flow, harness.now)
-    harness.handle(PeerMessageReceived("10.1.0.2", BackendFailing(record(1).name, LASTS_S[0])))
+    harness.handle(PeerMessageReceived("10.1.0.2", BackendFailing(record(1).name, EJECTION_DURATIONS_S[0])))
 
 
 @then("forwarding gives it no new flow, forwards its open flows and resets none")
 def open_flows_go_on(context):
     harness = context.harness
-    ends_at = harness.now + LASTS_S[0]
+    ends_at = harness.now + EJECTION_DURATIONS_S[0]
     while harness.now + 0.15 < ends_at:
         harness.run_to(harness.now + 0.15, TimerFired())
         placed = harness.node.decide(segment(STREAM, int(harness.now * 100), opening=True), harness.now)
@@ -264,7 +264,7 @@
         assert len(backends) - len(kept) <= len(backends) / 3
         named = {record(number).name for number, _ in verdicts}
         assert len(kept) == len(backends) or {b.name for b in backends} - {b.name for b in kept} <= named
-        assert list(ejection.usable(backends, now + 2 * LASTS_S[-1])) == backends
+        assert list(ejection.usable(backends, now + 2 * EJECTION_DURATIONS_S[-1])) == backends
 
     holds()
 
@@ -283,10 +283,12 @@
             duration_s = detector.report("i-1", reporter, now)
             if not duration_s:
                 continue
-            assert duration_s in LASTS_S and now >= ends_at
+            assert duration_s in EJECTION_DURATIONS_S and now >= ends_at
             lately = [ip for at, ip in seen if now - at < WINDOW_S]
             if not ejections:
-                assert len(lately) >= (FAILURES if len(set(lately)) > 1 else FAILURES_OF_ONE)
+                assert len(lately) >= (
+                    FAILURES_TO_EJECT if len(set(lately)) > 1 else FAILURES_TO_EJECT_BY_ONE
+                )
             ejections += 1
             ends_at = now + duration_s
 
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -22,7 +22,7 @@
     PeerMessageReceived,
     TimerFired,
 )
-from sloepond.core.forwarding.health.flow_resets import RESETS_A_STEP
+from sloepond.core.forwarding.health.flow_resets import RESETS_PER_BATCH
 from sloepond.core.forwarding.health.reachability import CHECKS_PER_S
 from sloepond.core.forwarding.packets import Refusal, empty_segment
 from sloepond.core.forwarding.peers.messages import (
@@ -323,7 +323,7 @@
     harness = context.harness
     harness.run_to(harness.now + 1.0, TimerFired())
     steps = [command.segments for command in harness.all(ResetFlows)]
-    assert [len(step) for step in steps] == [RESETS_A_STEP, RESETS_A_STEP, count - 2 * RESETS_A_STEP]
+    assert [len(step) for step in steps] == [RESETS_PER_BATCH, RESETS_PER_BATCH, count - 2 * RESETS_PER_BATCH]
     reset = [(each.flow_key, each.acknowledgement) for step in steps for each in step]
     assert len(reset) == count and set(reset) == context.expected
     assert harness.node.counters.flows_reset_resting == count
--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -48,7 +48,7 @@
 
     def drain_commands(self, now: float) -> list[Command]:
         """Return the commands since the last call, with the next flows to be reset."""
-        segments = self._flow_resets.take(now)
+        segments = self._flow_resets.next_batch(now)
         if segments:
             self._counters.flows_reset_resting += len(segments)
             self._commands.append(ResetFlows(segments))
@@ -85,14 +85,14 @@
         if backend is None:
             return
         if event.result is CheckResult.UNKNOWN:
-            if self._reachability.undecided(backend, now):
+            if self._reachability.record_inconclusive(backend, now):
                 self.request_check(backend.name, now)
         else:
-            self._reachability.checked(backend, event.result, now)
-        resting = 0
+            self._reachability.record_result(backend, event.result, now)
+        reset_count = 0
         if event.result is CheckResult.UNREACHABLE:
             self._counters.backends_unreachable += 1
-            resting = self._flow_resets.backend_gone(backend, now)
+            reset_count = self._flow_resets.reset_flows_of(backend, now)
             self._exchange.spread_unreachable(event.name, now)
-        detail = f"result={event.result.value} state={backend.state.name.lower()} flows_reset={resting}"
+        detail = f"result={event.result.value} state={backend.state.name.lower()} flows_reset={reset_count}"
         self._commands.append(WriteLog(LogKind.BACKEND_CHECKED, event.name, detail))
--- a/sloepond/core/forwarding/health/outlier_detector.py
+++ b/sloepond/core/forwarding/health/outlier_detector.py
@@ -12,15 +12,15 @@
 WINDOW_S = 3.0
 """Seconds for which a report counts.  A balancer of 26 to 35 sees two or three requests a second of
 a back end, so three reports meet within it.  Not measured."""
-FAILURES = 3
+FAILURES_TO_EJECT = 3
 """Unanswered requests, reported by several balancers, that eject a back end.  Packets of a flow
 that has moved to another balancer leave one request unanswered where it was before, so one report
 proves nothing.  With all rules of ejection a day of mute back ends went from 39 to 9 requests not
 served, one of hanging ones from 216 to 149; the number itself was not measured."""
-FAILURES_OF_ONE = 6
+FAILURES_TO_EJECT_BY_ONE = 6
 """The same where a single balancer has reported them all: it may be its own link, so twice as many.
 Not measured."""
-LASTS_S = (2.0, 4.0, 8.0)
+EJECTION_DURATIONS_S = (2.0, 4.0, 8.0)
 """Seconds the first, the second and each later ejection in a row lasts (exponential backoff): a back
 end that has recovered soon loses few flows.  Not measured."""
 RELAPSE_S = 12.0
@@ -64,40 +64,40 @@
 
         :returns: seconds for which the back end is ejected, 0 where it isn't.
         """
-        known = self._reported.setdefault(name, ReportedBackend())
-        if known.ejections and now - known.ejected_at < _lasts_s(known.ejections):
+        reported = self._reported.setdefault(name, ReportedBackend())
+        if reported.ejections and now - reported.ejected_at < _duration_s(reported.ejections):
             return 0.0
-        known.reports = [report for report in known.reports if now - report.at < WINDOW_S]
-        known.reports.append(Report(now, reporter))
-        is_relapse = now - known.ejected_at < RELAPSE_S
+        reported.reports = [report for report in reported.reports if now - report.at < WINDOW_S]
+        reported.reports.append(Report(now, reporter))
+        is_relapse = now - reported.ejected_at < RELAPSE_S
         if not is_relapse:
-            known.ejections = 0
-            if not _is_enough(known.reports):
+            reported.ejections = 0
+            if not _is_sufficient(reported.reports):
                 return 0.0
-        known.ejections += 1
-        known.ejected_at = now
-        known.reports = []
-        return _lasts_s(known.ejections)
+        reported.ejections += 1
+        reported.ejected_at = now
+        reported.reports = []
+        return _duration_s(reported.ejections)
 
     def ejected_by_other(self, name: str, duration_s: float, now: float) -> None:
         """Take an ejection that the other balancer assigned to the back end has decided."""
-        known = self._reported.setdefault(name, ReportedBackend())
-        known.ejections = max(known.ejections, sum(duration_s >= each for each in LASTS_S))
-        known.ejected_at = now
-        known.reports = []
+        reported = self._reported.setdefault(name, ReportedBackend())
+        reported.ejections = max(reported.ejections, sum(duration_s >= each for each in EJECTION_DURATIONS_S))
+        reported.ejected_at = now
+        reported.reports = []
 
     def forget(self, now: float) -> None:
         """Forget back ends that nothing was received about for long."""
-        for name, known in list(self._reported.items()):
-            last_report = known.reports[-1].at if known.reports else known.ejected_at
-            if now - max(last_report, known.ejected_at) > RELAPSE_S:
+        for name, reported in list(self._reported.items()):
+            last_report = reported.reports[-1].at if reported.reports else reported.ejected_at
+            if now - max(last_report, reported.ejected_at) > RELAPSE_S:
                 del self._reported[name]
 
 
-def _lasts_s(ejections: int) -> float:
-    return LASTS_S[min(ejections, len(LASTS_S)) - 1]
+def _duration_s(ejections: int) -> float:
+    return EJECTION_DURATIONS_S[min(ejections, len(EJECTION_DURATIONS_S)) - 1]
 
 
-def _is_enough(reports: list[Report]) -> bool:
-    is_of_several = len({report.reporter for report in reports}) > 1
-    return len(reports) >= (FAILURES if is_of_several else FAILURES_OF_ONE)
+def _is_sufficient(reports: list[Report]) -> bool:
+    has_several_reporters = len({report.reporter for report in reports}) > 1
+    return len(reports) >= (FAILURES_TO_EJECT if has_several_reporters else FAILURES_TO_EJECT_BY_ONE)
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -17,7 +17,7 @@
 
 from sloepond.core.forwarding.commands import Command, LogKind, SendToPeer, WriteLog
 from sloepond.core.forwarding.counters import ForwardingCounters
-from sloepond.core.forwarding.health.outlier_detector import LASTS_S, WINDOW_S, OutlierDetector
+from sloepond.core.forwarding.health.outlier_detector import EJECTION_DURATIONS_S, WINDOW_S, OutlierDetector
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.peers.messages import BackendFailing, FailureMessage, RequestUnanswered
 from sloepond.core.forwarding.peers.peer_table import PeerTable
@@ -29,7 +29,7 @@
 
 ASSIGNED_BALANCERS = 2
 """Balancers assigned to each back end: one may be gone, or unknown to some.  Not measured."""
-MAXIMUM_SHARE = 1 / 3
+MAXIMUM_EJECTED_SHARE = 1 / 3
 """Share of the back ends a flow may go to that are ejected at most.  Where more seem to fail it is
 the load, the network or this balancer, and ejecting them would starve the rest.  A balancer to
 which more than this share of the back ends it uses seem to fail suspects its own link.  Not
@@ -40,7 +40,7 @@
 REPORTS_PER_S = 20.0
 """Reports that one balancer sends, over a longer time and at once: bounds what a failure of many
 back ends costs the network.  Not measured."""
-KNOWN_AGAIN_S = 0.5
+DUPLICATE_EJECTION_MARGIN_S = 0.5
 """An ejection that ends no later than the one known by more than these seconds is not passed on:
 the same one comes from several peers, later by the time it was on its way.  Not measured."""
 
@@ -71,7 +71,7 @@
         self._commands: list[Command] = []
         self._ejections_until = 0.0
         self._unanswered_at: dict[str, float] = {}
-        self._reports = TokenBucket(REPORTS_PER_S, REPORTS_PER_S)
+        self._report_budget = TokenBucket(REPORTS_PER_S, REPORTS_PER_S)
 
     def drain_commands(self) -> list[Command]:
         """Return the commands since the last call."""
@@ -91,7 +91,7 @@
         if now >= self._ejections_until:
             return backends
         kept = [backend for backend in backends if not self._is_ejected(backend, now)]
-        if len(backends) - len(kept) > MAXIMUM_SHARE * len(backends):
+        if len(backends) - len(kept) > MAXIMUM_EJECTED_SHARE * len(backends):
             return backends
         return kept
 
@@ -100,7 +100,7 @@
         for backend in self._waiting.take_unanswered(now):
             self._counters.requests_unanswered += 1
             self._unanswered_at[backend.name] = now
-            if backend.state is not BackendState.DEPARTED and not self._suspects_itself(now):
+            if backend.state is not BackendState.DEPARTED and not self._suspects_own_link(now):
                 self._report(backend, now)
 
     def message_received(self, ip: str, message: FailureMessage, now: float) -> None:
@@ -131,8 +131,8 @@
         backend = self._backends.by_name(message.name)
         if backend is None:
             return
-        duration_s = min(message.duration_s, LASTS_S[-1])
-        if now + duration_s <= backend.ejected_until + KNOWN_AGAIN_S:
+        duration_s = min(message.duration_s, EJECTION_DURATIONS_S[-1])
+        if now + duration_s <= backend.ejected_until + DUPLICATE_EJECTION_MARGIN_S:
             return
         self._detector.ejected_by_other(backend.name, duration_s, now)
         self._eject(backend, duration_s, f"told={ip}", now)
@@ -148,15 +148,15 @@
             return True
         return now < backend.probation_until and self._random.random() >= TRIAL_SHARE
 
-    def _suspects_itself(self, now: float) -> bool:
+    def _suspects_own_link(self, now: float) -> bool:
         """Tell whether so many back ends seem to fail that it is rather this balancer's link."""
         failing = sum(now - at < WINDOW_S for at in self._unanswered_at.values())
         used = sum(backend.flows > 0 for backend in self._backends)
-        return failing > 1 and failing > MAXIMUM_SHARE * used
+        return failing > 1 and failing > MAXIMUM_EJECTED_SHARE * used
 
     def _report(self, backend: ForwardingBackend, now: float) -> None:
         """Report an unanswered request to the balancers assigned to its back end."""
-        if not self._reports.take(now, 1.0):
+        if not self._report_budget.take(now, 1.0):
             return
         for ip in assigned_balancers(backend, [*self._peers.alive(now), self._ip], ASSIGNED_BALANCERS):
             if ip == self._ip:
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -30,10 +30,10 @@
 AVOIDED_S = 0.6
 """Seconds for which a back end that is being checked is chosen only where there is no other: a check
 takes 0.1 s, and 0.3 s with its two repeats.  Not measured."""
-CONTROL_DRAWS = 8
+CONTROL_CANDIDATES = 8
 """Back ends drawn at random of which one is the control: with three halls one of the suspect's own
 hall is among eight in 96% of the draws (1 - (2/3)^8)."""
-UNDECIDED_REPEATS = 2
+INCONCLUSIVE_REPEATS = 2
 """How often a check that has shown nothing is repeated at once with another control.  Where a sixth
 of all back ends dies together, so does each sixth control.  On a day of such failures worth 0.960
 without repeats and checks of 0.16 s, 0.973 with repeats and checks of 0.1 s."""
@@ -47,15 +47,15 @@
     def __init__(self, backends: BackendDirectory, random_source: random.Random) -> None:
         self._backends = backends
         self._random = random_source
-        self._checks = TokenBucket(CHECKS_PER_S, CHECKS_PER_S)
+        self._check_budget = TokenBucket(CHECKS_PER_S, CHECKS_PER_S)
         self._controls: dict[str, ForwardingBackend] = {}
-        self._undecided: dict[str, int] = {}
+        self._inconclusive: dict[str, int] = {}
 
     def begin_check(self, backend: ForwardingBackend, now: float) -> bool:
         """Tell whether a suspicion is followed by a check now; if so it has begun."""
         if now - backend.checked_at < CHECK_INTERVAL_S:
             return False
-        if not self._checks.take(now, 1.0):
+        if not self._check_budget.take(now, 1.0):
             return False
         backend.checked_at = now
         backend.avoided_until = max(backend.avoided_until, now + AVOIDED_S)
@@ -74,14 +74,14 @@
             and backend.avoided_until <= now
             and not backend.is_unreachable(now)
         ]
-        drawn = self._random.sample(usable, min(CONTROL_DRAWS, len(usable)))
-        drawn.sort(key=lambda backend: backend.hall != suspect.hall)
-        if not drawn:
+        candidates = self._random.sample(usable, min(CONTROL_CANDIDATES, len(usable)))
+        candidates.sort(key=lambda backend: backend.hall != suspect.hall)
+        if not candidates:
             return None
-        self._controls[suspect.name] = drawn[0]
-        return drawn[0].endpoint
+        self._controls[suspect.name] = candidates[0]
+        return candidates[0].endpoint
 
-    def undecided(self, backend: ForwardingBackend, now: float) -> bool:
+    def record_inconclusive(self, backend: ForwardingBackend, now: float) -> bool:
         """Take a check in which the control wasn't reached either.
 
         :returns: whether to check again at once.
@@ -89,16 +89,16 @@
         control = self._controls.pop(backend.name, None)
         if control is not None:
             control.avoided_until = max(control.avoided_until, now + AVOIDED_S)
-        undecided = self._undecided.pop(backend.name, 0) + 1
-        if control is None or undecided > UNDECIDED_REPEATS:
+        inconclusive = self._inconclusive.pop(backend.name, 0) + 1
+        if control is None or inconclusive > INCONCLUSIVE_REPEATS:
             return False
-        self._undecided[backend.name] = undecided
+        self._inconclusive[backend.name] = inconclusive
         backend.checked_at = now - CHECK_INTERVAL_S
         return True
 
-    def checked(self, backend: ForwardingBackend, result: CheckResult, now: float) -> None:
+    def record_result(self, backend: ForwardingBackend, result: CheckResult, now: float) -> None:
         """Take the result of a check that has shown something."""
-        self._undecided.pop(backend.name, None)
+        self._inconclusive.pop(backend.name, None)
         self._controls.pop(backend.name, None)
         backend.suspected_until = 0.0
         if result is CheckResult.REACHABLE:
