--- a/sloepond/core/forwarding/health/__init__.py
+++ b/sloepond/core/forwarding/health/__init__.py
@@ -1,1 +1,1 @@
-"""Health of back ends: which are unreachable or ejected, and which flows are reset for it."""
+"""Health of back ends: determines which are unreachable or ejected, and resets flows of unreachable ones."""
--- a/sloepond/core/forwarding/health/backend_checks.py
+++ b/sloepond/core/forwarding/health/backend_checks.py
@@ -1,8 +1,9 @@
-"""Checks of back ends that seem to be gone, and what follows from the results.
+"""Checks back ends that may be gone, and acts on the results.
 
-A back end that cannot be reached while another one can: its flows seen here are reset and peers
-are told, who check for themselves before they reset anything.  Owns the commands of checks;
-relies on `reachability` (when to check, what a result changes) and `flow_resets`.
+If a back end cannot be reached while another one can, its flows observed here are reset and peers are
+notified; they run their own check before they reset any flow.
+Owns: the commands for checks.  Relies on: `reachability` (when to check, and what a result changes) and
+`flow_resets`.
 """
 
 from __future__ import annotations
@@ -17,17 +18,16 @@
 from sloepond.core.forwarding.state.backends import BackendDirectory
 
 OPENING_UNANSWERED_AFTER_S = 0.08
-"""Seconds without a packet after a flow's opening one that make its back end be checked.  The next
-one comes after two ways between halls and two to the caller, about 6 ms; the caller's copy after
-200 ms.  With resets of resting flows and checks of 0.16 s a day of dead back ends went from 0.875
-to 0.955 of worth, 122 to 31 requests not served."""
+"""Seconds without a further packet after a flow's opening packet, after which its back end is checked.  The
+next packet arrives after a round trip between halls and one to the caller, about 6 ms; the caller
+retransmits after 200 ms."""
 
 
 class BackendChecks:
-    """Checks back ends and resets the flows of those that are gone.
+    """Checks back ends and resets the flows of those that are unreachable.
 
-    :param observer: tells which flows rest on a back end, and which openings nothing followed.
-    :param exchange: tells peers of back ends that cannot be reached.
+    :param observer: knows the flows of each back end and the opening packets that no packet followed.
+    :param exchange: notifies peers of unreachable back ends, and receives their notifications.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._commands: list[Command] = []
 
     def drain_commands(self, now: float) -> list[Command]:
-        """Return the commands since the last call, with the next flows to be reset."""
+        """Return the commands since the last call, including the next batch of resets."""
         segments = self._flow_resets.next_batch(now)
         if segments:
             self._counters.flows_reset_resting += len(segments)
@@ -56,23 +56,23 @@
         return commands
 
     def next_deadline(self) -> float:
-        """Return when there is something to check or to reset."""
+        """Return when a back end has to be checked or the next batch of flows reset."""
         oldest = self._observer.oldest_unanswered_opening()
         return min(self._flow_resets.next_deadline(), oldest + OPENING_UNANSWERED_AFTER_S)
 
     def on_timer(self, now: float) -> None:
-        """Check back ends that left an opening packet unanswered for longer than that takes."""
+        """Check back ends of opening packets that no packet followed within `OPENING_UNANSWERED_AFTER_S`."""
         for backend in self._observer.take_unanswered_openings(now - OPENING_UNANSWERED_AFTER_S):
             self._counters.openings_unanswered += 1
             self.request_check(backend.name, now)
 
     def check_suspected_by_peers(self, now: float) -> None:
-        """Check back ends with flows here that peers could not reach."""
+        """Check back ends with flows here that peers have reported as unreachable."""
         for name in self._exchange.drain_suspected():
             self.request_check(name, now)
 
     def request_check(self, name: str, now: float) -> None:
-        """Check a back end that may be gone, unless it was lately."""
+        """Check a back end that may be gone, unless it was checked recently."""
         backend = self._backends.by_name(name)
         if backend is not None and self._reachability.begin_check(backend, now):
             self._counters.backends_checked += 1
@@ -80,7 +80,7 @@
             self._commands.append(CheckBackend(name, backend.endpoint, control))
 
     def check_finished(self, event: BackendChecked, now: float) -> None:
-        """Take the end of a check: flows of a back end that is gone are reset, peers are told."""
+        """Handle the result of a check; if the back end is unreachable, reset its flows and notify peers."""
         backend = self._backends.by_name(event.name)
         if backend is None:
             return
--- a/sloepond/core/forwarding/health/flow_resets.py
+++ b/sloepond/core/forwarding/health/flow_resets.py
@@ -1,9 +1,9 @@
-"""Flows that rest on a back end that is gone are reset, so that no request is sent into them.
+"""Resets the idle flows of an unreachable back end, so that no request is sent on them.
 
-A caller that keeps a flow open sends its next request into it, and one that may not be
-repeated fails if the flow is reset only then.  Reset while it rests, the caller opens a new
-one for that request.  Owns the flows that are still to be reset; relies on `flow_observer` for
-the flows seen of a back end.
+A caller that keeps a flow open sends its next request on it.  If the flow is reset only then, a request
+that must not be repeated fails.  If the flow is reset while it is idle, the caller opens a new one for that
+request.
+Owns: the flows still to be reset.  Relies on: `flow_observer` for the observed flows of a back end.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 RESETS_PER_BATCH = 100
-"""Resets sent at once, so that packets of other flows are not held up: 100 take about 2 ms of
+"""Resets sent at once; limited so that packets of other flows are not delayed: 100 resets take about 2 ms of
 processor time."""
 BATCH_INTERVAL_S = 0.01
-"""Seconds between two steps, so that resets take a fifth of the processor at most."""
+"""Seconds between two batches, so that resets use at most a fifth of the processor time."""
 
 
 class FlowResets:
-    """Flows to be reset; at most as many as are observed."""
+    """Flows waiting to be reset; never more than are observed."""
 
     def __init__(self, observer: FlowObserver) -> None:
         self._observer = observer
@@ -31,7 +31,7 @@
         self._next_at = NEVER
 
     def reset_flows_of(self, backend: ForwardingBackend, now: float) -> int:
-        """Reset all flows seen of a back end; return how many."""
+        """Schedule the reset of all observed flows of a back end; return how many."""
         flows = self._observer.flows_of(backend)
         for flow in flows:
             self._observer.forget(flow.key)
@@ -41,11 +41,11 @@
         return len(flows)
 
     def next_deadline(self) -> float:
-        """Return when `next_batch` has something to return."""
+        """Return when the next batch is due."""
         return self._next_at
 
     def next_batch(self, now: float) -> tuple[Segment, ...]:
-        """Return the next flows to be reset, as empty packets of their callers."""
+        """Return the next flows to be reset, as empty packets of their callers; none before they are due."""
         if now < self._next_at:
             return ()
         count = min(RESETS_PER_BATCH, len(self._pending))
--- a/sloepond/core/forwarding/health/outlier_detector.py
+++ b/sloepond/core/forwarding/health/outlier_detector.py
@@ -1,8 +1,10 @@
-"""Outlier detection: sums up the unanswered requests that balancers report for a back end.
+"""Outlier detection: counts the unanswered requests that balancers report for a back end.
 
-A balancer sees few requests of each back end, so none of them alone can tell soon that one has
-ceased to answer.  Two of them are assigned to each back end and receive the reports of all others.
-Owns the reports that still count and the ejections of the back ends assigned here; pure.
+A balancer forwards few requests to each back end, so a single one takes long to detect that a back end has
+stopped answering.  Therefore two balancers are assigned to each back end and receive the reports of all
+others.
+Owns: the reports that still count and the ejections of the back ends assigned to this balancer.  Performs no
+I/O.
 """
 
 from __future__ import annotations
@@ -10,29 +12,27 @@
 import msgspec
 
 WINDOW_S = 3.0
-"""Seconds for which a report counts.  A balancer of 26 to 35 sees two or three requests a second of
-a back end, so three reports meet within it.  Not measured."""
+"""Seconds for which a report counts.  In a fleet of 26 to 35 balancers each one forwards two or three
+requests per second to a back end, so three reports arrive within this time."""
 FAILURES_TO_EJECT = 3
-"""Unanswered requests, reported by several balancers, that eject a back end.  Packets of a flow
-that has moved to another balancer leave one request unanswered where it was before, so one report
-proves nothing.  With all rules of ejection a day of mute back ends went from 39 to 9 requests not
-served, one of hanging ones from 216 to 149; the number itself was not measured."""
+"""Unanswered requests reported by several balancers that eject a back end.  When the packets of a flow move
+to another balancer, the previous one observes an unanswered request, so a single report proves nothing."""
 FAILURES_TO_EJECT_BY_ONE = 6
-"""The same where a single balancer has reported them all: it may be its own link, so twice as many.
-Not measured."""
+"""Unanswered requests that eject a back end if a single balancer reports them all; twice as many as from
+several balancers, because that balancer's own link may be faulty."""
 EJECTION_DURATIONS_S = (2.0, 4.0, 8.0)
-"""Seconds the first, the second and each later ejection in a row lasts (exponential backoff): a back
-end that has recovered soon loses few flows.  Not measured."""
+"""Duration in seconds of the first, the second and each later consecutive ejection (exponential backoff);
+short at first, so that a back end that recovers quickly loses few flows."""
 RELAPSE_S = 12.0
-"""Seconds after an ejection within which the next one lasts longer, and one report is enough for
-it: longer than the longest ejection, so that a failure in the trial that follows is a relapse.
-Not measured."""
+"""Seconds after the start of an ejection within which one report suffices for the next, longer
+ejection.  Longer than the longest ejection, so that a failure during the trial that follows counts as a
+relapse."""
 
 
 class Report(msgspec.Struct, frozen=True):
-    """One unanswered request.
+    """Report of one unanswered request.
 
-    :ivar at: seconds of this node's clock at which the report came.
+    :ivar at: time at which the report arrived, in seconds of this node's clock.
     :ivar reporter: address of the balancer that reported it.
     """
 
@@ -41,11 +41,11 @@
 
 
 class ReportedBackend(msgspec.Struct):
-    """What is remembered of one back end.
+    """Reports and ejections of one back end.
 
-    :ivar reports: time and reporter of each unanswered request that still counts.
-    :ivar ejections: ejections in a row.
-    :ivar ejected_at: time of the last one.
+    :ivar reports: reports that still count.
+    :ivar ejections: number of consecutive ejections.
+    :ivar ejected_at: time of the last ejection.
     """
 
     reports: list[Report] = msgspec.field(default_factory=list)
@@ -54,15 +54,15 @@
 
 
 class OutlierDetector:
-    """Decides which back ends are ejected, and for how long."""
+    """Decides when a back end is ejected, and for how long."""
 
     def __init__(self) -> None:
         self._reported: dict[str, ReportedBackend] = {}
 
     def report(self, name: str, reporter: str, now: float) -> float:
-        """Take one unanswered request.
+        """Record the report of one unanswered request.
 
-        :returns: seconds for which the back end is ejected, 0 where it isn't.
+        :returns: seconds for which the back end is ejected from now on, 0 if it is not ejected.
         """
         reported = self._reported.setdefault(name, ReportedBackend())
         if reported.ejections and now - reported.ejected_at < _duration_s(reported.ejections):
@@ -80,14 +80,14 @@
         return _duration_s(reported.ejections)
 
     def ejected_by_other(self, name: str, duration_s: float, now: float) -> None:
-        """Take an ejection that the other balancer assigned to the back end has decided."""
+        """Record an ejection decided by the other balancer assigned to the back end."""
         reported = self._reported.setdefault(name, ReportedBackend())
         reported.ejections = max(reported.ejections, sum(duration_s >= each for each in EJECTION_DURATIONS_S))
         reported.ejected_at = now
         reported.reports = []
 
     def forget(self, now: float) -> None:
-        """Forget back ends that nothing was received about for long."""
+        """Forget back ends without a report or an ejection within `RELAPSE_S`."""
         for name, reported in list(self._reported.items()):
             last_report = reported.reports[-1].at if reported.reports else reported.ejected_at
             if now - max(last_report, reported.ejected_at) > RELAPSE_S:
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -1,13 +1,13 @@
-"""Outlier ejection: back ends that accept requests and leave them unanswered get no new flow.
+"""Outlier ejection: back ends that accept requests but leave them unanswered get no new flows.
 
-A request that waits too long is reported to the balancers assigned to its back end; they sum
-up (`outlier_detector`) and tell all others, who eject the back end: no new flow for a while,
-then a few to try it (half-open, as a circuit breaker).  Open flows stay where they are.  The
-log and the metrics call an ejected back end "passed over".
+A request that is not answered in time is reported to the balancers assigned to its back end.  They count
+the reports (`outlier_detector`) and notify all others when the back end is to be ejected.  An ejected back
+end gets no new flow for some seconds, then a few on trial (half-open, as in a circuit breaker).  Open flows
+are not moved.  The log and the metrics call an ejected back end "passed over".
 
-Owns what this balancer reports and what it is assigned to; relies on `load.waiting_requests`
-for requests that wait, and on the peers that are alive.  The end of an ejection stands at the
-back end itself.
+Owns: the reports that this balancer sends, and the detector for the back ends assigned to it.  Relies on:
+`load.waiting_requests` for unanswered requests, and the peers that are alive.  The end of an ejection is
+stored in the back end's own state.
 """
 
 from __future__ import annotations
@@ -28,28 +28,26 @@
 from sloepond.core.token_bucket import TokenBucket
 
 ASSIGNED_BALANCERS = 2
-"""Balancers assigned to each back end: one may be gone, or unknown to some.  Not measured."""
+"""Balancers assigned to each back end; two, because one may have failed or be unknown to some peers."""
 MAXIMUM_EJECTED_SHARE = 1 / 3
-"""Share of the back ends a flow may go to that are ejected at most.  Where more seem to fail it is
-the load, the network or this balancer, and ejecting them would starve the rest.  A balancer to
-which more than this share of the back ends it uses seem to fail suspects its own link.  Not
-measured."""
+"""Maximum share of the back ends of a flow that are ejected.  If more seem to fail, the cause is the load,
+the network or this balancer, and ejecting them would overload the rest.  A balancer that observes failures
+of more than this share of the back ends it uses suspects its own link."""
 TRIAL_SHARE = 0.1
-"""Share of the choices in which a back end may be chosen while it is tried again, so that few flows
-are lost if it still fails.  Not measured."""
+"""Share of the choices in which a back end on trial may be chosen, so that few flows are lost if it still
+fails."""
 REPORTS_PER_S = 20.0
-"""Reports that one balancer sends, over a longer time and at once: bounds what a failure of many
-back ends costs the network.  Not measured."""
+"""Rate and burst of the reports that one balancer sends; bounds the traffic when many back ends fail."""
 DUPLICATE_EJECTION_MARGIN_S = 0.5
-"""An ejection that ends no later than the one known by more than these seconds is not passed on:
-the same one comes from several peers, later by the time it was on its way.  Not measured."""
+"""A received ejection is forwarded only if it ends more than this many seconds after the current one: the
+same ejection arrives from several peers, later by its network delay."""
 
 
 class OutlierEjection:
-    """Reports unanswered requests, decides on ejections, and tells which back ends may be used.
+    """Reports unanswered requests, decides on ejections, and filters out ejected back ends.
 
     :param ip: address of this balancer.
-    :param waiting: requests that were forwarded here.
+    :param waiting: requests forwarded by this balancer that are not answered yet.
     """
 
     def __init__(
@@ -79,15 +77,15 @@
         return commands
 
     def next_deadline(self) -> float:
-        """Return when a request may count as unanswered."""
+        """Return when the next request counts as unanswered."""
         return self._waiting.next_deadline()
 
     def ejected_count(self, now: float) -> int:
-        """Return how many back ends are given no or few new flows."""
+        """Return the number of back ends that are ejected or on trial."""
         return sum(backend.probation_until > now for backend in self._backends)
 
     def usable(self, backends: Sequence[ForwardingBackend], now: float) -> Sequence[ForwardingBackend]:
-        """Return the back ends that are not ejected now; all where too many would be."""
+        """Return the back ends that are not ejected now, or all of them if too many would be ejected."""
         if now >= self._ejections_until:
             return backends
         kept = [backend for backend in backends if not self._is_ejected(backend, now)]
@@ -96,7 +94,7 @@
         return kept
 
     def on_timer(self, now: float) -> None:
-        """Report requests that have waited too long, unless most back ends seem to fail."""
+        """Report unanswered requests, unless this balancer suspects its own link."""
         for backend in self._waiting.take_unanswered(now):
             self._counters.requests_unanswered += 1
             self._unanswered_at[backend.name] = now
@@ -104,18 +102,17 @@
                 self._report(backend, now)
 
     def message_received(self, ip: str, message: FailureMessage, now: float) -> None:
-        """Take another balancer's report or ejection."""
+        """Handle a report or an ejection from another balancer."""
         if isinstance(message, RequestUnanswered):
             self._report_received(ip, message, now)
         else:
             self._ejection_received(ip, message, now)
 
     def _report_received(self, ip: str, message: RequestUnanswered, now: float) -> None:
-        """Take another balancer's report on a back end that this one is assigned to.
+        """Handle another balancer's report on a back end that this balancer is assigned to.
 
-        A reporter that doesn't know of the ejection is told at once.  With 0.3 of the messages lost, two
-        mute back ends got less than a tenth of their flows 1.5 s on in 20 of 20 seeded runs, without it in
-        15.
+        If the back end is already ejected, the reporter is notified at once: the message that announced the
+        ejection may have been lost.
         """
         self._counters.failure_reports_received += 1
         backend = self._backends.by_name(message.name)
@@ -127,7 +124,7 @@
             self._commands.append(SendToPeer(ip, ejection))
 
     def _ejection_received(self, ip: str, message: BackendFailing, now: float) -> None:
-        """Eject a back end because another balancer says so; a new ejection is passed on."""
+        """Eject a back end at the request of another balancer; a new ejection is forwarded to peers."""
         backend = self._backends.by_name(message.name)
         if backend is None:
             return
@@ -138,18 +135,18 @@
         self._eject(backend, duration_s, f"told={ip}", now)
 
     def forget(self, now: float) -> None:
-        """Forget what no longer counts."""
+        """Forget reports and unanswered requests that no longer count."""
         self._detector.forget(now)
         self._unanswered_at = {name: at for name, at in self._unanswered_at.items() if now - at < WINDOW_S}
 
     def _is_ejected(self, backend: ForwardingBackend, now: float) -> bool:
-        """Tell whether a back end is given no new flow; one on trial may be chosen in a few of the draws."""
+        """Return whether a back end gets no new flow; one on trial is available in a share of the choices."""
         if now < backend.ejected_until:
             return True
         return now < backend.probation_until and self._random.random() >= TRIAL_SHARE
 
     def _suspects_own_link(self, now: float) -> bool:
-        """Tell whether so many back ends seem to fail that it is rather this balancer's link."""
+        """Return whether so many back ends seem to fail that this balancer's own link is the likely cause."""
         failing = sum(now - at < WINDOW_S for at in self._unanswered_at.values())
         used = sum(backend.flows > 0 for backend in self._backends)
         return failing > 1 and failing > MAXIMUM_EJECTED_SHARE * used
@@ -172,7 +169,7 @@
             self._eject(backend, duration_s, f"judged_here=True reporter={reporter}", now)
 
     def _eject(self, backend: ForwardingBackend, duration_s: float, reason: str, now: float) -> None:
-        """Eject a back end, then try it for as long again, and tell peers."""
+        """Eject a back end, followed by a trial of the same duration, and notify peers."""
         backend.ejected_until = now + duration_s
         backend.probation_until = now + 2.0 * duration_s
         self._ejections_until = max(self._ejections_until, backend.probation_until)
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -1,11 +1,12 @@
-"""Reachability: which suspected back ends are checked, and what a check's result changes.
+"""Reachability: determines which suspected back ends are checked, and applies the results.
 
-A request that is repeated, an opening packet that is repeated or that nothing follows, an entry
-that left the list without a word, a peer's word: each only makes this balancer try to connect to
-the back end itself.  A back end that accepts connections keeps its flows, however slow it is.
+A back end is suspected after a retransmitted request, an opening packet that is retransmitted or that no
+packet follows, an unannounced departure from the list, or a peer's notification.  A suspicion only makes
+this balancer try to connect to the back end itself.  A back end that accepts connections keeps its flows,
+however slow it is.
 
-Owns the rate of checks and the checks that are undecided; the results stand at the back ends
-themselves.  `backend_checks` starts checks and resets flows.
+Owns: the rate limit of checks and the checks without a conclusive result.  Relies on: `backend_checks`, which
+starts checks and resets flows.  The results are stored in the back ends' own state.
 """
 
 from __future__ import annotations
@@ -19,30 +20,27 @@
 from sloepond.core.token_bucket import TokenBucket
 
 CHECK_INTERVAL_S = 1.0
-"""Least seconds between two checks of one back end: ten times as long as a check takes.  Not
-measured."""
+"""Minimum seconds between two checks of one back end; ten times the duration of a check."""
 CHECKS_PER_S = 20.0
-"""Checks of all back ends together, over a longer time and at once: callers cannot cause more.  Not
-measured."""
+"""Rate and burst of the checks of all back ends together; bounds the checks that callers can cause."""
 UNREACHABLE_S = 4.0
-"""Seconds for which the flows of a listed back end that wasn't reached are reset: a little longer
-than the 3.6 s for which its entry stands after it has crashed.  Not measured."""
+"""Seconds for which flows of a listed but unreachable back end are reset; slightly longer than the 3.6 s
+for which its entry remains in the list after a crash."""
 AVOIDED_S = 0.6
-"""Seconds for which a back end that is being checked is chosen only where there is no other: a check
-takes 0.1 s, and 0.3 s with its two repeats.  Not measured."""
+"""Seconds for which a back end that is being checked is chosen only if there is no other.  A check takes
+0.1 s, and 0.3 s with its two repeats."""
 CONTROL_CANDIDATES = 8
-"""Back ends drawn at random of which one is the control: with three halls one of the suspect's own
-hall is among eight in 96% of the draws (1 - (2/3)^8)."""
+"""Back ends drawn at random, one of which becomes the control.  With three halls, one of eight is in the
+suspect's own hall with a probability of 96% (1 - (2/3)^8)."""
 INCONCLUSIVE_REPEATS = 2
-"""How often a check that has shown nothing is repeated at once with another control.  Where a sixth
-of all back ends dies together, so does each sixth control.  On a day of such failures worth 0.960
-without repeats and checks of 0.16 s, 0.973 with repeats and checks of 0.1 s."""
+"""Immediate repeats, each with another control, of a check without a conclusive result.  If a sixth of all
+back ends fails together, one control in six fails too."""
 SUSPECTED_S = 3.0
-"""Seconds for which a peer's word makes packets to a back end start a check.  Not measured."""
+"""Seconds for which a back end reported by a peer is suspected, so that packets to it start a check."""
 
 
 class Reachability:
-    """Limits checks and keeps their results."""
+    """Limits the rate of checks and applies their results to the back ends."""
 
     def __init__(self, backends: BackendDirectory, random_source: random.Random) -> None:
         self._backends = backends
@@ -52,7 +50,7 @@
         self._inconclusive: dict[str, int] = {}
 
     def begin_check(self, backend: ForwardingBackend, now: float) -> bool:
-        """Tell whether a suspicion is followed by a check now; if so it has begun."""
+        """Return whether a suspected back end is to be checked now; if so, the check counts as begun."""
         if now - backend.checked_at < CHECK_INTERVAL_S:
             return False
         if not self._check_budget.take(now, 1.0):
@@ -62,9 +60,10 @@
         return True
 
     def control(self, suspect: ForwardingBackend, now: float) -> Endpoint | None:
-        """Draw a back end to be reached meanwhile, so that a fault of this balancer's link shows.
+        """Choose the control, a second back end to contact: it reveals a fault of this balancer's own link.
 
-        :returns: the address of one that is listed and not suspected, in the same hall if possible.
+        :returns: the address of a back end that is ready and not suspected, in the suspect's hall if
+            possible; None if there is none.
         """
         usable = [
             backend
@@ -82,9 +81,9 @@
         return candidates[0].endpoint
 
     def record_inconclusive(self, backend: ForwardingBackend, now: float) -> bool:
-        """Take a check in which the control wasn't reached either.
+        """Record a check in which the control was not reached either.
 
-        :returns: whether to check again at once.
+        :returns: whether to repeat the check at once.
         """
         control = self._controls.pop(backend.name, None)
         if control is not None:
@@ -97,7 +96,7 @@
         return True
 
     def record_result(self, backend: ForwardingBackend, result: CheckResult, now: float) -> None:
-        """Take the result of a check that has shown something."""
+        """Apply the result of a conclusive check to the back end."""
         self._inconclusive.pop(backend.name, None)
         self._controls.pop(backend.name, None)
         backend.suspected_until = 0.0
@@ -109,7 +108,7 @@
         backend.avoided_until = max(backend.avoided_until, now + UNREACHABLE_S)
 
     def suspected_by_peer(self, backend: ForwardingBackend, now: float) -> bool:
-        """Take a peer's word that it couldn't reach a back end; return whether that is new here."""
+        """Record that a peer could not reach a back end; return whether that is new to this balancer."""
         is_new = backend.suspected_until <= now and not backend.is_unreachable(now)
         if is_new:
             backend.suspected_until = now + SUSPECTED_S
