--- a/features/forwarding/leaving_back_ends.feature
+++ b/features/forwarding/leaving_back_ends.feature
@@ -1,71 +1,57 @@
-Feature: A back end that leaves gets no new flow after seconds, whoever knew of it
-
-  Back ends that had said that they leave were still given new flows, in one deployment after
-  more than the 3.0 seconds that it allows.  The scenarios below are the ways found in which a
-  balancer that nothing has disturbed knows too late, or never.
-
-  Scenario: A balancer that the store serves knows in time, whoever else is turned away
-    The store turned the readers away just before a back end left.  Balancers that it went on
-    serving learned of nothing: for two seconds they counted the readers as there, then three
-    others claimed to read that were turned away too, and only the second or third round of
-    claims brought one that was served.  Its first line about the back end came 2.80 seconds
-    after the drain, in other runs 3.07 seconds:
-      3.70 store_lost reason=unreachable (three readers)
-      3.86 (the back end says that it leaves)
-      5.68 role_changed claimant heard=0 fresh=False (three that are turned away)
-      6.657 backend_changed list changed=1 rev=13 (the one that is served)
-    Then forwarding property: a balancer that the store serves knows within 2.5 seconds that a back end leaves
-
-  Scenario: A back end that a complete list does not hold is gone, whoever tells of it
-    A balancer that had slept passed on what it had heard before.  Others held lists that were
-    complete up to a later revision and no longer had the back end in them.  They took it as a
-    new one, and gave it new flows for good, since no later change was ever told of it:
-      28.905 backend_changed list changed=4 listed=4 rev=125
-      28.965 backend_changed i-00000065 state=ready rev=118 told=peer
-      29.43 list_differs rev=128 told_rev=128
+Feature: A back end that is leaving gets no new flows after a few seconds
+
+  Guards against new flows on a back end that has announced more than 3.0 seconds ago that it is
+  leaving.  Each scenario is one way in which a balancer that works normally learns this too late, or
+  never.
+
+  Scenario: A balancer that the store serves learns in time, even if the store refuses all others
+    The store refuses the readers just before the change.  Balancers that it still serves consider the
+    readers present for two seconds, then other refused balancers become candidates, and only the
+    second or third round of candidates includes a served one.
+    Then forwarding property: a balancer that the store serves learns within 2.5 seconds that a back end is leaving
+
+  Scenario: A back end that is missing from a complete list has departed, whatever peers send
+    A balancer that has stalled sends peers an old entry of a departed back end.  Their lists are
+    complete up to a later revision and no longer contain the back end.  If they add it as a new one,
+    it gets new flows permanently, because no later change mentions it.
     Given a forwarding node whose list is complete up to revision 125
-    When a peer tells forwarding of a ready back end of revision 118 that the list does not hold
-    Then forwarding gives that back end no new flow
-
-  Scenario: A list that differs from the readers' is read anew
-    A balancer started with a list that was some seconds old.  The reader that it heard had
-    started later, so it had never known the back end that had left in between, and named no
-    change younger than the list.  The balancer took its list for complete up to the reader's
-    revision and gave the departed back end new flows for good:
-      39.030 backend_changed list changed=4 listed=4 rev=133
-      39.85 list_differs rev=144 told_rev=144
-    Given a fresh forwarding node whose list of revision 133 holds a back end that has left
-    When a reader that never knew that back end confirms all up to revision 144
-    Then forwarding has asked for the whole list within 1.5 seconds
-
-  Scenario: An answer of the store that a later one has overtaken brings nothing back
-    A watch was answered just before a balancer slept; the list that it read as it woke, without
-    the back end, was there first.  The answer to the watch then listed the back end again:
-      22.777 backend_changed list changed=2 listed=8 rev=122
-      23.486 backend_changed i-00000067 state=ready rev=118
+    When a peer sends forwarding a ready back end of revision 118 that the list does not contain
+    Then forwarding places no new flow on that back end
+
+  Scenario: A list that differs from the readers' is read again
+    A balancer starts with a list that is some seconds old.  A reader that has started later never had
+    the back end that departed in between, so its confirmation contains no change of it.  If the
+    balancer considers its list complete up to the reader's revision, the departed back end gets new
+    flows permanently.
+    Given a forwarding node that has just started, whose list of revision 133 contains a departed back end
+    When a reader that never had that back end in its list confirms all changes up to revision 144
+    Then forwarding has requested the complete list within 1.5 seconds
+
+  Scenario: An outdated answer of the store does not restore a departed back end
+    A watch is answered just before a balancer stalls.  After the stall the balancer first handles a
+    newer list without the back end, then the answer to the watch, which still contains it.
     Given a forwarding node whose list is complete up to revision 125
-    When a watch answers late and tells of a ready back end of revision 118
-    Then forwarding gives that back end no new flow
+    When a watch answers late with a ready back end of revision 118
+    Then forwarding places no new flow on that back end
 
-  Scenario: A back end that had said that it leaves is no last resort for one who heard of it late
-    A balancer that starts after a back end has left is told of it for the sake of its open flows,
-    with the state it has then, gone.  Where its service had no other, new flows went to back ends
-    that had vanished without a word; one that had said that it leaves counted as such.
+  Scenario: A back end that announced its departure is no last resort for a balancer that learns of it late
+    A balancer that starts after a back end has departed receives its entry from a peer, with the state
+    departed, so that it can forward its open flows.  A service without listed back ends uses those that
+    departed unannounced; one that had announced its departure must not count as such.
     Given a forwarding node whose list is complete up to revision 125
-    When a peer tells forwarding of the only back end of a service, which said that it leaves and is gone
-    Then forwarding gives that back end no new flow
+    When a peer sends forwarding the only back end of a service, which departed after announcing that it is leaving
+    Then forwarding places no new flow on that back end
 
-  Scenario: Lists have one digest exactly where they hold the same entries
-    Then forwarding property: two lists have one digest where they hold the same entries, and else not
+  Scenario: Two lists have the same checksum if and only if they contain the same entries
+    Then forwarding property: two lists have the same checksum if and only if they contain the same entries
 
-  Scenario: Watches that lose their answers keep no reader from what has changed
-    An answer to a watch was lost without a word, and the connection said nothing more.  The
-    reader went on confirming by the answers to its probes beside it, for up to 25 seconds:
-      17.95 change_missed store_rev=112 known_rev=110
-      29.78 change_missed store_rev=129 known_rev=110
-    Then forwarding property: a whole fleet knows within 2.5 seconds that a back end leaves, though its watches lose their answers
+  Scenario: Lost answers to watches do not keep changes from a reader
+    An answer to a watch is lost and its connection stays silent.  The reader continues to confirm its
+    state by the answers to its probes on other connections, and misses all changes until the watch
+    times out.
+    Then forwarding property: a whole fleet learns within 2.5 seconds that a back end is leaving, although answers to its watches are lost
 
-  Scenario: A store in which others write much is not read for each of their changes
+  Scenario: Frequent writes of others to the store do not cause a read each
     Given a simulated fleet of 7 forwarding nodes
-    When others write to the store 5 times a second for 20 seconds
-    Then the forwarding fleet has called the store less than 8 times a second
+    When others write to the store 5 times per second for 20 seconds
+    Then the forwarding fleet has called the store less than 8 times per second
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -198,12 +198,12 @@
         self.placed = 0
         self.port = 0
 
-    def open_for(self, seconds, flows_per_step):
+    def open_for(self, seconds, flows_a_step):
         """Open flows at random nodes, in steps of 50 ms."""
         fleet = self.fleet
         end = fleet.now + seconds
         while fleet.now < end:
-            for _ in range(flows_per_step):
+            for _ in range(flows_a_step):
                 self.port += 1
                 node = fleet.nodes[fleet.random.choice(sorted(fleet.nodes))]
                 opening = segment(443, self.port % 60_000, opening=True)
@@ -249,10 +249,10 @@
 def within_limit(context):
     @FLEET_PROPERTY
     @for_all(st.integers(0, 2**32), st.sampled_from((0.34, 0.7, 1.0)), st.integers(2, 12))
-    def check(seed, share_cold, flows_per_step):
+    def check(seed, share_cold, flows_a_step):
         fleet, cold = cold_fleet(seed, share_cold)
         openings = Openings(fleet)
-        openings.open_for(3.0, flows_per_step)
+        openings.open_for(3.0, flows_a_step)
         assert openings.placed > 0
         assert openings.most_in_a_second(cold) <= LIMIT.slack_per_s
 
--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on back ends that accept requests and leave them unanswered, under load."""
+"""Steps on back ends that accept requests but leave them unanswered, under load."""
 
 from __future__ import annotations
 
@@ -41,20 +41,20 @@
 ANSWER_S = 0.03
 """Time from a request to the acknowledgement of its answer."""
 STREAM_ROUTE = 0 << 16 | 443
-FLOWS_A_S = 300
+FLOWS_PER_S = 300
 
 
 class LoadedFleet(Fleet):
-    """A fleet whose balancers forward short flows of one request.
+    """A simulated fleet whose balancers forward short flows of one request each.
 
-    :ivar mute: names of back ends that do not answer.
-    :ivar cut: balancer whose callers get no answer, empty for none.
-    :ivar placed: new flows of each back end since they were last counted.
+    :ivar unresponsive: names of back ends that do not answer.
+    :ivar isolated: address of the balancer whose callers get no answers, empty for none.
+    :ivar placed: new flows of each back end since the last count.
     """
 
     def __init__(self, count):
-        self.mute = set()
-        self.cut = ""
+        self.unresponsive = set()
+        self.isolated = ""
         self.placed = collections.Counter()
         self.packets = []
         self.ports = itertools.count(2000)
@@ -66,17 +66,17 @@
         self.callers = random.Random(5)
 
     def load(self, seconds):
-        """Let time pass under load; return the new flows of each back end."""
+        """Run the fleet under load; return the new flows of each back end."""
         self.placed.clear()
         end = self.now + seconds
         while self.now < end:
             self.open_flow()
-            self.run(1.0 / FLOWS_A_S)
-            self.play_packets()
+            self.run(1.0 / FLOWS_PER_S)
+            self.deliver_answers()
         return collections.Counter(self.placed)
 
     def open_flow(self):
-        """Open a flow with one request."""
+        """Open a flow and send one request on it."""
         ip = self.callers.choice(sorted(self.nodes))
         node, port = self.nodes[ip], next(self.ports)
         decision = node.decide(segment(STREAM_ROUTE, port, opening=True), self.now)
@@ -86,103 +86,105 @@
         self.placed[backend.name] += 1
         request = segment(STREAM_ROUTE, port, backend.token, length=100, acknowledgement=1)
         node.decide(request, self.now)
-        if backend.name not in self.mute and ip != self.cut:
+        if backend.name not in self.unresponsive and ip != self.isolated:
             answer = segment(STREAM_ROUTE, port, backend.token, acknowledgement=601)
             heapq.heappush(self.packets, (self.now + ANSWER_S, port, node, answer))
 
-    def play_packets(self):
-        """Let callers acknowledge answers."""
+    def deliver_answers(self):
+        """Forward the callers' acknowledgements of answers that are due."""
         while self.packets and self.packets[0][0] <= self.now:
             _, _, node, answer = heapq.heappop(self.packets)
             node.decide(answer, self.now)
 
-    def passed_over(self):
-        """Return the names of back ends that any balancer passes over now."""
+    def ejected(self):
+        """Return the names of back ends that are ejected or on trial at any balancer."""
         return {b.name for node in self.nodes.values() for b in node.backends if b.probation_until > self.now}
 
 
-@given("a fleet of {count:d} balancers that forwards 300 flows a second to 9 back ends")
+@given("a fleet of {count:d} balancers that forwards 300 flows per second to 9 back ends")
 def loaded_fleet(context, count):
     context.fleet = LoadedFleet(count)
     context.before = context.fleet.load(2.0)
-    assert len(context.before) == 9 and not context.fleet.passed_over()
+    assert len(context.before) == 9 and not context.fleet.ejected()
 
 
-@when("{count:d} back ends cease to answer while {loss:g} of the messages between balancers are lost")
-def cease(context, count, loss):
+@when(
+    "{count:d} back ends stop answering while a share of {loss:g} of the messages between balancers is lost"
+)
+def stop_answering(context, count, loss):
     fleet = context.fleet
     fleet.loss = loss
-    fleet.mute = {record(number).name for number in range(1, count + 1)}
+    fleet.unresponsive = {record(number).name for number in range(1, count + 1)}
 
 
 @then("within {seconds:g} seconds they get less than a {part} of the new flows they got before")
-def passed_over_soon(context, seconds, part):
+def ejected_soon(context, seconds, part):
     fleet = context.fleet
     fleet.load(seconds)
     now_s = 0.5
     placed = fleet.load(now_s)
     allowed = {"tenth": 0.1, "fifth": 0.2}[part]
-    usual = sum(context.before[name] for name in fleet.mute) / 2.0 * now_s
-    assert sum(placed[name] for name in fleet.mute) <= allowed * usual, (placed, usual)
+    usual = sum(context.before[name] for name in fleet.unresponsive) / 2.0 * now_s
+    assert sum(placed[name] for name in fleet.unresponsive) <= allowed * usual, (placed, usual)
 
 
-@then("no other back end is passed over")
+@then("no other back end is ejected")
 def no_other(context):
-    assert context.fleet.passed_over() == context.fleet.mute
+    assert context.fleet.ejected() == context.fleet.unresponsive
 
 
 @when("they answer again after {seconds:g} seconds")
 def answer_again(context, seconds):
     context.fleet.load(seconds)
-    context.were_mute = set(context.fleet.mute)
-    context.fleet.mute = set()
+    context.were_unresponsive = set(context.fleet.unresponsive)
+    context.fleet.unresponsive = set()
 
 
 @then("within {seconds:g} seconds they get at least half of the new flows they got before")
 def used_again(context, seconds):
     context.fleet.load(seconds)
     placed = context.fleet.load(1.0)
-    usual = sum(context.before[name] for name in context.were_mute) / 2.0
-    assert sum(placed[name] for name in context.were_mute) >= usual / 2, (placed, usual)
+    usual = sum(context.before[name] for name in context.were_unresponsive) / 2.0
+    assert sum(placed[name] for name in context.were_unresponsive) >= usual / 2, (placed, usual)
 
 
 @then("every back end still gets new flows after {seconds:d} seconds")
-def none_starves(context, seconds):
+def all_get_flows(context, seconds):
     context.fleet.load(seconds)
     placed = context.fleet.load(1.0)
     assert len(placed) == 9, placed
 
 
-@when("the balancers assigned to a back end are killed as it ceases to answer")
-def judges_die(context):
+@when("the balancers assigned to a back end are killed as it stops answering")
+def assigned_balancers_die(context):
     fleet = context.fleet
     backend = ForwardingBackend(record(1), 0.0)
-    fleet.mute = {backend.name}
+    fleet.unresponsive = {backend.name}
     for ip in assigned_balancers(backend, fleet.ips, ASSIGNED_BALANCERS):
         fleet.kill(ip)
 
 
 @when("no answer reaches the callers of one balancer")
 def link_cut(context):
-    context.fleet.cut = context.fleet.ips[5]
+    context.fleet.isolated = context.fleet.ips[5]
 
 
-@then("no back end is passed over for that")
-def nobody_accused(context):
+@then("never more than one back end is ejected")
+def at_most_one_ejected(context):
     for _ in range(8):
         context.fleet.load(0.5)
-        assert len(context.fleet.passed_over()) <= 1, context.fleet.passed_over()
+        assert len(context.fleet.ejected()) <= 1, context.fleet.ejected()
 
 
-@when("forwarding is told that back end 1 leaves requests unanswered")
-def told_failing(context):
+@when("forwarding receives an ejection of back end 1 from a peer")
+def ejection_received(context):
     harness = context.harness
     context.flow = segment(STREAM, 1234, token=1, length=5)
     harness.node.decide(context.flow, harness.now)
     harness.handle(PeerMessageReceived("10.1.0.2", BackendFailing(record(1).name, EJECTION_DURATIONS_S[0])))
 
 
-@then("forwarding gives it no new flow, forwards its open flows and resets none")
+@then("forwarding places no new flow on it, forwards its open flows and resets none")
 def open_flows_go_on(context):
     harness = context.harness
     ends_at = harness.now + EJECTION_DURATIONS_S[0]
@@ -203,91 +205,91 @@
         self.requested_at = requested_at
 
 
-@then("exactly the requests that have waited for longer than usual count as unanswered, for any course")
-def unanswered_for_any_course(context):
+@then("exactly the requests that have waited for too long count as unanswered, for any sequence of requests")
+def unanswered_for_any_sequence(context):
     requests = st.lists(
         st.tuples(st.floats(0.0, 0.2), st.one_of(st.none(), st.floats(0.0, 0.45))), max_size=60
     )
 
     @PROPERTY
     @for_all(requests, st.floats(0.01, 0.3))
-    def holds(course, usual_s):
+    def holds(sequence, usual_s):
         waiting, backend = WaitingRequests(), ForwardingBackend(record(1), 0.0)
         for _ in range(4):
             waiting.answer_seen(backend.service, usual_s, 10.0)
         after_s = max(UNANSWERED_AFTER_S, UNANSWERED_FACTOR * usual_s)
-        now, asked, answers, unanswered = 10.0, [], [], 0
-        for pause_s, answered_after_s in course:
+        now, sent, answers, unanswered = 10.0, [], [], 0
+        for pause_s, answered_after_s in sequence:
             now += pause_s
             for at, flow in [each for each in answers if each[0] <= now]:
                 flow.requested_at = 0.0
                 answers.remove((at, flow))
             flow = WaitingRequest(backend, now)
             waiting.request_seen(flow, now)
-            asked.append((now, answered_after_s))
+            sent.append((now, answered_after_s))
             if answered_after_s is not None:
                 answers.append((now + answered_after_s, flow))
             unanswered += len(waiting.take_unanswered(now))
             assert waiting.next_deadline() > now
-        most = _unanswered_at(asked, now, UNANSWERED_AFTER_S)
-        assert _unanswered_at(asked, now, after_s) <= unanswered <= most
+        most = _unanswered_at(sent, now, UNANSWERED_AFTER_S)
+        assert _unanswered_at(sent, now, after_s) <= unanswered <= most
         end = now + 10.0
         for _, flow in answers:
             flow.requested_at = 0.0
         unanswered += len(waiting.take_unanswered(end))
-        assert unanswered == sum(after_s is None for _, after_s in asked)
+        assert unanswered == sum(after_s is None for _, after_s in sent)
         assert waiting.take_unanswered(end + 10.0) == []
 
     holds()
 
 
-def _unanswered_at(asked, now, unanswered_after_s):
-    """Return how many requests without an answer have waited for long at a time."""
-    return sum(after_s is None and now - at >= unanswered_after_s for at, after_s in asked)
+def _unanswered_at(sent, now, unanswered_after_s):
+    """Return how many requests that are never answered have waited for a given time."""
+    return sum(after_s is None and now - at >= unanswered_after_s for at, after_s in sent)
 
 
-@then("at most a third of the back ends a flow may go to is passed over, for any verdicts")
-def passed_over_for_any_verdicts(context):
+@then("at most a third of the back ends a flow may go to is ejected, for any ejections received")
+def ejected_for_any_ejections(context):
     @PROPERTY
     @for_all(st.integers(1, 12), st.lists(st.tuples(st.integers(1, 12), st.floats(0.1, 20.0))))
-    def holds(count, verdicts):
+    def holds(count, ejections):
         chance, now = random.Random(1), 50.0
         directory = BackendDirectory()
         directory.apply_list([record(number) for number in range(1, count + 1)], 5, now)
         peers = PeerTable("10.1.0.1", "north", (), chance)
         counters = ForwardingCounters()
         ejection = OutlierEjection("10.1.0.1", peers, directory, WaitingRequests(), counters, chance)
-        for number, duration_s in verdicts:
+        for number, duration_s in ejections:
             ejection.message_received("10.1.0.2", BackendFailing(record(number).name, duration_s), now)
         backends = list(directory)
         kept = ejection.usable(backends, now)
         assert len(backends) - len(kept) <= len(backends) / 3
-        named = {record(number).name for number, _ in verdicts}
+        named = {record(number).name for number, _ in ejections}
         assert len(kept) == len(backends) or {b.name for b in backends} - {b.name for b in kept} <= named
         assert list(ejection.usable(backends, now + 2 * EJECTION_DURATIONS_S[-1])) == backends
 
     holds()
 
 
-@then("a verdict needs several failures within a window and lasts for a bounded time, for any reports")
-def verdicts_for_any_reports(context):
+@then("an ejection needs several failures within a window and has a bounded duration, for any reports")
+def ejections_for_any_reports(context):
     reports = st.lists(st.tuples(st.floats(0.0, 2.0), st.sampled_from("abc")), max_size=60)
 
     @PROPERTY
     @for_all(reports)
-    def holds(course):
+    def holds(sequence):
         detector, now, seen, ends_at, ejections = OutlierDetector(), 100.0, [], 0.0, 0
-        for pause_s, reporter in course:
+        for pause_s, reporter in sequence:
             now += pause_s
             seen.append((now, reporter))
             duration_s = detector.report("i-1", reporter, now)
             if not duration_s:
                 continue
             assert duration_s in EJECTION_DURATIONS_S and now >= ends_at
-            lately = [ip for at, ip in seen if now - at < WINDOW_S]
+            recent = [ip for at, ip in seen if now - at < WINDOW_S]
             if not ejections:
-                assert len(lately) >= (
-                    FAILURES_TO_EJECT if len(set(lately)) > 1 else FAILURES_TO_EJECT_BY_ONE
+                assert len(recent) >= (
+                    FAILURES_TO_EJECT if len(set(recent)) > 1 else FAILURES_TO_EJECT_BY_ONE
                 )
             ejections += 1
             ends_at = now + duration_s
--- a/features/steps/forwarding_leaving_steps.py
+++ b/features/steps/forwarding_leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on back ends that leave, and on how soon every balancer knows it."""
+"""Steps on back ends that are leaving, and on how soon every balancer learns it."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 SETTLED_S = 6.0
 LOSS = 0.02
 CAPACITY = 0.774
-"""Share of a core: the larger, the sooner a balancer claims to read."""
+"""Share of a core; the larger it is, the sooner a balancer becomes a candidate for reader."""
 LEAVING = 3
-"""Number of the back end that leaves."""
+"""Number of the back end that is leaving."""
 PEER = "10.1.0.3"
 READERS = (11, 12, 13)
 """Identities of the readers that confirm."""
 LIST_PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=100)
 WITHOUT_SHRINKING = (Phase.explicit, Phase.generate)
-"""A smaller seed of a fleet is no simpler case; looking for one takes minutes."""
+"""Phases without shrinking: a smaller seed of a fleet is not a simpler case, and the search takes minutes."""
 FLEET_PROPERTY = settings(
     derandomize=True, deadline=None, database=None, max_examples=60, phases=WITHOUT_SHRINKING
 )
@@ -41,14 +41,14 @@
 
 
 def knows_it_leaves(fleet, ip):
-    """Tell whether a balancer gives the leaving back end no new flow."""
+    """Return whether a balancer knows that the back end is leaving or has departed."""
     backend = fleet.nodes[ip].backends.by_name(record(LEAVING).name)
     return backend.state is not BackendState.READY
 
 
 @then(
-    "forwarding property: a balancer that the store serves knows within {seconds:g} seconds "
-    "that a back end leaves"
+    "forwarding property: a balancer that the store serves learns within {seconds:g} seconds that a "
+    "back end is leaving"
 )
 def served_knows(context, seconds):
     @FLEET_PROPERTY
@@ -72,35 +72,41 @@
     hear_readers(context.harness)
 
 
-@when("a peer tells forwarding of a ready back end of revision {revision:d} that the list does not hold")
-def told_of_departed(context, revision):
-    context.told = record(LEAVING + 100, revision=revision)
-    told = (KnownBackend(context.told, 0.0),)
-    changes = Changes(7, None, revision - 1, revision, revision, told)
+@when("a peer sends forwarding a ready back end of revision {revision:d} that the list does not contain")
+def sends_departed(context, revision):
+    context.sent = record(LEAVING + 100, revision=revision)
+    sent = (KnownBackend(context.sent, 0.0),)
+    changes = Changes(7, None, revision - 1, revision, revision, sent)
     context.harness.handle(PeerMessageReceived(PEER, ChangesReply(changes)))
 
 
-@when("a watch answers late and tells of a ready back end of revision {revision:d}")
+@when("a watch answers late with a ready back end of revision {revision:d}")
 def watch_overtaken(context, revision):
-    context.told = record(LEAVING + 100, revision=revision)
-    context.harness.handle(BackendsChanged(revision, (context.told,)))
+    context.sent = record(LEAVING + 100, revision=revision)
+    context.harness.handle(BackendsChanged(revision, (context.sent,)))
 
 
-@when("a peer tells forwarding of the only back end of a service, which said that it leaves and is gone")
-def told_of_left(context):
-    context.told = record(LEAVING + 100, "alone", revision=130, state=BackendState.DEPARTED)
-    told = (KnownBackend(context.told, 0.5, announced_leaving=True),)
-    context.harness.handle(PeerMessageReceived(PEER, ChangesReply(Changes(7, None, 125, 130, 130, told))))
+@when(
+    "a peer sends forwarding the only back end of a service, which departed after announcing that it "
+    "is leaving"
+)
+def sends_left(context):
+    context.sent = record(LEAVING + 100, "alone", revision=130, state=BackendState.DEPARTED)
+    sent = (KnownBackend(context.sent, 0.5, announced_leaving=True),)
+    context.harness.handle(PeerMessageReceived(PEER, ChangesReply(Changes(7, None, 125, 130, 130, sent))))
 
 
-@then("forwarding gives that back end no new flow")
+@then("forwarding places no new flow on that back end")
 def no_new_flow(context):
     backends = context.harness.node.backends
-    assert context.told.name not in [each.name for each in backends.candidates(context.told.service)]
-    assert backends.recently_departed(context.told.service, context.harness.now - 2.0) == []
+    assert context.sent.name not in [each.name for each in backends.candidates(context.sent.service)]
+    assert backends.recently_departed(context.sent.service, context.harness.now - 2.0) == []
 
 
-@given("a fresh forwarding node whose list of revision {revision:d} holds a back end that has left")
+@given(
+    "a forwarding node that has just started, whose list of revision {revision:d} contains a departed "
+    "back end"
+)
 def outdated_list(context, revision):
     context.harness = Harness()
     context.listed = tuple(record(number, revision=revision - number) for number in range(LEAVING + 2))
@@ -108,13 +114,13 @@
     context.harness.commands.clear()
 
 
-@when("a reader that never knew that back end confirms all up to revision {revision:d}")
+@when("a reader that never had that back end in its list confirms all changes up to revision {revision:d}")
 def reader_confirms(context, revision):
     harness = context.harness
     directory = BackendDirectory()
     directory.apply_list([each for each in context.listed if each.number != LEAVING], revision, harness.now)
-    context.begun = harness.now
-    context.asked_at = None
+    context.started_at = harness.now
+    context.requested_at = None
     for number in range(1, 30):
         changes = Changes(
             7, None, revision, revision, directory.changes.latest, list_checksum=directory.list_checksum
@@ -122,18 +128,18 @@
         confirmation = Confirmation(READERS[number % 3], 1.0, number, False, 0.0, changes)
         harness.handle(PeerMessageReceived(PEER, confirmation))
         harness.run_to(harness.now + 0.2, TimerFired())
-        if harness.reads(Subject.BACKENDS) and context.asked_at is None:
-            context.asked_at = harness.now
+        if harness.reads(Subject.BACKENDS) and context.requested_at is None:
+            context.requested_at = harness.now
 
 
-@then("forwarding has asked for the whole list within {seconds:g} seconds")
-def asked_for_list(context, seconds):
-    assert context.asked_at is not None
-    assert context.asked_at - context.begun <= seconds, context.asked_at - context.begun
+@then("forwarding has requested the complete list within {seconds:g} seconds")
+def requested_list(context, seconds):
+    assert context.requested_at is not None
+    assert context.requested_at - context.started_at <= seconds, context.requested_at - context.started_at
 
 
-@then("forwarding property: two lists have one digest where they hold the same entries, and else not")
-def digests_tell(context):
+@then("forwarding property: two lists have the same checksum if and only if they contain the same entries")
+def checksums_match(context):
     entries = st.dictionaries(st.integers(1, 40), st.integers(1, 60), max_size=20)
 
     @LIST_PROPERTY
@@ -155,8 +161,8 @@
 
 
 @then(
-    "forwarding property: a whole fleet knows within {seconds:g} seconds that a back end leaves, "
-    "though its watches lose their answers"
+    "forwarding property: a whole fleet learns within {seconds:g} seconds that a back end is leaving, "
+    "although answers to its watches are lost"
 )
 def lost_answers(context, seconds):
     @LOSING_PROPERTY
@@ -173,7 +179,7 @@
     check()
 
 
-@when("others write to the store {rate:d} times a second for {seconds:d} seconds")
+@when("others write to the store {rate:d} times per second for {seconds:d} seconds")
 def others_write(context, rate, seconds):
     fleet = context.fleet
     before = fleet.store.calls
@@ -183,6 +189,6 @@
     context.calls_per_s = (fleet.store.calls - before) / seconds
 
 
-@then("the forwarding fleet has called the store less than {rate:d} times a second")
+@then("the forwarding fleet has called the store less than {rate:d} times per second")
 def called_bounded(context, rate):
     assert context.calls_per_s < rate, context.calls_per_s
--- a/features/steps/forwarding_reachability_steps.py
+++ b/features/steps/forwarding_reachability_steps.py
@@ -1,4 +1,4 @@
-"""Steps on back ends that cannot be reached."""
+"""Steps on unreachable back ends."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 from sloepond.runtime.forwarding.reachability_check import CHECK_TIMEOUT_S, ReachabilityCheck
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
-ALL = range(1, 8)
+BACKENDS = range(1, 8)
 
 
-def pass_on(harness, packet):
-    """Decide on a packet as the data path does; return the decision."""
+def decide_on(harness, packet):
+    """Decide on a packet, and report a suspected back end, as the data path does; return the decision."""
     decision = harness.node.decide(packet, harness.now)
     if decision.suspect:
         harness.handle(BackendSuspected(decision.suspect))
@@ -49,44 +49,44 @@
 
 
 def checks(harness):
-    """Return and forget the names of back ends to be checked."""
+    """Remove the commands for checks; return the names of the back ends to be checked."""
     commands = harness.all(CheckBackend)
     for command in commands:
         assert command.control is not None and command.control != command.endpoint
     return [command.name for command in commands]
 
 
-@when("forwarding passes on a request and its repetition")
+@when("forwarding forwards a request and its retransmission")
 def request_repeated(context):
     harness = context.harness
     harness.handle(PeerMessageReceived("10.1.0.2", Heartbeat(7, 1, False, ())))
     packet = segment(token=1, length=10)
-    assert not pass_on(harness, packet).suspect
+    assert not decide_on(harness, packet).suspect
     harness.now += 0.2
-    assert pass_on(harness, packet).backend.number == 1
+    assert decide_on(harness, packet).backend.number == 1
     context.number = 1
 
 
-@when("forwarding passes on many requests with their answers")
-def no_repetition(context):
+@when("forwarding forwards many requests and observes their answers")
+def answered_requests(context):
     harness = context.harness
     for turn in range(50):
         for port in (1000, 1001):
             sent = segment(port=port, token=1, length=10, acknowledgement=1 + 50 * turn)
             sent.sequence = 10 * turn
-            pass_on(harness, sent)
+            decide_on(harness, sent)
             answered = segment(port=port, token=1, acknowledgement=51 + 50 * turn)
             answered.sequence = 10 * turn + 10
-            pass_on(harness, answered)
+            decide_on(harness, answered)
         harness.now += 0.02
 
 
-@when("forwarding passes on an opening packet and its copy")
+@when("forwarding forwards an opening packet and its retransmission")
 def opening_repeated(context):
     harness = context.harness
-    context.number = pass_on(harness, segment(STREAM, opening=True)).backend.number
+    context.number = decide_on(harness, segment(STREAM, opening=True)).backend.number
     harness.now += 0.2
-    assert pass_on(harness, segment(STREAM, opening=True, copies=1)).backend.number != context.number
+    assert decide_on(harness, segment(STREAM, opening=True, copies=1)).backend.number != context.number
 
 
 @then("forwarding checks that back end, and only that one")
@@ -99,17 +99,17 @@
     assert checks(context.harness) == []
 
 
-@when("the check of the back end says {result}")
+@when("the check of the back end returns {result}")
 def checked(context, result):
     name = record(context.number).name
     context.harness.now += 0.1
     context.harness.handle(BackendChecked(name, CheckResult(result)))
 
 
-@then("forwarding resets packets of flows to it and forwards all others")
+@then("forwarding resets flows to it and forwards the packets of all others")
 def resets(context):
     harness = context.harness
-    for number in ALL:
+    for number in BACKENDS:
         decision = harness.node.decide(segment(port=2000 + number, token=number, length=5), harness.now)
         if number == context.number:
             assert decision.refusal is Refusal.UNREACHABLE and decision.reset
@@ -117,36 +117,38 @@
             assert decision.backend.number == number
 
 
-@then("forwarding places {count:d} new flows elsewhere")
+@then("forwarding places {count:d} new flows on other back ends")
 def places_elsewhere(context, count):
     for port in range(3000, 3000 + count):
         decision = context.harness.node.decide(segment(STREAM, port, opening=True), context.harness.now)
         assert decision.queue or decision.backend.number != context.number
 
 
-@then("forwarding tells peers of it")
-def tells_peers(context):
-    told = [c.message for c in context.harness.all(SendToPeer) if isinstance(c.message, BackendUnreachable)]
-    assert told and {message.name for message in told} == {record(context.number).name}
+@then("forwarding notifies peers of it")
+def notifies_peers(context):
+    notified = [
+        c.message for c in context.harness.all(SendToPeer) if isinstance(c.message, BackendUnreachable)
+    ]
+    assert notified and {message.name for message in notified} == {record(context.number).name}
 
 
 @then("forwarding forwards all packets")
 def forwards_all(context):
     harness = context.harness
-    for number in ALL:
+    for number in BACKENDS:
         packet = segment(port=4000 + number, token=number, length=5)
-        assert pass_on(harness, packet).backend.number == number
+        assert decide_on(harness, packet).backend.number == number
 
 
-@when("a peer tells forwarding that back end {number:d} cannot be reached")
-def peer_tells(context, number):
+@when("a peer reports to forwarding that back end {number:d} is unreachable")
+def peer_reports(context, number):
     context.number = number
     message = BackendUnreachable(record(number).name)
     context.harness.handle(PeerMessageReceived("10.1.0.2", message))
 
 
-@when("the store brings news of the checked back end")
-def store_news(context):
+@when("the store sends a newer entry of the checked back end")
+def newer_entry(context):
     changes = (record(context.number, revision=50),)
     context.harness.handle(BackendsChanged(50, changes))
 
@@ -157,49 +159,58 @@
     harness.run_to(harness.now + 5.0, TimerFired())
 
 
-@when("the checked back end leaves the list without a word")
+@when("the checked back end departs unannounced")
 def leaves_list(context):
     gone = DepartedBackend(record(context.number).name, 60)
     context.harness.handle(BackendsChanged(60, (gone,)))
 
 
-@when("the address of back end {number:d} goes to a back end of another service")
+@when("the address of back end {number:d} is reused by a back end of another service")
 def address_reused(context, number):
     context.number = number
     old = record(number)
-    heir = record(90, "roster", revision=70)
-    heir = type(heir)(
-        heir.name, heir.number, heir.service, old.host, old.port, heir.hall, heir.slots, heir.state, 0.0, 70
+    successor = record(90, "roster", revision=70)
+    successor = type(successor)(
+        successor.name,
+        successor.number,
+        successor.service,
+        old.host,
+        old.port,
+        successor.hall,
+        successor.slots,
+        successor.state,
+        0.0,
+        70,
     )
-    context.harness.handle(BackendsChanged(70, (heir,)))
+    context.harness.handle(BackendsChanged(70, (successor,)))
 
 
-@then("forwarding property: of two with one address the one that lives keeps its flows, in any order")
+@then("forwarding property: of two back ends with one address the listed one keeps its flows, in any order")
 def one_address(context):
-    old, heir = record(1, revision=5), record(251, "roster", revision=20)
-    assert Endpoint(old.host, old.port) == Endpoint(heir.host, heir.port)
+    old, successor = record(1, revision=5), record(251, "roster", revision=20)
+    assert Endpoint(old.host, old.port) == Endpoint(successor.host, successor.port)
     departed = record(1, revision=30, state=BackendState.DEPARTED)
-    for order in itertools.permutations([(old, 0.0), (heir, 0.0), (departed, 1.0)]):
+    for order in itertools.permutations([(old, 0.0), (successor, 0.0), (departed, 1.0)]):
         directory = BackendDirectory()
         for entry, departed_s in order:
             directory.apply_known(KnownBackend(entry, departed_s), 0, 10.0)
         assert directory.by_name(old.name).is_unreachable(10.0)
-        assert not directory.by_name(heir.name).is_unreachable(10.0)
+        assert not directory.by_name(successor.name).is_unreachable(10.0)
 
 
-@when("no back end of the service can be reached")
+@when("no back end of the service is reachable")
 def none_reachable(context):
     for number in range(1, 6):
         context.harness.handle(BackendChecked(record(number).name, CheckResult.UNREACHABLE))
 
 
-@then("forwarding places a new flow all the same")
+@then("forwarding still places a new flow")
 def places_anyway(context):
     decision = context.harness.node.decide(segment(STREAM, opening=True), context.harness.now)
     assert decision.backend.number in range(1, 6)
 
 
-@then("forwarding property: a back end is checked once a second, all together 40 times a second at most")
+@then("forwarding property: a back end is checked at most once per second, all together 40 times per second")
 def few_checks(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.integers(1, 60), st.floats(0.0, 0.02)), min_size=50, max_size=300))
@@ -210,8 +221,8 @@
         seen = []
         for number, wait_s in steps:
             harness.now += wait_s
-            pass_on(harness, segment(port=number, token=number, length=5))
-            pass_on(harness, segment(port=number, token=number, length=5))
+            decide_on(harness, segment(port=number, token=number, length=5))
+            decide_on(harness, segment(port=number, token=number, length=5))
             seen.extend((harness.now, name) for name in checks(harness))
         for at, name in seen:
             window = [other for when_, other in seen if at <= when_ < at + 0.999]
@@ -221,28 +232,32 @@
     check()
 
 
-@then("a check tells them apart, and is in doubt where another address is silent too")
+@then("a check distinguishes them, and its result is unknown if the control accepts no connection either")
 def check_sockets(context):
-    with SilentAddress() as silent, SilentAddress() as other_silent, socket.socket() as closed:
+    with (
+        UnresponsiveAddress() as unresponsive,
+        UnresponsiveAddress() as other_unresponsive,
+        socket.socket() as closed,
+    ):
         closed.bind(("127.0.30.7", 0))
         refusing = Endpoint(*closed.getsockname())
         with socket.create_server(("127.0.30.7", 0)) as server:
             listening = Endpoint(*server.getsockname())
             cases = (
                 (listening, refusing, CheckResult.REACHABLE),
-                (listening, silent.endpoint, CheckResult.REACHABLE),
+                (listening, unresponsive.endpoint, CheckResult.REACHABLE),
                 (refusing, None, CheckResult.UNREACHABLE),
-                (silent.endpoint, listening, CheckResult.UNREACHABLE),
-                (silent.endpoint, other_silent.endpoint, CheckResult.UNKNOWN),
-                (silent.endpoint, refusing, CheckResult.UNKNOWN),
-                (silent.endpoint, None, CheckResult.UNKNOWN),
+                (unresponsive.endpoint, listening, CheckResult.UNREACHABLE),
+                (unresponsive.endpoint, other_unresponsive.endpoint, CheckResult.UNKNOWN),
+                (unresponsive.endpoint, refusing, CheckResult.UNKNOWN),
+                (unresponsive.endpoint, None, CheckResult.UNKNOWN),
             )
             for endpoint, control, expected in cases:
                 assert check_result(endpoint, control) is expected, (endpoint, control)
 
 
 def check_result(endpoint, control):
-    """Return what one check finds, and make sure that it tells so once."""
+    """Run one check and return its result, which must be reported exactly once."""
     loop, results, failures = EventLoop(), [], []
     ReachabilityCheck(loop, endpoint, control, results.append, failures.append)
     ends_at = loop.clock() + 2 * CHECK_TIMEOUT_S
@@ -252,8 +267,8 @@
     return results[0]
 
 
-class SilentAddress:
-    """An address whose queue of new connections is full: it answers nothing."""
+class UnresponsiveAddress:
+    """An address whose backlog of new connections is full, so that it does not respond."""
 
     def __enter__(self):
         self.listener = socket.socket()
@@ -271,28 +286,28 @@
             each.close()
 
 
-@when("forwarding passes on an opening packet that nothing follows for 0.1 seconds")
+@when("forwarding forwards an opening packet that no other packet follows for 0.1 seconds")
 def opening_unanswered(context):
     harness = context.harness
-    context.number = pass_on(harness, segment(STREAM, opening=True)).backend.number
+    context.number = decide_on(harness, segment(STREAM, opening=True)).backend.number
     harness.run_to(harness.now + 0.1, TimerFired())
     assert harness.node.counters.openings_unanswered == 1
 
 
-@when("forwarding passes on an opening packet and the next one of its flow")
+@when("forwarding forwards an opening packet and the next packet of its flow")
 def opening_answered(context):
     harness = context.harness
-    number = pass_on(harness, segment(STREAM, opening=True)).backend.number
+    number = decide_on(harness, segment(STREAM, opening=True)).backend.number
     harness.run_to(harness.now + 0.006, TimerFired())
-    pass_on(harness, segment(STREAM, token=number, length=10))
+    decide_on(harness, segment(STREAM, token=number, length=10))
     harness.run_to(harness.now + 0.5, TimerFired())
 
 
-@when("forwarding has seen flows of back end 1 and peers cannot reach back ends 1 and 2")
+@when("forwarding has observed flows of back end 1 and a peer reports back ends 1 and 2 as unreachable")
 def peers_reach_neither(context):
     harness = context.harness
     harness.run_to(harness.now + 0.5, TimerFired())
-    pass_on(harness, segment(token=1, length=10))
+    decide_on(harness, segment(token=1, length=10))
     for number in (1, 2):
         message = BackendUnreachable(record(number).name)
         harness.handle(PeerMessageReceived("10.1.0.2", message))
@@ -303,34 +318,39 @@
     assert checks(context.harness) == [record(1).name]
 
 
-@when("forwarding has seen {count:d} flows of back end 1 and some of others, and finds 1 unreachable")
+@when("forwarding has observed {count:d} flows of back end 1 and some of others, and finds 1 unreachable")
 def many_flows(context, count):
     harness = context.harness
     context.expected = set()
     for port in range(count):
         packet = segment(port=1000 + port, token=1, length=10, acknowledgement=500 + port)
-        pass_on(harness, packet)
+        decide_on(harness, packet)
         context.expected.add((packet.flow_key, packet.acknowledgement))
-        pass_on(harness, segment(port=9000 + port, token=2 + port % 4, length=10))
+        decide_on(harness, segment(port=9000 + port, token=2 + port % 4, length=10))
     harness.commands.clear()
     harness.handle(BackendChecked(record(1).name, CheckResult.UNREACHABLE))
 
 
 @then(
-    "forwarding resets those {count:d} flows in three steps, each as its caller's last packet, and no other"
+    "forwarding resets those {count:d} flows in three batches, with their callers' last "
+    "acknowledgements, and no other"
 )
-def reset_in_steps(context, count):
+def reset_in_batches(context, count):
     harness = context.harness
     harness.run_to(harness.now + 1.0, TimerFired())
-    steps = [command.segments for command in harness.all(ResetFlows)]
-    assert [len(step) for step in steps] == [RESETS_PER_BATCH, RESETS_PER_BATCH, count - 2 * RESETS_PER_BATCH]
-    reset = [(each.flow_key, each.acknowledgement) for step in steps for each in step]
+    batches = [command.segments for command in harness.all(ResetFlows)]
+    assert [len(batch) for batch in batches] == [
+        RESETS_PER_BATCH,
+        RESETS_PER_BATCH,
+        count - 2 * RESETS_PER_BATCH,
+    ]
+    reset = [(each.flow_key, each.acknowledgement) for batch in batches for each in batch]
     assert len(reset) == count and set(reset) == context.expected
     assert harness.node.counters.flows_reset_resting == count
 
 
-def hints(name, revision):
-    """Return what may be heard of a back end, a verdict of one's own that it is gone last."""
+def events_about(name, revision):
+    """Return events about a back end; the last one is this balancer's own result that it is unreachable."""
     return (
         PeerMessageReceived("10.1.0.2", BackendUnreachable(name)),
         BackendsChanged(revision, (DepartedBackend(name, revision),)),
@@ -340,38 +360,40 @@
     )
 
 
-@then("forwarding property: flows are reset only on a verdict of its own on their back end")
-def own_verdict_only(context):
+@then(
+    "forwarding property: flows are reset only if this balancer's own check found their back end unreachable"
+)
+def own_check_only(context):
     steps = st.lists(st.tuples(st.integers(1, 7), st.integers(0, 7), st.integers(0, 30)), max_size=60)
 
     @PROPERTY
     @for_all(steps)
     def check(actions):
         harness = Harness().configure()
-        condemned, seen, revision = set(), {}, 100
+        unreachable, seen, revision = set(), {}, 100
         for number, action, value in actions:
             name = record(number).name
             revision += 1
             if action in (0, 1):
                 packet = segment(port=value, token=number, length=action * 10, acknowledgement=value)
-                pass_on(harness, packet)
+                decide_on(harness, packet)
                 seen[packet.flow_key] = number
             elif action == 2:
                 harness.run_to(harness.now + 0.1 * value, TimerFired())
             else:
-                harness.handle(hints(name, revision)[action - 3])
+                harness.handle(events_about(name, revision)[action - 3])
                 if action == 7:
-                    condemned.add(number)
+                    unreachable.add(number)
             for command in harness.all(ResetFlows):
                 for each in command.segments:
-                    assert seen[each.flow_key] in condemned
+                    assert seen[each.flow_key] in unreachable
                     assert empty_segment(each.flow_key, each.acknowledgement) == each
 
     check()
 
 
 @then("forwarding checks it three times, each with another control, while the results are unknown")
-def checks_in_doubt(context):
+def checks_inconclusive(context):
     harness = context.harness
     controls = []
     for _ in range(3):
@@ -384,7 +406,7 @@
 
 
 class OpenFlow(NamedTuple):
-    """What is true of the back end that a packet's token names."""
+    """The state of the back end that a packet's token names."""
 
     token: int
     is_ejected: bool
@@ -395,7 +417,7 @@
 
 
 def events_of(flow, name):
-    """Return what a balancer learns of the back end."""
+    """Return the events by which a balancer learns this state of the back end."""
     return [
         event
         for event, has_happened in (
@@ -408,7 +430,7 @@
     ]
 
 
-@then("forwarding property: rules for an open flow apply in their order, whatever else is true")
+@then("forwarding property: the rules for an open flow apply in their order in every situation")
 def open_rules_in_order(context):
     flag = st.booleans()
     unknown = 77
