--- a/sloepond/core/forwarding/health/flow_resets.py
+++ b/sloepond/core/forwarding/health/flow_resets.py
@@ -11,7 +11,7 @@
 import collections
 
 from sloepond.core.deadlines import NEVER
-from sloepond.core.forwarding.load.flow_observer import FlowObserver, SeenFlow
+from sloepond.core.forwarding.load.flow_observer import FlowObserver, FlowToReset
 from sloepond.core.forwarding.packets import Segment, empty_segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
@@ -27,7 +27,7 @@
 
     def __init__(self, observer: FlowObserver) -> None:
         self._observer = observer
-        self._pending: collections.deque[SeenFlow] = collections.deque()
+        self._pending: collections.deque[FlowToReset] = collections.deque()
         self._next_at = NEVER
 
     def reset_flows_of(self, backend: ForwardingBackend, now: float) -> int:
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -21,10 +21,10 @@
 MAXIMUM_FLOWS = 20_000
 """Flows observed at once; the one that rested longest is forgotten for a new one.  Bounds memory;
 not measured."""
-REST_S = 20.0
+IDLE_TIMEOUT_S = 20.0
 """Seconds without a packet after which a flow counts as ended: longer than the 15 s for which a flow
 may rest where the routes say nothing else.  Not measured."""
-ANSWER_LIMIT_S = 0.15
+ASSUMED_ANSWERED_AFTER_S = 0.15
 """Seconds after which a request counts as answered for the load of its back end: the last part of
 an answer is often acknowledged with the next request only.  With 1 s in its place a day with
 faults loses 0.0065 of worth (mean of five).  The longest of 20,784 requests to healthy back ends
@@ -57,7 +57,7 @@
         self.sequence = -1
 
 
-class SeenFlow(NamedTuple):
+class FlowToReset(NamedTuple):
     """What a reset of a flow needs.
 
     :ivar key: of the flow; see `Segment.flow_key`.
@@ -82,7 +82,7 @@
         self.request_latency = LatencyHistogram()
         self._waiting = waiting
         self._flows: collections.OrderedDict[int, ObservedFlow] = collections.OrderedDict()
-        self._busy: dict[int, ObservedFlow] = {}
+        self._in_flight: dict[int, ObservedFlow] = {}
         self._opening: collections.deque[ObservedFlow] = collections.deque()
 
     def __len__(self) -> int:
@@ -118,10 +118,12 @@
                 silent.append(flow.backend)
         return silent
 
-    def flows_of(self, backend: ForwardingBackend) -> tuple[SeenFlow, ...]:
+    def flows_of(self, backend: ForwardingBackend) -> tuple[FlowToReset, ...]:
         """Return all flows seen of a back end."""
         return tuple(
-            SeenFlow(key, flow.acknowledged) for key, flow in self._flows.items() if flow.backend is backend
+            FlowToReset(key, flow.acknowledged)
+            for key, flow in self._flows.items()
+            if flow.backend is backend
         )
 
     def forget(self, flow_key: int) -> None:
@@ -142,9 +144,9 @@
             flow.opened_at = 0.0
         is_advanced = flow.acknowledged > 0 and segment.acknowledgement != flow.acknowledged
         if is_advanced and not segment.length:
-            self._latency_seen(flow, now)
+            self._observe_latency(flow, now)
         if segment.is_closing or segment.is_reset:
-            self._closed_unanswered(flow, now)
+            self._observe_unanswered_close(flow, now)
             self._remove(key)
             return False
         is_repeated = False
@@ -170,11 +172,11 @@
         if flow is None or flow.acknowledged != head.acknowledgement or flow.backend.token != head.token:
             return
         if head.is_answer:
-            self._latency_seen(flow, now)
+            self._observe_latency(flow, now)
         flow.requested_at = 0.0
         self._end_in_flight(head.flow_key, flow)
 
-    def _latency_seen(self, flow: ObservedFlow, now: float) -> None:
+    def _observe_latency(self, flow: ObservedFlow, now: float) -> None:
         """Note the time from a request to the first acknowledgement of its answer."""
         if not flow.requested_at:
             return
@@ -184,7 +186,7 @@
         flow.backend.latency.observe(latency_s, now)
         self._waiting.answer_seen(flow.backend.service, latency_s, now)
 
-    def _closed_unanswered(self, flow: ObservedFlow, now: float) -> None:
+    def _observe_unanswered_close(self, flow: ObservedFlow, now: float) -> None:
         """Take the wait of a caller that closes without an answer as a latency: it would be longer still.
 
         A day of back ends that hang had 0.9511 of worth without this and 0.9645 with it (means of two runs).
@@ -197,27 +199,27 @@
         flows = self._flows
         while flows:
             key = next(iter(flows))
-            if now - flows[key].last_seen < REST_S:
+            if now - flows[key].last_seen < IDLE_TIMEOUT_S:
                 break
             self._remove(key)
 
     def expire_requests(self, now: float) -> None:
         """Count requests as answered whose answer cannot be seen."""
-        for key, flow in list(self._busy.items()):
-            if now - flow.data_at > ANSWER_LIMIT_S:
+        for key, flow in list(self._in_flight.items()):
+            if now - flow.data_at > ASSUMED_ANSWERED_AFTER_S:
                 self._end_in_flight(key, flow)
 
     def _begin_in_flight(self, key: int, flow: ObservedFlow, now: float) -> None:
         if not flow.data_at:
             flow.backend.in_flight += 1
-            self._busy[key] = flow
+            self._in_flight[key] = flow
         flow.data_at = now
 
     def _end_in_flight(self, key: int, flow: ObservedFlow) -> None:
         if flow.data_at:
             flow.data_at = 0.0
             flow.backend.in_flight -= 1
-            del self._busy[key]
+            del self._in_flight[key]
 
     def _add(self, key: int, backend: ForwardingBackend, now: float) -> ObservedFlow:
         if len(self._flows) >= MAXIMUM_FLOWS:
--- a/sloepond/core/forwarding/load/waiting_requests.py
+++ b/sloepond/core/forwarding/load/waiting_requests.py
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self._waiting: collections.deque[tuple[float, WaitingFlow]] = collections.deque()
-        self._usual = LatencyEstimate()
+        self._typical = LatencyEstimate()
         self.unanswered_after_s = UNANSWERED_AFTER_S
 
     def request_seen(self, flow: WaitingFlow, now: float) -> None:
@@ -53,9 +53,9 @@
 
     def answer_seen(self, seconds: float, now: float) -> None:
         """Note how long a request has waited."""
-        self._usual.observe(seconds, now)
-        usual_s = self._usual.mean(now)
-        self.unanswered_after_s = max(UNANSWERED_AFTER_S, UNANSWERED_FACTOR * (usual_s or 0.0))
+        self._typical.observe(seconds, now)
+        typical_s = self._typical.mean(now)
+        self.unanswered_after_s = max(UNANSWERED_AFTER_S, UNANSWERED_FACTOR * (typical_s or 0.0))
 
     def next_deadline(self) -> float:
         """Return when the oldest request that waits counts as unanswered."""
@@ -64,7 +64,7 @@
             waiting.popleft()
         return waiting[0][0] + self.unanswered_after_s if waiting else NEVER
 
-    def take_oldest(self) -> ForwardingBackend:
+    def pop_oldest(self) -> ForwardingBackend:
         """Return the back end of the oldest request that waits, and forget the request."""
         return self._waiting.popleft()[1].backend
 
@@ -77,11 +77,11 @@
 
     def request_seen(self, flow: WaitingFlow, now: float) -> None:
         """Note a new request."""
-        self._of(flow.backend.service).request_seen(flow, now)
+        self._requests_of(flow.backend.service).request_seen(flow, now)
 
     def answer_seen(self, service: str, seconds: float, now: float) -> None:
         """Note how long a request of a service has waited for the first part of its answer."""
-        self._of(service).answer_seen(seconds, now)
+        self._requests_of(service).answer_seen(seconds, now)
 
     def next_deadline(self) -> float:
         """Return when the next request counts as unanswered."""
@@ -92,10 +92,10 @@
         unanswered: list[ForwardingBackend] = []
         for requests in self._services.values():
             while requests.next_deadline() <= now:
-                unanswered.append(requests.take_oldest())
+                unanswered.append(requests.pop_oldest())
         return unanswered
 
-    def _of(self, service: str) -> ServiceRequests:
+    def _requests_of(self, service: str) -> ServiceRequests:
         requests = self._services.get(service)
         if requests is None:
             requests = self._services[service] = ServiceRequests()
