--- a/features/forwarding/leaving_back_ends.feature
+++ b/features/forwarding/leaving_back_ends.feature
@@ -47,8 +47,7 @@
 
   Scenario: Lost answers to watches do not keep changes from a reader
     An answer to a watch is lost and its connection stays silent.  The reader continues to confirm its
-    state by the answers to its probes on other connections, and misses all changes until the watch
-    times out.
+    state by the answers to its probes, although it has missed the change.
     Then forwarding property: a whole fleet learns within 2.5 seconds that a back end is leaving, although answers to its watches are lost
 
   Scenario: Frequent writes of others to the store do not cause a read each
--- a/features/steps/forwarding_failing_steps.py
+++ b/features/steps/forwarding_failing_steps.py
@@ -97,7 +97,7 @@
             node.decide(answer, self.now)
 
     def ejected(self):
-        """Return the names of back ends that are ejected or on trial at any balancer."""
+        """Return the names of back ends that are ejected or on probation at any balancer."""
         return {b.name for node in self.nodes.values() for b in node.backends if b.probation_until > self.now}
 
 
--- a/sloepond/core/forwarding/health/outlier_detector.py
+++ b/sloepond/core/forwarding/health/outlier_detector.py
@@ -25,7 +25,7 @@
 short at first, so that a back end that recovers quickly loses few flows."""
 RELAPSE_S = 12.0
 """Seconds after the start of an ejection within which one report suffices for the next, longer
-ejection.  Longer than the longest ejection, so that a failure during the trial that follows counts as a
+ejection.  Longer than the longest ejection, so that a failure during the probation that follows counts as a
 relapse."""
 
 
--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -2,8 +2,8 @@
 
 A request that is not answered in time is reported to the balancers assigned to its back end.  They count
 the reports (`outlier_detector`) and notify all others when the back end is to be ejected.  An ejected back
-end gets no new flow for some seconds, then a few on trial (half-open, as in a circuit breaker).  Open flows
-are not moved.  The log and the metrics call an ejected back end "passed over".
+end gets no new flow for some seconds, then a few on probation (half-open, as in a circuit breaker).  Open
+flows are not moved.  The log and the metrics call an ejected back end "passed over".
 
 Owns: the reports that this balancer sends, and the detector for the back ends assigned to it.  Relies on:
 `load.waiting_requests` for unanswered requests, and the peers that are alive.  The end of an ejection is
@@ -33,8 +33,8 @@
 """Maximum share of the back ends of a flow that are ejected.  If more seem to fail, the cause is the load,
 the network or this balancer, and ejecting them would overload the rest.  A balancer that observes failures
 of more than this share of the back ends it uses suspects its own link."""
-TRIAL_SHARE = 0.1
-"""Share of the choices in which a back end on trial may be chosen, so that few flows are lost if it still
+PROBATION_SHARE = 0.1
+"""Share of the choices in which a back end on probation may be chosen, so that few flows are lost if it still
 fails."""
 REPORTS_PER_S = 20.0
 """Rate and burst of the reports that one balancer sends; bounds the traffic when many back ends fail."""
@@ -81,7 +81,7 @@
         return self._waiting.next_deadline()
 
     def ejected_count(self, now: float) -> int:
-        """Return the number of back ends that are ejected or on trial."""
+        """Return the number of back ends that are ejected or on probation."""
         return sum(backend.probation_until > now for backend in self._backends)
 
     def usable(self, backends: Sequence[ForwardingBackend], now: float) -> Sequence[ForwardingBackend]:
@@ -140,10 +140,10 @@
         self._unanswered_at = {name: at for name, at in self._unanswered_at.items() if now - at < WINDOW_S}
 
     def _is_ejected(self, backend: ForwardingBackend, now: float) -> bool:
-        """Return whether a back end gets no new flow; one on trial is available in a share of the choices."""
+        """Return whether a back end is excluded from a choice: always if ejected, mostly if on probation."""
         if now < backend.ejected_until:
             return True
-        return now < backend.probation_until and self._random.random() >= TRIAL_SHARE
+        return now < backend.probation_until and self._random.random() >= PROBATION_SHARE
 
     def _suspects_own_link(self, now: float) -> bool:
         """Return whether so many back ends seem to fail that this balancer's own link is the likely cause."""
@@ -169,7 +169,7 @@
             self._eject(backend, duration_s, f"judged_here=True reporter={reporter}", now)
 
     def _eject(self, backend: ForwardingBackend, duration_s: float, reason: str, now: float) -> None:
-        """Eject a back end, followed by a trial of the same duration, and notify peers."""
+        """Eject a back end, followed by a probation of the same duration, and notify peers."""
         backend.ejected_until = now + duration_s
         backend.probation_until = now + 2.0 * duration_s
         self._ejections_until = max(self._ejections_until, backend.probation_until)
--- a/sloepond/core/forwarding/placement/eligibility.py
+++ b/sloepond/core/forwarding/placement/eligibility.py
@@ -56,7 +56,7 @@
            that is not evacuated, and share their routing token with no other back end.
         2. A route that names regions allows only back ends in these regions.
         3. Slow start: a back end that has just started gets few new flows per second.
-        4. Outlier ejection: a back end that leaves requests unanswered gets no new flow, or few on trial.
+        4. Outlier ejection: a back end that leaves requests unanswered gets no new flow, or few on probation.
         """
         if route is not None and route.regions:
             backends = [each for each in backends if self._backends.is_within(each, route.regions)]
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -2,11 +2,11 @@
 
 `Openings.decide` applies these rules in their order:
 
-1. No routes are known yet: the flow is held if the back ends are known, so that a process that has just
+1. No routes are known yet: the flow is queued if the back ends are known, so that a process that has just
    started and has read only the back ends loses no flow; otherwise it is refused.
 2. The process has stalled: no flow is placed until the process's state is confirmed.
 3. No route for the endpoint: the flow is reset at once.
-4. The list of back ends may be out of date, and a service of the route needs slow start: the flow is held
+4. The list of back ends may be out of date, and a service of the route needs slow start: the flow is queued
    until the list is confirmed.
 5. A retransmission of an opening packet: the back end chosen for the first one has not answered, so another
    back end of the same service is chosen.
@@ -17,7 +17,7 @@
 8. The selector chooses the least loaded of the service's eligible back ends; if none is eligible, the flow is
    reset at once.
 
-Owns: the flows held for routes, for a confirmed list or for spare capacity.  Relies on: `unconfirmed_list`,
+Owns: the flows queued for routes, for a confirmed list or for spare capacity.  Relies on: `unconfirmed_list`,
 `eligibility` (which back ends may get a flow), `admission` (spare capacity) and `selection` (the choice among
 the eligible back ends).
 """
@@ -45,12 +45,12 @@
 _NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
 _NOT_CONFIGURED = Decision(refusal=Refusal.NOT_CONFIGURED)
 _NO_BACKEND = Decision(refusal=Refusal.NO_BACKEND, reset=True)
-_HOLD = Decision(queue=True)
+_QUEUE = Decision(queue=True)
 _STALE = Decision(refusal=Refusal.STALE_KNOWLEDGE)
 
 
 class Openings:
-    """Decides on opening packets, and holds those that cannot be placed yet.
+    """Decides on opening packets, and queues those that cannot be placed yet.
 
     :param stall_guard: determines whether the process's state is recent enough to place new flows.
     :param unconfirmed_list: determines whether flows wait until the first list of back ends is confirmed.
@@ -85,19 +85,19 @@
         :param now: seconds of the node's clock.
         """
         if not self._routes.version:
-            return _HOLD if self._eligibility.are_backends_known else _NOT_CONFIGURED
+            return _QUEUE if self._eligibility.are_backends_known else _NOT_CONFIGURED
         if not self._stall_guard.may_place:
             return _STALE
         route = self._routes.find(segment.route_key)
         if route is None:
             return _NO_ROUTE
         if self._unconfirmed_list.must_wait(route, now):
-            return _HOLD
+            return _QUEUE
         unanswered = self._observer.known_backend(segment) if segment.acknowledgement else None
         if unanswered is not None:
             backend = self._choose_other(unanswered, route, now)
         elif self._must_queue(segment, route, now):
-            return _HOLD
+            return _QUEUE
         else:
             backend = self._choose_by_weight(route, now)
         if backend is None:
@@ -153,7 +153,7 @@
         return None
 
     def hold(self, segment: Segment, datagram: bytes, now: float) -> None:
-        """Hold a new flow until the state needed to place it is known, or queue it for spare capacity."""
+        """Queue a new flow until the state needed to place it is known, or until there is spare capacity."""
         if self._is_early(segment.route_key, now):
             self._early.add(segment.flow_key, EarlyOpening(datagram, segment.route_key, now))
             return
@@ -165,7 +165,7 @@
         self._counters.flows_held += 1
 
     def next_deadline(self, now: float) -> float:
-        """Return when to check next whether held flows can be placed."""
+        """Return when to check next whether queued flows can be placed."""
         waits_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
         return min(self._queued.next_deadline(now), waits_until if waits_until > now else NEVER)
 
@@ -181,7 +181,7 @@
         return route is not None and self._unconfirmed_list.must_wait(route, now)
 
     def release_queued(self, now: float) -> list[bytes]:
-        """Remove and return the queued opening packets that are decided on again."""
+        """Remove and return the opening packets queued for spare capacity that are decided on again."""
         services = self._queued.services()
         if not services:
             return []
@@ -190,5 +190,5 @@
         return self._queued.release(spare_by_service, now)
 
     def forget_released(self, now: float) -> None:
-        """Forget flows that were released from the queue some time ago."""
+        """Forget flows that were released from the queue for spare capacity some time ago."""
         self._queued.forget_released(now)
