--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -252,8 +252,8 @@
             for changes in parts:
                 if chance.random() < 0.3:
                     continue
-                taken.take_backends(changes, known if changes.revision < known else 0, float(at))
-                known = taken.advanced(changes, known)
+                taken.apply_backends(changes, known if changes.revision < known else 0, float(at))
+                known = taken.revision_after(changes, known)
                 for backend in reader:
                     if backend.revision <= known:
                         mine = listener.by_name(backend.name)
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -15,7 +15,7 @@
 from sloepond.core.forwarding.peers.messages import Changes, ChangesRequest
 from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
 
-CATCH_UP_WAITS_S = (0.1, 0.2, 0.2, 0.2)
+CATCH_UP_DELAYS_S = (0.1, 0.2, 0.2, 0.2)
 """Seconds that a balancer which knows less than a peer waits: before it asks that peer, before it asks
 others, twice, and before it reads the store.  Not measured: gossip brings a change to all within about
 0.05 s, so a first wait of twice that asks only for what was lost."""
@@ -45,7 +45,7 @@
     def __init__(self, local: LocalState) -> None:
         self._local = local
         self._outbox = Outbox(local.counters)
-        self._peers_know = dict.fromkeys(Subject, 0)
+        self._peer_versions = dict.fromkeys(Subject, 0)
         self._lags: dict[Subject, Lag] = {}
 
     def drain_commands(self) -> list[Command]:
@@ -64,12 +64,12 @@
 
     def compare(self, ip: str, changes: Changes, now: float) -> None:
         """Compare what a peer knows; start to catch up where it knows more."""
-        known = self._peers_know
+        known = self._peer_versions
         known[Subject.ROUTES] = max(known[Subject.ROUTES], changes.routes_version)
         known[Subject.BACKENDS] = max(known[Subject.BACKENDS], self._backends_revision(changes))
         for subject in Subject:
             if self.is_behind(subject) and subject not in self._lags:
-                self._lags[subject] = Lag(ip, now + CATCH_UP_WAITS_S[0], self.known(subject))
+                self._lags[subject] = Lag(ip, now + CATCH_UP_DELAYS_S[0], self.known(subject))
 
     def _backends_revision(self, changes: Changes) -> int:
         """Return the revision up to which back ends have changed as far as a peer knows.
@@ -87,7 +87,7 @@
 
     def is_behind(self, subject: Subject) -> bool:
         """Tell whether a peer is known to know more."""
-        return self._peers_know[subject] > self.known(subject)
+        return self._peer_versions[subject] > self.known(subject)
 
     def known(self, subject: Subject) -> int:
         """Return the version or the revision up to which a subject is known here."""
@@ -107,11 +107,11 @@
             lag.known = self.known(subject)
             lag.step = 0
         lag.step += 1
-        if lag.step >= len(CATCH_UP_WAITS_S):
+        if lag.step >= len(CATCH_UP_DELAYS_S):
             del self._lags[subject]
             self._read_store(subject, now)
             return
-        lag.due = now + CATCH_UP_WAITS_S[lag.step]
+        lag.due = now + CATCH_UP_DELAYS_S[lag.step]
         ips = [lag.peer] if lag.step == 1 else self._local.peers.choose_near(now)
         self._outbox.send(ips, ChangesRequest(self.known(Subject.ROUTES), self.known(Subject.BACKENDS)))
 
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -28,10 +28,10 @@
 MAXIMUM_MESSAGES = 8
 """Messages that answer one request, or hold what a new reader's first read has brought; a peer that lacks
 more reads the list from the store.  Not measured: 96 back ends, 10 kB."""
-REPEATS = 2
+CHANGE_REPEATS = 2
 """Confirmations of one reader that carry a change of back ends, against lost datagrams.  Measured between
 195 balancers over one day: 66 MB with two, 71 MB where changes were repeated for 2.2 s."""
-REPEAT_ROUTES_S = 2.2
+ROUTE_REPEAT_S = 2.2
 """Seconds for which confirmations carry a change of the routes.  Not measured: two confirmations of a
 reader, at 0.9 s each, and a margin."""
 
@@ -43,13 +43,13 @@
         self._routes = routes
         self._backends = backends
         self._evacuations = evacuations
-        self._confirmed: collections.deque[int] = collections.deque(maxlen=REPEATS)
-        self._is_first = False
-        self._routes_taken_at = 0.0
+        self._confirmed: collections.deque[int] = collections.deque(maxlen=CHANGE_REPEATS)
+        self._is_first_confirmation = False
+        self._routes_applied_at = 0.0
 
-    def routes_taken(self, now: float) -> None:
+    def routes_applied(self, now: float) -> None:
         """Note that a version of the routes has come into force."""
-        self._routes_taken_at = now
+        self._routes_applied_at = now
 
     def begin_confirming(self, revision: int) -> None:
         """Begin as a reader.
@@ -63,20 +63,20 @@
         """
         self._confirmed.clear()
         self._confirmed.append(revision)
-        self._is_first = True
+        self._is_first_confirmation = True
 
     def confirmed_changes(self, revision: int, now: float) -> tuple[Changes, ...]:
         """Return what a reader confirms now: the changes since its last confirmations, in parts.
 
         :param revision: the store's revision up to which the reader knows all.
         """
-        base = self._repeated_from(revision)
+        base = self._repeat_base(revision)
         parts = list(self._parts(base, revision, now))
-        if self._is_first and len(parts) > MAXIMUM_MESSAGES:
+        if self._is_first_confirmation and len(parts) > MAXIMUM_MESSAGES:
             parts = list(self._parts(revision, revision, now))
-        self._is_first = False
+        self._is_first_confirmation = False
         delta = None
-        if now - self._routes_taken_at < REPEAT_ROUTES_S:
+        if now - self._routes_applied_at < ROUTE_REPEAT_S:
             delta = self._routes.history.latest_to(self._routes.version)
         first, *others = parts
         return (msgspec.structs.replace(first, route_delta=delta), *others)
@@ -92,30 +92,30 @@
             answers.extend(parts if len(parts) <= MAXIMUM_MESSAGES else ())
         deltas = self._routes.history.chain(routes_version, self._routes.version)
         if deltas and len(deltas) <= MAXIMUM_MESSAGES and all(delta.fits_datagram for delta in deltas):
-            answers.extend(self._about_routes(delta, own_revision) for delta in deltas)
+            answers.extend(self._routes_message(delta, own_revision) for delta in deltas)
         elif routes_version < self._routes.version:
-            answers.append(self._about_routes(None, own_revision))
+            answers.append(self._routes_message(None, own_revision))
         return answers
 
-    def take_routes(self, delta: RouteDelta | None, now: float) -> bool:
+    def apply_routes(self, delta: RouteDelta | None, now: float) -> bool:
         """Take a difference of the routes if it applies; return whether it did."""
         if delta is None or not self._routes.apply_delta(delta):
             return False
-        self.routes_taken(now)
+        self.routes_applied(now)
         return True
 
-    def take_evacuated(self, changes: Changes, now: float) -> bool:
+    def apply_evacuated(self, changes: Changes, now: float) -> bool:
         """Take the evacuated halls if they are newer; return whether they differ."""
         return self._evacuations.apply(changes.evacuated, now)
 
-    def take_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
+    def apply_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
         """Take changed back ends; return those that differ from what was known.
 
         :param complete_to: revision up to which all changes are known here.
         """
         return [known for known in changes.backends if self._backends.apply_known(known, complete_to, now)]
 
-    def advanced(self, changes: Changes, revision: int) -> int:
+    def revision_after(self, changes: Changes, revision: int) -> int:
         """Return the revision up to which all is known after changes were taken.
 
         Where the changes before them are missing here, all is known only if both lists are the same.
@@ -126,7 +126,7 @@
         knows_base = revision >= changes.base_revision or is_list_alike
         return max(revision, changes.revision) if knows_base else revision
 
-    def _repeated_from(self, revision: int) -> int:
+    def _repeat_base(self, revision: int) -> int:
         """Return the revision confirmed a few times ago; changes after it are sent once more."""
         base = min(self._confirmed[0], revision) if self._confirmed else revision
         self._confirmed.append(revision)
@@ -148,26 +148,26 @@
             rest = changed[begin + MAXIMUM_BACKENDS :]
             end = max(base, min(revision, rest[0].revision - 1)) if rest else revision
             sent = tuple(backend.to_known_backend(now) for backend in part)
-            yield self._changes(None, base, end, sent, is_all=not rest)
+            yield self._message(None, base, end, sent, is_complete=not rest)
             base = end
 
-    def _about_routes(self, delta: RouteDelta | None, revision: int) -> Changes:
-        return self._changes(delta, revision, revision, is_all=True)
+    def _routes_message(self, delta: RouteDelta | None, revision: int) -> Changes:
+        return self._message(delta, revision, revision, is_complete=True)
 
-    def _changes(
+    def _message(
         self,
         delta: RouteDelta | None,
         base: int,
         revision: int,
         backends: tuple[KnownBackend, ...] = (),
         *,
-        is_all: bool,
+        is_complete: bool,
     ) -> Changes:
         """Return a message about back ends between two revisions; it always holds the evacuated halls.
 
-        :param is_all: whether all is known up to `revision` and no further.
+        :param is_complete: whether all is known up to `revision` and no further.
         """
         latest = self._backends.changes.latest
         evacuated = self._evacuations.current
-        checksum = self._backends.list_checksum if is_all else NO_CHECKSUM
+        checksum = self._backends.list_checksum if is_complete else NO_CHECKSUM
         return Changes(self._routes.version, delta, base, revision, latest, backends, evacuated, checksum)
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -81,10 +81,10 @@
         watcher = self._watchers[Subject.BACKENDS]
         are_routes_new = self._take_routes(ip, changes.route_delta, now)
         self._take_evacuated(ip, changes, now)
-        changed = self._gossip.take_backends(changes, watcher.revision_beyond(changes.revision), now)
+        changed = self._gossip.apply_backends(changes, watcher.revision_beyond(changes.revision), now)
         for known in changed:
             self._log_change(known)
-        revision = self._gossip.advanced(changes, watcher.revision)
+        revision = self._gossip.revision_after(changes, watcher.revision)
         if revision > watcher.revision:
             watcher.peer_sent_changes(revision, now)
         self._catch_up.compare(ip, changes, now)
@@ -141,7 +141,7 @@
         self._change_logs.log(LogKind.BACKEND_CHANGED, record.name, detail)
 
     def _take_routes(self, ip: str, delta: RouteDelta | None, now: float) -> bool:
-        if delta is None or not self._gossip.take_routes(delta, now):
+        if delta is None or not self._gossip.apply_routes(delta, now):
             return False
         self._watchers[Subject.ROUTES].peer_sent_changes(0, now)
         self._local.counters.configurations_taken += 1
@@ -150,7 +150,7 @@
         return True
 
     def _take_evacuated(self, ip: str, changes: Changes, now: float) -> None:
-        if not self._gossip.take_evacuated(changes, now):
+        if not self._gossip.apply_evacuated(changes, now):
             return
         evacuated = changes.evacuated
         halls = ",".join(evacuated.halls) or "none"
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -113,7 +113,7 @@
 
     def routes_read(self, now: float) -> None:
         """Note that the store has brought a newer version of the routes."""
-        self._gossip.routes_taken(now)
+        self._gossip.routes_applied(now)
         self.change_learned(now)
 
     def store_answered(self, now: float) -> None:
