--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -35,7 +35,7 @@
         self._outbox = Outbox(local.counters)
         self._catch_up = CatchUp(local)
         self._comparison = ListComparison()
-        self._fetch_again_at = -NEVER
+        self._next_fetch_at = -NEVER
         self._change_logs = Outbox(local.counters)
 
     def drain_commands(self) -> list[Command]:
@@ -58,29 +58,29 @@
         self._catch_up.on_timer(now)
 
     @property
-    def knows_of_later_backends(self) -> bool:
+    def is_behind_on_backends(self) -> bool:
         """Whether a peer has named a later change of back ends than is known here."""
         return self._catch_up.is_behind(Subject.BACKENDS)
 
-    def brings_changes(self, changes: Changes) -> bool:
+    def has_new_changes(self, changes: Changes) -> bool:
         """Tell whether changes hold something unknown here."""
         return self._catch_up.is_newer(changes)
 
-    def peer_knows(self, ip: str, routes_version: int, changed_at: int, now: float) -> None:
+    def compare_versions(self, ip: str, routes_version: int, changed_at: int, now: float) -> None:
         """Compare how much a peer says it knows.
 
         :param changed_at: revision of the last change of a back end that it knows.
         """
         self._catch_up.compare(ip, Changes(routes_version, None, 0, changed_at, changed_at), now)
 
-    def take(self, ip: str, changes: Changes, age_s: float, now: float) -> bool:
+    def apply(self, ip: str, changes: Changes, age_s: float, now: float) -> bool:
         """Take changes.
 
         :param age_s: seconds since the store confirmed them to the reader that sent them first.
         """
         watcher = self._watchers[Subject.BACKENDS]
-        are_routes_new = self._take_routes(ip, changes.route_delta, now)
-        self._take_evacuated(ip, changes, now)
+        are_routes_new = self._apply_routes(ip, changes.route_delta, now)
+        self._apply_evacuated(ip, changes, now)
         changed = self._gossip.apply_backends(changes, watcher.revision_beyond(changes.revision), now)
         for known in changed:
             self._log_change(known)
@@ -91,11 +91,11 @@
         for subject in Subject:
             if not self._catch_up.is_behind(subject):
                 self._staleness.confirmed(subject, now - age_s)
-        if age_s < STALE_AFTER_S and self._holds_list_of(changes):
+        if age_s < STALE_AFTER_S and self._matches_list_of(changes):
             watcher.peer_confirmed()
         return are_routes_new or bool(changed)
 
-    def _holds_list_of(self, changes: Changes) -> bool:
+    def _matches_list_of(self, changes: Changes) -> bool:
         """Tell whether this balancer holds the list that a reader confirms, or a later one."""
         revision = self._watchers[Subject.BACKENDS].revision
         if self._catch_up.is_behind(Subject.BACKENDS) or changes.changed_at > revision:
@@ -103,19 +103,19 @@
         is_alike = changes.list_checksum in (NO_CHECKSUM, self._local.backends.list_checksum)
         return is_alike or revision > changes.revision
 
-    def take_answer(self, ip: str, changes: Changes, now: float) -> bool:
+    def apply_reply(self, ip: str, changes: Changes, now: float) -> bool:
         """Take requested changes; fetch routes that do not fit a datagram from the peer by stream."""
-        is_new = self.take(ip, changes, NEVER, now)
+        is_new = self.apply(ip, changes, NEVER, now)
         is_behind = self._catch_up.is_behind(Subject.ROUTES)
-        if changes.route_delta is None and is_behind and now >= self._fetch_again_at:
-            self._fetch_again_at = now + FETCH_INTERVAL_S
+        if changes.route_delta is None and is_behind and now >= self._next_fetch_at:
+            self._next_fetch_at = now + FETCH_INTERVAL_S
             self._outbox.add(FetchRoutes(ip, self._catch_up.known(Subject.ROUTES)))
         return is_new
 
-    def take_fetched_routes(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> bool:
+    def apply_fetched_routes(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> bool:
         """Take differences of the routes that were fetched from a peer."""
-        self._fetch_again_at = now
-        return any([self._take_routes(ip, delta, now) for delta in deltas])
+        self._next_fetch_at = now
+        return any([self._apply_routes(ip, delta, now) for delta in deltas])
 
     def compare_lists(self, ip: str, changes: Changes, now: float) -> None:
         """Read the list anew if readers that know as much hold another one.
@@ -140,7 +140,7 @@
         detail = f"state={record.state.name.lower()} rev={record.revision} told=peer"
         self._change_logs.log(LogKind.BACKEND_CHANGED, record.name, detail)
 
-    def _take_routes(self, ip: str, delta: RouteDelta | None, now: float) -> bool:
+    def _apply_routes(self, ip: str, delta: RouteDelta | None, now: float) -> bool:
         if delta is None or not self._gossip.apply_routes(delta, now):
             return False
         self._watchers[Subject.ROUTES].peer_sent_changes(0, now)
@@ -149,7 +149,7 @@
         self._outbox.log(LogKind.ROUTES_IN_FORCE, str(delta.version), detail)
         return True
 
-    def _take_evacuated(self, ip: str, changes: Changes, now: float) -> None:
+    def _apply_evacuated(self, ip: str, changes: Changes, now: float) -> None:
         if not self._gossip.apply_evacuated(changes, now):
             return
         evacuated = changes.evacuated
--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -94,14 +94,14 @@
         election = self._election
         if not election.message_received(message, now):
             return
-        brings_changes = self._intake.brings_changes(message.changes)
-        if brings_changes or election.is_among_best(message.reader, now):
-            passed_on = message if brings_changes else without_changes(message)
+        has_new_changes = self._intake.has_new_changes(message.changes)
+        if has_new_changes or election.is_among_best(message.reader, now):
+            passed_on = message if has_new_changes else without_changes(message)
             self._outbox.send(self._peers.choose_near(now), passed_on)
         if message.is_candidacy:
             return
         self._recent.note(message, now)
-        if self._intake.take(ip, message.changes, message.age_s, now):
+        if self._intake.apply(ip, message.changes, message.age_s, now):
             self.schedule(now)
         self._intake.compare_lists(ip, message.changes, now)
 
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -134,7 +134,7 @@
     def heartbeat_received(self, ip: str, message: Heartbeat, now: float) -> None:
         """Compare what a peer says it knows."""
         self._peer_message_at = now
-        self.intake.peer_knows(ip, message.routes_version, message.backends_revision, now)
+        self.intake.compare_versions(ip, message.routes_version, message.backends_revision, now)
 
     def confirmation_received(self, ip: str, message: Confirmation, now: float) -> None:
         """Take a confirmation or a candidacy, and pass a new one on."""
@@ -156,11 +156,11 @@
     def changes_received(self, ip: str, message: ChangesReply, now: float) -> None:
         """Take a peer's answer to a request for changes."""
         self._peer_message_at = now
-        if self.intake.take_answer(ip, message.changes, now):
+        if self.intake.apply_reply(ip, message.changes, now):
             self.change_learned(now)
 
     def routes_received(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> None:
         """Take differences of the routes that a peer was asked for."""
         self._peer_message_at = now
-        if self.intake.take_fetched_routes(ip, deltas, now):
+        if self.intake.apply_fetched_routes(ip, deltas, now):
             self.change_learned(now)
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -63,7 +63,7 @@
         A reader's confirmation may be here before the snapshot, and not the change at the peer.
         """
         watcher = self._local.watchers[Subject.BACKENDS]
-        if backends_age_s < NEVER and not self._intake.knows_of_later_backends:
+        if backends_age_s < NEVER and not self._intake.is_behind_on_backends:
             watcher.peer_confirmed()
         else:
             watcher.peer_sent_unconfirmed(now)
