--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -10,7 +10,7 @@
 from sloepond.core.forwarding.commands import LogKind, Outbox, ReprocessPackets
 from sloepond.core.forwarding.events import Subject, UnknownTokenReceived
 from sloepond.core.forwarding.local_state import LocalState
-from sloepond.core.forwarding.peers.held_packets import HOLD_S, HeldPackets
+from sloepond.core.forwarding.peers.held_packets import BUFFER_TIMEOUT_S, BufferedPackets
 from sloepond.core.forwarding.peers.messages import KnownBackend, TokenReply, TokenRequest
 
 
@@ -20,7 +20,7 @@
     def __init__(self, local: LocalState, outbox: Outbox) -> None:
         self._local = local
         self._outbox = outbox
-        self._held = HeldPackets()
+        self._buffered = BufferedPackets()
         self._expire_at = NEVER
 
     def next_deadline(self) -> float:
@@ -30,15 +30,15 @@
     def on_timer(self, now: float) -> None:
         """Drop packets for whose token no peer has replied."""
         if now >= self._expire_at:
-            self._local.counters.held_packets_dropped += self._held.expire(now)
+            self._local.counters.held_packets_dropped += self._buffered.expire(now)
             self._expire_at = NEVER
 
     def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
         """Hold a packet and ask peers for its token."""
-        if not self._held.hold(event.token, event.datagram, now):
+        if not self._buffered.buffer(event.token, event.datagram, now):
             return
         self._local.counters.tokens_looked_up += 1
-        self._expire_at = min(self._expire_at, now + HOLD_S)
+        self._expire_at = min(self._expire_at, now + BUFFER_TIMEOUT_S)
         peers = self._local.peers.choose(now)
         self._outbox.send(peers, TokenRequest(event.token))
         self._outbox.log(LogKind.TOKEN_LOOKED_UP, f"{event.token:08x}", f"asked={len(peers)}")
@@ -59,7 +59,7 @@
         backend = backends.by_name(message.record.name)
         if backend is None:
             return
-        datagrams = self._held.release(backend.token)
+        datagrams = self._buffered.release(backend.token)
         detail = f"state={backend.state.name.lower()} released={len(datagrams)}"
         self._outbox.log(LogKind.TOKEN_FOUND, backend.name, detail)
         if datagrams:
