--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -49,7 +49,7 @@
         self._staleness = staleness
         self._outbox = outbox
         self._recent = RecentConfirmations()
-        self._number = 0
+        self._sequence_number = 0
         self._confirm_at = NEVER
         self._pull_at = NEVER
 
@@ -141,6 +141,6 @@
         self._outbox.send(self._peers.choose(now), ConfirmationsRequest())
 
     def _message(self, is_candidacy: bool, age_s: float, changes: Changes) -> Confirmation:
-        self._number += 1
+        self._sequence_number += 1
         identity, rank = self._election.identity, self._election.rank
-        return Confirmation(identity, rank, self._number, is_candidacy, age_s, changes)
+        return Confirmation(identity, rank, self._sequence_number, is_candidacy, age_s, changes)
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -92,14 +92,14 @@
 
     :ivar reader: identity of the reader's process.
     :ivar rank: of the reader; see `ReaderElection`.
-    :ivar number: grows with each confirmation of this reader.
+    :ivar sequence_number: grows with each confirmation of this reader.
     :ivar is_candidacy: whether the sender is only a candidate and confirms nothing.
     :ivar age_s: seconds since the store last answered the reader.
     """
 
     reader: int
     rank: float
-    number: int
+    sequence_number: int
     is_candidacy: bool
     age_s: float
     changes: Changes
