--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -78,11 +78,11 @@
         not know of which.
         """
         is_other_list = changes.list_checksum not in (NO_CHECKSUM, self._local.backends.list_checksum)
-        return changes.revision if is_other_list else min(changes.changed_at, changes.revision)
+        return changes.revision if is_other_list else min(changes.last_change_revision, changes.revision)
 
     def is_newer(self, changes: Changes) -> bool:
         """Tell whether changes hold something unknown here."""
-        newest = min(changes.changed_at, changes.revision)
+        newest = min(changes.last_change_revision, changes.revision)
         return changes.routes_version > self.known(Subject.ROUTES) or newest > self.known(Subject.BACKENDS)
 
     def is_behind(self, subject: Subject) -> bool:
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -66,12 +66,14 @@
         """Tell whether changes hold something unknown here."""
         return self._catch_up.is_newer(changes)
 
-    def compare_versions(self, ip: str, routes_version: int, changed_at: int, now: float) -> None:
+    def compare_versions(self, ip: str, routes_version: int, last_change_revision: int, now: float) -> None:
         """Compare how much a peer says it knows.
 
-        :param changed_at: revision of the last change of a back end that it knows.
+        :param last_change_revision: revision of the last change of a back end that it knows.
         """
-        self._catch_up.compare(ip, Changes(routes_version, None, 0, changed_at, changed_at), now)
+        self._catch_up.compare(
+            ip, Changes(routes_version, None, 0, last_change_revision, last_change_revision), now
+        )
 
     def apply(self, ip: str, changes: Changes, age_s: float, now: float) -> bool:
         """Take changes.
@@ -98,7 +100,7 @@
     def _matches_list_of(self, changes: Changes) -> bool:
         """Tell whether this balancer holds the list that a reader confirms, or a later one."""
         revision = self._watchers[Subject.BACKENDS].revision
-        if self._catch_up.is_behind(Subject.BACKENDS) or changes.changed_at > revision:
+        if self._catch_up.is_behind(Subject.BACKENDS) or changes.last_change_revision > revision:
             return False
         is_alike = changes.list_checksum in (NO_CHECKSUM, self._local.backends.list_checksum)
         return is_alike or revision > changes.revision
--- a/sloepond/core/forwarding/peers/heartbeats.py
+++ b/sloepond/core/forwarding/peers/heartbeats.py
@@ -75,6 +75,6 @@
 
     def _heartbeat(self, now: float, hall: str = "") -> Heartbeat:
         local = self._local
-        changed_at = local.backends.changes.latest
+        last_change_revision = local.backends.changes.latest
         shared = local.peers.share(now, hall)
-        return Heartbeat(local.routes.version, changed_at, self.is_leaving, shared, local.hall)
+        return Heartbeat(local.routes.version, last_change_revision, self.is_leaving, shared, local.hall)
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -70,7 +70,7 @@
     :ivar route_delta: what leads to that or an earlier version, if it is small.
     :ivar base_revision: the store's revision from which `backends` holds all changes.
     :ivar revision: revision up to which it holds them.
-    :ivar changed_at: revision of the last change of a back end known to the sender.
+    :ivar last_change_revision: revision of the last change of a back end known to the sender.
     :ivar backends: changed back ends as they are now.
     :ivar evacuated: all evacuated halls the sender knows of.
     :ivar list_checksum: anti-entropy checksum of the sender's list of back ends at `revision`,
@@ -81,7 +81,7 @@
     route_delta: RouteDelta | None
     base_revision: int
     revision: int
-    changed_at: int
+    last_change_revision: int
     backends: tuple[KnownBackend, ...] = ()
     evacuated: EvacuatedHalls = EvacuatedHalls()
     list_checksum: int = NO_CHECKSUM
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -61,7 +61,7 @@
         None,
         sent.revision,
         sent.revision,
-        sent.changed_at,
+        sent.last_change_revision,
         (),
         sent.evacuated,
         sent.list_checksum,
