--- a/sloepond/core/forwarding/peers/heartbeats.py
+++ b/sloepond/core/forwarding/peers/heartbeats.py
@@ -63,7 +63,7 @@
         peers = self._local.peers
         knows_few_peers = len(message.known_peers) < SHARED_PEERS and peers.is_new(ip, now)
         knows_nothing = not message.routes_version and self._local.routes.version > 0
-        counts_hall = peers.is_news_of_leaving(ip, message)
+        counts_hall = peers.is_first_leave_notice(ip, message)
         if knows_few_peers or knows_nothing or counts_hall:
             self._outbox.send([ip], self._heartbeat(now, message.hall))
         peers.heartbeat_received(ip, message, now)
@@ -76,5 +76,5 @@
     def _heartbeat(self, now: float, hall: str = "") -> Heartbeat:
         local = self._local
         last_change_revision = local.backends.changes.latest
-        shared = local.peers.share(now, hall)
+        shared = local.peers.choose_shared(now, hall)
         return Heartbeat(local.routes.version, last_change_revision, self.is_leaving, shared, local.hall)
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -29,17 +29,17 @@
 SHARED_PEERS = 4
 """Addresses carried by a heartbeat.  Not measured: one more than `FANOUT`; a heartbeat with four
 takes about 80 bytes."""
-SILENT_S = 5.0
+ALIVE_TIMEOUT_S = 5.0
 """Seconds of silence after which a peer no longer counts as alive.  Not measured: several heartbeat
 intervals, since each heartbeat goes to a random few."""
 HALL_FANOUT = 32
 """Peers of its hall to which a balancer says at once that it stops: all of a small hall, and of a larger
 one enough that most of those that stop with it know.  Not measured alone; with the rule of `planned_stop`,
 of which it is a part, requests not served fell from 414 to 25 over days with a planned removal."""
-FORGOTTEN_S = 20.0
+NEW_PEER_SILENCE_S = 20.0
 """Seconds of silence after which a peer counts as new: it is sent a heartbeat with addresses when it
 sends a message again.  Not measured: in this time each of 60 peers is sent one heartbeat on the mean."""
-VOUCHED_S = 3.0
+NAMED_TIMEOUT_S = 3.0
 """Seconds for which a peer counts as alive because a heartbeat of another one names it.  Heartbeats name
 only peers that have sent messages to their sender, so one that is gone is forgotten everywhere.  Measured on
 a simulated fleet of 40 without it: seeds were sent ten times the datagrams of others, and some machines
@@ -50,7 +50,7 @@
     """One other balancer.
 
     :ivar received_at: when its last message came, `-NEVER` for never.
-    :ivar vouched_at: when a heartbeat of another peer last named it, `-NEVER` for never.
+    :ivar named_at: when a heartbeat of another peer last named it, `-NEVER` for never.
     :ivar is_leaving: whether it has said that it stops.
     :ivar is_ready: whether it has said that it knows routes and does not stop.
     :ivar hall: its hall, empty where it is not known.
@@ -58,7 +58,7 @@
 
     ip: str
     received_at: float = -NEVER
-    vouched_at: float = -NEVER
+    named_at: float = -NEVER
     is_leaving: bool = False
     is_ready: bool = False
     hall: str = ""
@@ -104,41 +104,41 @@
 
     def count_hall_peers(self, now: float) -> HallPeers:
         """Count the peers of the hall, this balancer left out."""
-        lately = [
+        recent = [
             peer
             for peer in self._peers.values()
-            if peer.hall == self._hall and now - peer.received_at < FORGOTTEN_S
+            if peer.hall == self._hall and now - peer.received_at < NEW_PEER_SILENCE_S
         ]
-        ready = sum(peer.is_ready and self._is_alive(peer, now) for peer in lately)
-        return HallPeers(ready, len(lately) - ready)
+        ready = sum(peer.is_ready and self._is_alive(peer, now) for peer in recent)
+        return HallPeers(ready, len(recent) - ready)
 
     def seeds_changed(self, seeds: Iterable[str]) -> None:
         """Take other seeds; peers known stay."""
         self._seeds = tuple(seed for seed in seeds if seed != self._ip)
         for seed in self._seeds:
-            self._learn(seed)
+            self._get_or_add(seed)
 
     def is_new(self, ip: str, now: float) -> bool:
         """Tell whether a peer has been silent for long: it may know nobody."""
         peer = self._peers.get(ip)
-        return peer is None or now - peer.received_at > FORGOTTEN_S
+        return peer is None or now - peer.received_at > NEW_PEER_SILENCE_S
 
     def heartbeat_received(self, ip: str, heartbeat: Heartbeat, now: float) -> None:
         """Take a peer's heartbeat."""
-        peer = self._learn(ip)
+        peer = self._get_or_add(ip)
         if peer is not None:
             peer.received_at = now
             peer.is_leaving = heartbeat.is_leaving
             peer.is_ready = heartbeat.routes_version > 0 and not heartbeat.is_leaving
             peer.hall = heartbeat.hall
         for known in heartbeat.known_peers:
-            named = self._learn(known)
+            named = self._get_or_add(known)
             if named is not None:
-                named.vouched_at = now
+                named.named_at = now
 
     def message_received(self, ip: str, now: float) -> None:
         """Note that a peer has sent some message."""
-        peer = self._learn(ip)
+        peer = self._get_or_add(ip)
         if peer is not None:
             peer.received_at = now
 
@@ -175,7 +175,7 @@
         others = self._random.sample(unknown, min(HALL_FANOUT - len(chosen), len(unknown)))
         return chosen + others
 
-    def is_news_of_leaving(self, ip: str, heartbeat: Heartbeat) -> bool:
+    def is_first_leave_notice(self, ip: str, heartbeat: Heartbeat) -> bool:
         """Tell whether a peer of the hall says that it stops, and was not known to."""
         peer = self._peers.get(ip)
         was_leaving = peer is not None and peer.is_leaving
@@ -196,12 +196,12 @@
             return [self._random.choice(near)]
         return self.choose(now, 1)[:1] if may_be_far else []
 
-    def share(self, now: float, hall: str = "") -> tuple[str, ...]:
+    def choose_shared(self, now: float, hall: str = "") -> tuple[str, ...]:
         """Return a few living peers for a heartbeat to carry.
 
         :param hall: hall of the receiver, whose peers it needs most; empty for any.
         """
-        alive = [peer for peer in self._peers.values() if now - peer.received_at < SILENT_S]
+        alive = [peer for peer in self._peers.values() if now - peer.received_at < ALIVE_TIMEOUT_S]
         near = [peer.ip for peer in alive if peer.hall == hall]
         shared = self._random.sample(near, min(SHARED_PEERS - 1, len(near)))
         others = [peer.ip for peer in alive if peer.ip not in shared]
@@ -209,21 +209,21 @@
 
     @staticmethod
     def _is_alive(peer: Peer, now: float) -> bool:
-        counts_as_alive = now - peer.received_at < SILENT_S or now - peer.vouched_at < VOUCHED_S
+        counts_as_alive = now - peer.received_at < ALIVE_TIMEOUT_S or now - peer.named_at < NAMED_TIMEOUT_S
         return counts_as_alive and not peer.is_leaving
 
-    def _learn(self, ip: str) -> Peer | None:
+    def _get_or_add(self, ip: str) -> Peer | None:
         if ip == self._ip:
             return None
         peer = self._peers.get(ip)
         if peer is None:
             if len(self._peers) >= MAXIMUM_PEERS:
-                self._make_room()
+                self._evict_random()
             peer = Peer(ip)
             self._peers[ip] = peer
         return peer
 
-    def _make_room(self) -> None:
+    def _evict_random(self) -> None:
         candidates = [ip for ip in self._peers if ip not in self._seeds]
         if candidates:
             del self._peers[self._random.choice(candidates)]
