--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -32,22 +32,22 @@
 URGENT_DELAY_S = 0.35
 """Longest random wait in seconds before a candidacy while nothing is confirmed.  Not measured: four times
 `CANDIDATE_DELAY_S`, so that few stand at once."""
-DELAY_S = 2.0
+CANDIDACY_DELAY_S = 2.0
 """The same while there are readers, but too few.  Not measured: nothing is late then, so a longer wait
 lets fewer stand at once."""
 CAPACITY_FACTOR = 8.0
 """How much sooner a balancer with a whole core becomes a candidate: the wait is divided by 1 + 8 times its
 share of a core.  Not measured: reading a large configuration takes a small machine 0.2 s, so larger ones
 should read."""
-BARRED_S = 1.5
+RESIGNATION_BACKOFF_S = 1.5
 """Seconds for which a reader that has failed leaves the role to others: once to twice this.  Not measured:
 longer than a candidate needs to become a reader, at most 0.6 s."""
-FAILING_S = 0.6
+FAILING_TIMEOUT_S = 0.6
 """Seconds for which calls to the store may fail before a reader resigns.  Not measured: about four tries
 with the waits of the backoff."""
 CHECK_INTERVAL_S = 0.2
 """Seconds between reviews of the role.  Not measured: a tenth of the silence after which a reader is gone."""
-RANK_STEPS = 1000.0
+RANK_JITTER_DIVISOR = 1000.0
 """The random part of a rank is at most a core divided by this, so that equal machines differ in rank.  Not
 measured: below the smallest step in which machines' shares of a core differ."""
 
@@ -75,15 +75,15 @@
     def __init__(self, identity: int, capacity: float, random_source: random.Random) -> None:
         self.identity = identity
         self.capacity = capacity
-        self.rank = capacity + random_source.random() / RANK_STEPS
+        self.rank = capacity + random_source.random() / RANK_JITTER_DIVISOR
         self.role = Role.FOLLOWER
         self._random = random_source
         self._others = KnownReaders()
         self._start_at = -NEVER
         self._check_at = NEVER
         self._candidate_at = NEVER
-        self._stood_at = -NEVER
-        self._barred_until = -NEVER
+        self._candidate_since = -NEVER
+        self._backoff_until = -NEVER
         self._failing_since: float | None = None
 
     def start(self, now: float) -> None:
@@ -155,22 +155,22 @@
 
     def _consider_candidacy(self, now: float, is_fresh: bool, peers: int) -> None:
         readers = self._others.count(now) if is_fresh else self._others.count_recent(now)
-        allowed_at = max(self._barred_until, self._start_at + START_DELAY_S + START_DELAY_PER_PEER_S * peers)
+        allowed_at = max(self._backoff_until, self._start_at + START_DELAY_S + START_DELAY_PER_PEER_S * peers)
         if readers >= READERS or now < allowed_at:
             self._candidate_at = NEVER
             return
         if self._candidate_at == NEVER:
-            longest_s = DELAY_S if is_fresh and readers else URGENT_DELAY_S
-            drawn_s = self._random.random() * longest_s
-            self._candidate_at = now + drawn_s / (1.0 + CAPACITY_FACTOR * self.capacity)
+            maximum_s = CANDIDACY_DELAY_S if is_fresh and readers else URGENT_DELAY_S
+            delay_s = self._random.random() * maximum_s
+            self._candidate_at = now + delay_s / (1.0 + CAPACITY_FACTOR * self.capacity)
         if now >= self._candidate_at:
             self._candidate_at = NEVER
             self.role = Role.CANDIDATE
-            self._stood_at = now
+            self._candidate_since = now
             self._check_at = now + CANDIDATE_DELAY_S
 
     def _consider_reading(self, now: float) -> None:
-        if now < self._stood_at + CANDIDATE_DELAY_S:
+        if now < self._candidate_since + CANDIDATE_DELAY_S:
             return
         is_needed = self._others.count_better(self.rank, now) < READERS
         self.role = Role.READER if is_needed else Role.FOLLOWER
@@ -179,6 +179,10 @@
     def _consider_resigning(self, now: float, has_peer_contact: bool) -> None:
         if self._others.count_better(self.rank, now) >= READERS:
             self.role = Role.FOLLOWER
-        elif self._failing_since is not None and now - self._failing_since > FAILING_S and has_peer_contact:
+        elif (
+            self._failing_since is not None
+            and now - self._failing_since > FAILING_TIMEOUT_S
+            and has_peer_contact
+        ):
             self.role = Role.FOLLOWER
-            self._barred_until = now + BARRED_S * (1.0 + self._random.random())
+            self._backoff_until = now + RESIGNATION_BACKOFF_S * (1.0 + self._random.random())
