--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -21,7 +21,7 @@
 from sloepond.core.forwarding.store.staleness import Staleness
 from sloepond.core.forwarding.store.staleness_bound import CHANGE_LIMIT_S
 
-PEER_CONTACT_S = 2.0
+PEER_CONTACT_TIMEOUT_S = 2.0
 """Seconds of silence of all peers after which a balancer counts itself as cut off.  Not measured: two
 heartbeats of each peer."""
 
@@ -75,7 +75,7 @@
 
     def on_timer(self, now: float) -> None:
         """Let each part do what is due."""
-        has_peer_contact = now - self._peer_message_at < PEER_CONTACT_S
+        has_peer_contact = now - self._peer_message_at < PEER_CONTACT_TIMEOUT_S
         self._role.on_timer(now, has_peer_contact)
         self._probing.on_timer(now)
         self._confirmations.on_timer(now, self._probing.answered_at)
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -104,7 +104,7 @@
         elif isinstance(message, TokenRequest):
             self._tokens.answer(event.ip, message.token, now)
         elif isinstance(message, TokenReply):
-            self._tokens.found(message, now)
+            self._tokens.reply_received(message, now)
         elif isinstance(message, BackendUnreachable):
             self._unreachable.received(message.name, now)
         elif isinstance(message, FailureMessage):
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -15,7 +15,7 @@
     """The last confirmation of a reader and when it was received."""
 
     message: Confirmation
-    at: float
+    received_at: float
 
 
 class RecentConfirmations:
@@ -36,14 +36,14 @@
         """
         recent: list[Confirmation] = []
         for received in self._by_reader.values():
-            age_s = received.message.age_s + now - received.at
+            age_s = received.message.age_s + now - received.received_at
             if age_s < STALE_AFTER_S:
                 recent.append(msgspec.structs.replace(without_changes(received.message), age_s=age_s))
         return recent
 
     def forget(self, now: float) -> None:
         """Forget those that are no longer fresh."""
-        old = [reader for reader, received in self._by_reader.items() if now - received.at > STALE_AFTER_S]
+        old = [reader for reader, received in self._by_reader.items() if now - received.received_at > STALE_AFTER_S]
         for reader in old:
             del self._by_reader[reader]
 
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -50,7 +50,7 @@
             known = backend.to_known_backend(now)
             self._outbox.send([ip], TokenReply(known.record, known.departed_s, known.announced_leaving))
 
-    def found(self, message: TokenReply, now: float) -> None:
+    def reply_received(self, message: TokenReply, now: float) -> None:
         """Take a reply, and forward the packets that waited for it."""
         backends = self._local.backends
         known = KnownBackend(message.record, message.departed_s, message.announced_leaving)
