--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -118,5 +118,5 @@
     def _read_store(self, subject: Subject, now: float) -> None:
         self._local.counters.behind_peers += 1
         self._local.watchers[subject].invalidate(now + READ_SPREAD_S * self._local.random_source.random())
-        detail = f"told={self._peers_know[subject]} known={self.known(subject)}"
+        detail = f"told={self._peer_versions[subject]} known={self.known(subject)}"
         self._outbox.log(LogKind.BEHIND_PEER, subject.name.lower(), detail)
--- a/sloepond/core/forwarding/peers/known_readers.py
+++ b/sloepond/core/forwarding/peers/known_readers.py
@@ -55,8 +55,10 @@
         known = self._readers.get(message.reader)
         if known is not None and message.sequence_number <= known.sequence_number:
             return False
-        valid_s = CANDIDACY_DURATION_S if message.is_candidacy else READER_TIMEOUT_S
-        self._readers[message.reader] = KnownReader(message.rank, message.sequence_number, now, now + valid_s)
+        duration_s = CANDIDACY_DURATION_S if message.is_candidacy else READER_TIMEOUT_S
+        self._readers[message.reader] = KnownReader(
+            message.rank, message.sequence_number, now, now + duration_s
+        )
         return True
 
     def rank_of(self, identity: int) -> float:
