--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -1,7 +1,7 @@
-"""Catches up with a peer that knows more: requests the changes from it, then from others, then the store.
+"""Catches up with peers whose state is newer: requests changes from them, then reads the store.
 
-Owns: the highest version and revision that peers have named, and the pending requests.  Relies on: the
-watchers for what is known here and for the read of the store, `PeerTable` to choose whom to ask.
+Owns: the highest version and revision that peers have reported, and the pending requests.  Relies on: the
+watchers for the local revision and for the read of the store, `PeerTable` to choose whom to send requests.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from sloepond.core.forwarding.state.list_checksum import NO_CHECKSUM
 
 CATCH_UP_DELAYS_S = (0.1, 0.2, 0.2, 0.2)
-"""Seconds that a balancer which knows less than a peer waits: before it asks that peer, before it asks
-others, twice, and before it reads the store.  Not measured: gossip brings a change to all within about
-0.05 s, so a first wait of twice that asks only for what was lost."""
+"""Delays in seconds of a balancer that is behind a peer: before it requests changes from that peer, from
+others (twice), and before it reads the store.  Gossip delivers a change to all within about 0.05 s, so the
+first delay of twice that requests only what was lost."""
 READ_SPREAD_S = 0.25
-"""Seconds over which the reads of many balancers for the same reason are spread.  Not measured: one
-interval of the pull, so that the first answer can spread before the last read."""
+"""Seconds over which many balancers spread their reads for the same reason: one interval of the pull, so
+that the first answer can spread before the last read."""
 
 
 class Lag(msgspec.Struct):
-    """A subject of which a peer knows more than this balancer.
+    """A subject for which this balancer is behind a peer.
 
-    :ivar peer: address of the peer that knows more.
+    :ivar peer: address of the peer.
     :ivar due: when the next request is sent.
-    :ivar known: version or revision known here when the waits began.
-    :ivar step: how many of the waits are over.
+    :ivar known: local version or revision when the first delay began.
+    :ivar step: how many of the delays have passed.
     """
 
     peer: str
@@ -40,7 +40,7 @@
 
 
 class CatchUp:
-    """Compares what peers know with what is known here, and requests the difference."""
+    """Compares the state of peers with the local one, and requests what is missing."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
@@ -49,7 +49,7 @@
         self._lags: dict[Subject, Lag] = {}
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return self._outbox.drain()
 
     def next_deadline(self) -> float:
@@ -63,7 +63,7 @@
                 self._request(subject, lag, now)
 
     def compare(self, ip: str, changes: Changes, now: float) -> None:
-        """Compare what a peer knows; start to catch up where it knows more."""
+        """Compare a peer's version and revision with the local ones; start to catch up if they are higher."""
         known = self._peer_versions
         known[Subject.ROUTES] = max(known[Subject.ROUTES], changes.routes_version)
         known[Subject.BACKENDS] = max(known[Subject.BACKENDS], self._backends_revision(changes))
@@ -72,33 +72,33 @@
                 self._lags[subject] = Lag(ip, now + CATCH_UP_DELAYS_S[0], self.known(subject))
 
     def _backends_revision(self, changes: Changes) -> int:
-        """Return the revision up to which back ends have changed as far as a peer knows.
+        """Return the revision up to which a peer shows that back ends have changed.
 
-        A peer that holds another list knows of some change up to its own revision, though it may
-        not know of which.
+        A list that differs from the local one shows that something changed up to the peer's revision,
+        even if the peer cannot name the change.
         """
         is_other_list = changes.list_checksum not in (NO_CHECKSUM, self._local.backends.list_checksum)
         return changes.revision if is_other_list else min(changes.last_change_revision, changes.revision)
 
     def is_newer(self, changes: Changes) -> bool:
-        """Tell whether changes hold something unknown here."""
+        """Return whether changes hold something newer than the local state."""
         newest = min(changes.last_change_revision, changes.revision)
         return changes.routes_version > self.known(Subject.ROUTES) or newest > self.known(Subject.BACKENDS)
 
     def is_behind(self, subject: Subject) -> bool:
-        """Tell whether a peer is known to know more."""
+        """Return whether some peer has reported a newer version or revision."""
         return self._peer_versions[subject] > self.known(subject)
 
     def known(self, subject: Subject) -> int:
-        """Return the version or the revision up to which a subject is known here."""
+        """Return the local version or revision of a subject."""
         if subject is Subject.ROUTES:
             return self._local.routes.version
         return self._local.watchers[subject].revision
 
     def _request(self, subject: Subject, lag: Lag, now: float) -> None:
-        """Request what a peer knows, unless it has come meanwhile.
+        """Request what is missing, unless it has arrived meanwhile.
 
-        While changes go on and peers bring them, the store is not read.
+        The store is not read while peers keep delivering changes.
         """
         if not self.is_behind(subject):
             del self._lags[subject]
--- a/sloepond/core/forwarding/peers/change_gossip.py
+++ b/sloepond/core/forwarding/peers/change_gossip.py
@@ -1,12 +1,12 @@
-"""Gossip about changes of the store: builds the messages of readers and takes those of others.
+"""Gossip about changes of the store: builds the messages of readers and applies those received.
 
-Readers of the store confirm several times over what they know; every balancer passes each confirmation on
-once, to a few random peers, so it reaches all within a few steps whatever the size of the fleet.  It
-carries what has changed lately.  A balancer that has missed more requests it from the sender, then from
+Each reader of the store confirms its state repeatedly.  Every balancer forwards each confirmation once, to a
+few random peers, so it reaches all of them within a few hops whatever the size of the fleet.  A confirmation
+carries the recent changes.  A balancer that has missed older ones requests them from the sender, then from
 another peer, then from the store.
 
-Owns: which revisions were confirmed last.  Relies on: `ChangeIndex` and `RouteHistory` for what has changed
-since a revision or a version, `ListChecksum` for the anti-entropy checksum of the list.
+Owns: which revisions were confirmed last.  Relies on: `ChangeIndex` and `RouteHistory` for the changes since
+a revision or a version, `ListChecksum` for the anti-entropy checksum of the list.
 """
 
 from __future__ import annotations
@@ -24,20 +24,21 @@
 from sloepond.core.forwarding.state.route_table import RouteTable
 
 MAXIMUM_BACKENDS = 12
-"""Back ends in one message.  Encoded, 12 take 1,268 bytes, so the message stays below 1,500."""
+"""Maximum number of back ends in one message.  Encoded, 12 take 1,268 bytes, so the message stays below
+1,500 bytes."""
 MAXIMUM_MESSAGES = 8
-"""Messages that answer one request, or hold what a new reader's first read has brought; a peer that lacks
-more reads the list from the store.  Not measured: 96 back ends, 10 kB."""
+"""Maximum number of messages that answer one request, or that carry the changes of a new reader's first read:
+96 back ends, 10 kB.  A peer that lacks more reads the list from the store."""
 CHANGE_REPEATS = 2
-"""Confirmations of one reader that carry a change of back ends, against lost datagrams.  Measured between
-195 balancers over one day: 66 MB with two, 71 MB where changes were repeated for 2.2 s."""
+"""Number of confirmations of one reader that carry the same change of a back end, in case datagrams are
+lost."""
 ROUTE_REPEAT_S = 2.2
-"""Seconds for which confirmations carry a change of the routes.  Not measured: two confirmations of a
-reader, at 0.9 s each, and a margin."""
+"""Seconds for which confirmations carry a change of the routes: two confirmations of a reader, at an
+interval of 0.9 s, and a margin."""
 
 
 class ChangeGossip:
-    """Builds and takes messages about changes."""
+    """Builds messages about changes and applies those received."""
 
     def __init__(self, routes: RouteTable, backends: BackendDirectory, evacuations: Evacuations) -> None:
         self._routes = routes
@@ -48,27 +49,26 @@
         self._routes_applied_at = 0.0
 
     def routes_applied(self, now: float) -> None:
-        """Note that a version of the routes has come into force."""
+        """Record that a version of the routes has come into force."""
         self._routes_applied_at = now
 
     def begin_confirming(self, revision: int) -> None:
-        """Begin as a reader.
+        """Start as a reader.
 
-        The first confirmation carries what has changed since, so that peers that know as much as this
-        balancer did need not request what its first read has brought.  Measured on a model of 20 balancers
-        that are killed whole while entries lapse, 30 seeded runs: all know within 0.5 s of the entries'
-        return in 29, in 25 without this.
+        The first confirmation carries all changes since `revision`, so that peers whose state was as old as
+        this balancer's need not request what its first read has returned.  Without this, a fleet that is
+        restarted as a whole learns later of the entries that are listed again meanwhile.
 
-        :param revision: the store's revision up to which this balancer knows all before its first read.
+        :param revision: the store's revision up to which this balancer had all changes before its first read.
         """
         self._confirmed.clear()
         self._confirmed.append(revision)
         self._is_first_confirmation = True
 
     def confirmed_changes(self, revision: int, now: float) -> tuple[Changes, ...]:
-        """Return what a reader confirms now: the changes since its last confirmations, in parts.
+        """Return what a reader confirms now: the changes since its last confirmations, split into parts.
 
-        :param revision: the store's revision up to which the reader knows all.
+        :param revision: the store's revision up to which the reader has all changes.
         """
         base = self._repeat_base(revision)
         parts = list(self._parts(base, revision, now))
@@ -82,9 +82,9 @@
         return (msgspec.structs.replace(first, route_delta=delta), *others)
 
     def answer(self, routes_version: int, revision: int, own_revision: int, now: float) -> list[Changes]:
-        """Return what a peer lacks, empty where it would be too much.
+        """Return the changes that a peer lacks; those of back ends are left out if they are too many.
 
-        :param own_revision: revision up to which this balancer knows all.
+        :param own_revision: revision up to which this balancer has all changes.
         """
         answers: list[Changes] = []
         if revision < own_revision:
@@ -98,46 +98,46 @@
         return answers
 
     def apply_routes(self, delta: RouteDelta | None, now: float) -> bool:
-        """Take a difference of the routes if it applies; return whether it did."""
+        """Apply a difference of the routes if it is based on the version in force; return whether it is."""
         if delta is None or not self._routes.apply_delta(delta):
             return False
         self.routes_applied(now)
         return True
 
     def apply_evacuated(self, changes: Changes, now: float) -> bool:
-        """Take the evacuated halls if they are newer; return whether they differ."""
+        """Apply the evacuated halls if they are newer; return whether they differ."""
         return self._evacuations.apply(changes.evacuated, now)
 
     def apply_backends(self, changes: Changes, complete_to: int, now: float) -> list[KnownBackend]:
-        """Take changed back ends; return those that differ from what was known.
+        """Apply changed back ends; return those that changed the local state.
 
-        :param complete_to: revision up to which all changes are known here.
+        :param complete_to: revision up to which all changes have been applied here.
         """
         return [known for known in changes.backends if self._backends.apply_known(known, complete_to, now)]
 
     def revision_after(self, changes: Changes, revision: int) -> int:
-        """Return the revision up to which all is known after changes were taken.
+        """Return the revision up to which the local state is complete after changes were applied.
 
-        Where the changes before them are missing here, all is known only if both lists are the same.
-        That the sender names no later change proves nothing: a balancer that has started lately never
-        received what had left the list before.
+        If earlier changes are missing here, the state is complete only if both lists are the same.
+        That the sender reports no later change proves nothing: a balancer that started recently never
+        received the departures before its start.
         """
         is_list_alike = changes.list_checksum == self._backends.list_checksum
-        knows_base = revision >= changes.base_revision or is_list_alike
-        return max(revision, changes.revision) if knows_base else revision
+        has_base = revision >= changes.base_revision or is_list_alike
+        return max(revision, changes.revision) if has_base else revision
 
     def _repeat_base(self, revision: int) -> int:
-        """Return the revision confirmed a few times ago; changes after it are sent once more."""
+        """Return the revision confirmed `CHANGE_REPEATS` confirmations ago; changes after it are repeated."""
         base = min(self._confirmed[0], revision) if self._confirmed else revision
         self._confirmed.append(revision)
         return base
 
     def _parts(self, base: int, revision: int, now: float) -> Iterator[Changes]:
-        """Return all changes between two revisions, in parts that follow each other; at least one.
+        """Return all changes between two revisions, in consecutive parts; at least one part.
 
-        Where not all of them are remembered, the later ones: a peer that began with the same list has all
-        then, which the checksum shows.  Measured: a fleet of 20 that is killed whole while entries lapse
-        knows all of them within 0.5 s of their return in 24 of 30 seeded runs, without this in 14.
+        If not all of them are in the index, return the later ones: a peer that started with the same list is
+        complete then, as the checksum shows.  A fleet that is restarted as a whole depends on this to learn
+        quickly of entries that are listed again.
         """
         base = max(base, self._backends.changes.complete_from)
         names = self._backends.changes.since(base) or ()
@@ -163,9 +163,9 @@
         *,
         is_complete: bool,
     ) -> Changes:
-        """Return a message about back ends between two revisions; it always holds the evacuated halls.
+        """Return a message about back ends between two revisions; it always carries the evacuated halls.
 
-        :param is_complete: whether all is known up to `revision` and no further.
+        :param is_complete: whether the local list is the one at `revision`, so its checksum is sent.
         """
         latest = self._backends.changes.latest
         evacuated = self._evacuations.current
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -1,8 +1,8 @@
-"""Takes the changes that peers send, and notices where this balancer knows less or holds another list.
+"""Applies the changes that peers send, and detects that this balancer is behind or holds a different list.
 
-Owns: the log lines about what peers have changed.  Relies on: `ChangeGossip` to
-apply changes, `CatchUp` to request what is missing, `ListComparison` (anti-entropy) for lists that differ,
-`Staleness`, which it tells what peers confirm.
+Owns: the log lines about changes received from peers.  Relies on: `ChangeGossip` to apply changes, `CatchUp`
+to request what is missing, `ListComparison` (anti-entropy) for lists that differ, `Staleness` to record what
+peers confirm.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from sloepond.core.forwarding.store.staleness import STALE_AFTER_S, Staleness
 
 FETCH_INTERVAL_S = 0.5
-"""Seconds that a peer has to send large differences of the routes before another one is asked.  Not
-measured: 300 new routes are 24 kB, 20 ms on a link of 10 Mbit/s; the rest is a busy peer's time."""
+"""Seconds that a peer has to send large differences of the routes before they are requested from another
+one.  300 new routes are 24 kB, 20 ms on a link of 10 Mbit/s; the rest is a margin for a busy peer."""
 
 
 class ChangeIntake:
-    """Changes from peers; each method that takes some returns whether any was new."""
+    """Changes from peers; each method that applies some returns whether any was new."""
 
     def __init__(self, local: LocalState, gossip: ChangeGossip, staleness: Staleness) -> None:
         self._local = local
@@ -39,13 +39,13 @@
         self._change_logs = Outbox(local.counters)
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return [*self._outbox.drain(), *self._catch_up.drain_commands()]
 
     def drain_change_logs(self) -> list[Command]:
-        """Return a log line for each back end that peers have changed, and forget them.
+        """Return and clear the log lines of back ends that peers have changed.
 
-        They are collected before other commands, so that a change stands in the log before what follows.
+        They are collected before other commands, so that a change is logged before its effects.
         """
         return self._change_logs.drain()
 
@@ -59,24 +59,24 @@
 
     @property
     def is_behind_on_backends(self) -> bool:
-        """Whether a peer has named a later change of back ends than is known here."""
+        """Whether a peer has reported a later change of back ends than the local ones."""
         return self._catch_up.is_behind(Subject.BACKENDS)
 
     def has_new_changes(self, changes: Changes) -> bool:
-        """Tell whether changes hold something unknown here."""
+        """Return whether changes hold something newer than the local state."""
         return self._catch_up.is_newer(changes)
 
     def compare_versions(self, ip: str, routes_version: int, last_change_revision: int, now: float) -> None:
-        """Compare how much a peer says it knows.
+        """Compare the versions that a peer reports with the local ones.
 
-        :param last_change_revision: revision of the last change of a back end that it knows.
+        :param last_change_revision: revision of the last change of a back end that it has.
         """
         self._catch_up.compare(
             ip, Changes(routes_version, None, 0, last_change_revision, last_change_revision), now
         )
 
     def apply(self, ip: str, changes: Changes, age_s: float, now: float) -> bool:
-        """Take changes.
+        """Apply changes.
 
         :param age_s: seconds since the store confirmed them to the reader that sent them first.
         """
@@ -98,7 +98,7 @@
         return are_routes_new or bool(changed)
 
     def _matches_list_of(self, changes: Changes) -> bool:
-        """Tell whether this balancer holds the list that a reader confirms, or a later one."""
+        """Return whether this balancer holds the list that a reader confirms, or a later one."""
         revision = self._watchers[Subject.BACKENDS].revision
         if self._catch_up.is_behind(Subject.BACKENDS) or changes.last_change_revision > revision:
             return False
@@ -106,7 +106,7 @@
         return is_alike or revision > changes.revision
 
     def apply_reply(self, ip: str, changes: Changes, now: float) -> bool:
-        """Take requested changes; fetch routes that do not fit a datagram from the peer by stream."""
+        """Apply requested changes; fetch routes that do not fit a datagram from the peer by stream."""
         is_new = self.apply(ip, changes, NEVER, now)
         is_behind = self._catch_up.is_behind(Subject.ROUTES)
         if changes.route_delta is None and is_behind and now >= self._next_fetch_at:
@@ -115,15 +115,15 @@
         return is_new
 
     def apply_fetched_routes(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> bool:
-        """Take differences of the routes that were fetched from a peer."""
+        """Apply differences of the routes that were fetched from a peer."""
         self._next_fetch_at = now
         return any([self._apply_routes(ip, delta, now) for delta in deltas])
 
     def compare_lists(self, ip: str, changes: Changes, now: float) -> None:
-        """Read the list anew if readers that know as much hold another one.
+        """Read the list again if readers at the same revision hold a different one.
 
-        A balancer that knows less requests what it lacks; of two lists that count as complete up to the same
-        revision, only the store can tell which one is wrong.
+        A balancer at a lower revision requests what it lacks instead.  If two lists are complete up to the
+        same revision and differ, only a read of the store can show which one is wrong.
         """
         watcher = self._watchers[Subject.BACKENDS]
         if changes.list_checksum == NO_CHECKSUM or watcher.revision != changes.revision:
--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -1,8 +1,8 @@
-"""Confirmations: readers say what holds in the store, and gossip carries it to all balancers.
+"""Confirmations: readers report the state of the store, and gossip carries it to all balancers.
 
 Owns: when this balancer, as a reader, confirms next; when, as a follower, it pulls the last confirmations
-from peers; the last confirmation of each reader.  Relies on: `ReaderElection` to tell new messages from
-copies, `ChangeGossip` to build the changes in a message, `ChangeIntake` to take those received.
+from peers; the last confirmation of each reader.  Relies on: `ReaderElection` to detect duplicate messages,
+`ChangeGossip` to build the changes in a message, `ChangeIntake` to apply those received.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from sloepond.core.forwarding.store.staleness import Staleness
 
 PULL_AFTER_S = 0.9
-"""Staleness in seconds at which a follower pulls the last confirmations from peers.  Not measured: one
-interval of the readers' confirmations."""
+"""Staleness in seconds at which a follower pulls the last confirmations from peers: one interval of the
+readers' confirmations."""
 PULL_INTERVAL_S = 0.25
-"""Seconds until it pulls from other peers.  Not measured: twice within the time from `PULL_AFTER_S` until
-the staleness counts as too great (`STALE_AFTER_S`)."""
+"""Seconds until it pulls from other peers: twice within the time from `PULL_AFTER_S` until the local state
+counts as stale (`STALE_AFTER_S`)."""
 GATHER_S = 0.02
-"""Seconds for which a reader gathers changes before it confirms them.  Not measured: longer than the
-answers of one call take to be read, a tenth of the brief gathering of a watch."""
+"""Seconds for which a reader gathers changes before it confirms them: longer than it takes to read the
+answers of one call, and a tenth of the brief gathering of a watch."""
 
 
 class Confirmations:
-    """Sends, passes on, takes and pulls confirmations."""
+    """Sends, forwards, applies and pulls confirmations."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         return min(self._confirm_at, self._pull_at)
 
     def on_timer(self, now: float, store_answered_at: float) -> None:
-        """Confirm or pull, if it is time.
+        """Confirm or pull, if due.
 
         :param store_answered_at: when the store last answered any call of this balancer.
         """
@@ -72,32 +72,32 @@
             self._pull(now)
 
     def schedule(self, now: float) -> None:
-        """Confirm soon, if this balancer is a reader."""
+        """Schedule a confirmation after `GATHER_S`, if this balancer is a reader."""
         if self._election.is_reader:
             self._confirm_at = min(self._confirm_at, now + GATHER_S)
 
     def begin(self) -> None:
-        """Confirm from now on: this balancer becomes a reader."""
+        """Start to confirm: this balancer has become a reader."""
         self._gossip.begin_confirming(self._watchers[Subject.BACKENDS].revision)
 
     def cancel(self) -> None:
-        """Confirm nothing more: this balancer is no longer a reader."""
+        """Cancel the scheduled confirmation: this balancer is no longer a reader."""
         self._confirm_at = NEVER
 
     def announce_candidacy(self, now: float) -> None:
-        """Announce this balancer as a candidate to a random few, who pass it on."""
+        """Announce this balancer as a candidate to a few random peers, which forward the message."""
         changes = Changes(0, None, 0, 0, 0)
         self._outbox.send(self._peers.choose(now), self._message(True, 0.0, changes))
 
     def received(self, ip: str, message: Confirmation, now: float) -> None:
-        """Take a confirmation or a candidacy, and pass a new one on once."""
+        """Handle a confirmation or a candidacy, and forward it once if it is new."""
         election = self._election
         if not election.message_received(message, now):
             return
         has_new_changes = self._intake.has_new_changes(message.changes)
         if has_new_changes or election.is_among_best(message.reader, now):
-            passed_on = message if has_new_changes else without_changes(message)
-            self._outbox.send(self._peers.choose_near(now), passed_on)
+            forwarded = message if has_new_changes else without_changes(message)
+            self._outbox.send(self._peers.choose_near(now), forwarded)
         if message.is_candidacy:
             return
         self._recent.note(message, now)
@@ -106,16 +106,16 @@
         self._intake.compare_lists(ip, message.changes, now)
 
     def requested(self, ip: str, now: float) -> None:
-        """Send a peer the last confirmations, with their age; it requests the changes it lacks."""
+        """Send a peer the last confirmations, with their age; the peer requests the changes it lacks."""
         for message in self._recent.recent(now):
             self._outbox.send([ip], message)
 
     def forget(self, now: float) -> None:
-        """Forget confirmations that are too old to send."""
+        """Remove confirmations that are too old to send."""
         self._recent.forget(now)
 
     def _confirm(self, now: float, store_answered_at: float) -> None:
-        """Send peers what is known here, if the store answers and all of it was read."""
+        """Send the local state to peers, if the store answers and everything has been read."""
         self._confirm_at = NEVER
         is_up_to_date = not self._election.is_failing and all(
             watcher.is_up_to_date for watcher in self._watchers.values()
@@ -132,7 +132,7 @@
             self._outbox.send(self._peers.choose_near(now), message)
 
     def _pull(self, now: float) -> None:
-        """Request the last confirmations from peers if none has come for long."""
+        """Request the last confirmations from peers if the local state is older than `PULL_AFTER_S`."""
         age_s = self._staleness.maximum(now)
         if self._election.is_reader or age_s < PULL_AFTER_S:
             self._pull_at = now + max(PULL_AFTER_S - age_s, PULL_INTERVAL_S)
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -1,7 +1,7 @@
-"""Keeps the copy of the store current: by own reads of the store, or by gossip of its readers.
+"""Keeps the local copy of the store current: by reading the store, or by gossip from its readers.
 
 Owns: the parts that do so (role, probes of the store, confirmations, intake of changes) and the order
-in which they act.  Relies on: the watchers in `store`, which schedule the reads and watches themselves.
+in which they run.  Relies on: the watchers in `store`, which schedule the reads and watches.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from sloepond.core.forwarding.store.staleness_bound import CHANGE_LIMIT_S
 
 PEER_CONTACT_TIMEOUT_S = 2.0
-"""Seconds of silence of all peers after which a balancer counts itself as cut off.  Not measured: two
-heartbeats of each peer."""
+"""Seconds without a message from any peer after which a balancer counts as cut off: two heartbeats of each
+peer."""
 
 
 class Dissemination:
-    """Reads the store for others, or takes what its readers confirm.
+    """Reads the store for others, or applies what its readers confirm.
 
     :param change_limit_s: time in seconds within which a change must be in force.
-    :ivar election: the role of this balancer.
+    :ivar election: decides the role of this balancer.
     :ivar staleness: seconds since routes and back ends were confirmed.
-    :ivar intake: takes changes that peers send.
+    :ivar intake: applies changes that peers send.
     """
 
     def __init__(
@@ -55,12 +55,12 @@
         self._peer_message_at = -NEVER
 
     def start(self, now: float) -> None:
-        """Begin as a follower."""
+        """Start as a follower."""
         self.election.start(now)
         self._confirmations.start(now)
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return [*self._outbox.drain(), *self.intake.drain_commands()]
 
     def next_deadline(self) -> float:
@@ -74,7 +74,7 @@
         )
 
     def on_timer(self, now: float) -> None:
-        """Let each part do what is due."""
+        """Run the parts that are due."""
         has_peer_contact = now - self._peer_message_at < PEER_CONTACT_TIMEOUT_S
         self._role.on_timer(now, has_peer_contact)
         self._probing.on_timer(now)
@@ -82,12 +82,12 @@
         self.intake.on_timer(now)
 
     def forget(self, now: float) -> None:
-        """Forget readers that are gone."""
+        """Remove readers that have fallen silent, and their old confirmations."""
         self.election.forget_silent(now)
         self._confirmations.forget(now)
 
     def store_calls(self, now: float) -> list[Command]:
-        """Return the reads and watches that are due; none where the store must answer a probe first."""
+        """Return the reads and watches that are due; none while the store must answer a probe first."""
         if not self._probing.may_read:
             return []
         return [call for watcher in self._watchers.values() for call in watcher.on_timer(now)]
@@ -108,36 +108,36 @@
         return min(watcher.next_deadline() for watcher in self._watchers.values())
 
     def change_learned(self, now: float) -> None:
-        """Note that something new is known: a reader confirms it soon."""
+        """Record that the local state has changed: a reader confirms the change soon."""
         self._confirmations.schedule(now)
 
     def routes_read(self, now: float) -> None:
-        """Note that the store has brought a newer version of the routes."""
+        """Record that the store has returned a newer version of the routes."""
         self._gossip.routes_applied(now)
         self.change_learned(now)
 
     def store_answered(self, now: float) -> None:
-        """Note an answer of the store to any call: a reader confirms upon each."""
+        """Record an answer of the store to any call: a reader confirms after each."""
         self._probing.store_answered(now)
         self._confirmations.schedule(now)
 
     def store_failed(self, event: StoreCallFailed, now: float) -> None:
-        """Note a read or a watch that failed."""
+        """Record a read or a watch that failed."""
         self._probing.call_failed(event, now)
 
     def probe_ended(self, event: StoreProbed, now: float) -> None:
-        """Take the end of a probe."""
+        """Handle the result of a probe."""
         self._probing.probe_ended(event, now)
         if event.failure is None:
             self._confirmations.schedule(now)
 
     def heartbeat_received(self, ip: str, message: Heartbeat, now: float) -> None:
-        """Compare what a peer says it knows."""
+        """Compare the versions that a peer reports with the local ones."""
         self._peer_message_at = now
         self.intake.compare_versions(ip, message.routes_version, message.backends_revision, now)
 
     def confirmation_received(self, ip: str, message: Confirmation, now: float) -> None:
-        """Take a confirmation or a candidacy, and pass a new one on."""
+        """Handle a confirmation or a candidacy, and forward it if it is new."""
         self._peer_message_at = now
         self._confirmations.received(ip, message, now)
 
@@ -154,13 +154,13 @@
             self._outbox.send([ip], ChangesReply(changes))
 
     def changes_received(self, ip: str, message: ChangesReply, now: float) -> None:
-        """Take a peer's answer to a request for changes."""
+        """Apply a peer's answer to a request for changes."""
         self._peer_message_at = now
         if self.intake.apply_reply(ip, message.changes, now):
             self.change_learned(now)
 
     def routes_received(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> None:
-        """Take differences of the routes that a peer was asked for."""
+        """Apply differences of the routes that were requested from a peer."""
         self._peer_message_at = now
         if self.intake.apply_fetched_routes(ip, deltas, now):
             self.change_learned(now)
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -1,7 +1,7 @@
-"""Takes the messages of peers and hands each to the part that it concerns.
+"""Dispatches the messages of peers to the parts that handle them.
 
-Owns: the parts that answer peers directly (heartbeats, token lookup, snapshots, gossip about back ends
-that cannot be reached) and the bootstrap of a fresh balancer, which asks peers first.  Relies on:
+Owns: the parts that answer peers directly (heartbeats, token lookup, snapshots, gossip about unreachable
+back ends) and the bootstrap of a new balancer, which requests state from peers first.  Relies on:
 `Dissemination` for changes of the store, `OutlierEjection` for requests left unanswered.
 """
 
@@ -33,12 +33,12 @@
 
 
 class PeerExchange:
-    """What a balancer exchanges with its peers.
+    """Exchanges messages with the peers of a balancer.
 
-    :ivar bootstrap: gets a fresh balancer its first routes and back ends.
-    :param dissemination: takes what peers say about changes of the store.
-    :param reachability: remembers which back ends peers could not reach.
-    :param ejection: takes what peers say about requests left unanswered.
+    :ivar bootstrap: gets the first routes and back ends of a new balancer.
+    :param dissemination: handles messages about changes of the store.
+    :param reachability: records which back ends peers could not reach.
+    :param ejection: handles messages about requests left unanswered.
     """
 
     def __init__(
@@ -61,20 +61,20 @@
 
     @property
     def balancers(self) -> int:
-        """Balancers known, this one included."""
+        """Number of balancers known, this one included."""
         return len(self._peers) + 1
 
     def seeds_changed(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds; peers known stay."""
+        """Replace the seeds; peers already known are kept."""
         self._peers.seeds_changed(seeds)
 
     def start(self, now: float) -> None:
-        """Start heartbeats."""
+        """Start heartbeats and the bootstrap."""
         self._heartbeats.start(now)
         self.bootstrap.peers_reachable(now)
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return [*self._outbox.drain(), *self.bootstrap.drain_commands()]
 
     def next_deadline(self) -> float:
@@ -86,17 +86,17 @@
         )
 
     def on_timer(self, now: float) -> None:
-        """Let each part do what is due."""
+        """Run the parts that are due."""
         self._heartbeats.on_timer(now)
         self._tokens.on_timer(now)
         self._heartbeats.introduce(self.bootstrap.on_timer(now), now)
 
     def leave(self, now: float) -> None:
-        """Say to peers that this balancer stops."""
+        """Notify peers that this balancer is stopping."""
         self._heartbeats.leave(now)
 
     def message_received(self, event: PeerMessageReceived, now: float) -> None:
-        """Take a datagram of a peer."""
+        """Handle a datagram of a peer."""
         self._counters.peer_messages_received += 1
         message = event.message
         if isinstance(message, Heartbeat):
@@ -134,22 +134,22 @@
             self._dissemination.changes_received(ip, message, now)
 
     def snapshot(self, now: float) -> Snapshot:
-        """Return all that is known here."""
+        """Return the local routes, back ends and evacuated halls."""
         return self._snapshots.make(now)
 
     def snapshot_received(self, event: SnapshotReceived, now: float) -> None:
-        """Take what a peer knows where nothing newer is known here."""
+        """Apply a peer's snapshot where the local state is not newer."""
         self._snapshots.received(event, now)
         self.bootstrap.snapshot_applied(event.snapshot, now)
 
     def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
-        """Hold a packet and ask peers for its token."""
+        """Buffer a packet and look up its token at peers."""
         self._tokens.unknown_token(event, now)
 
     def spread_unreachable(self, name: str, now: float) -> None:
-        """Spread the name of a back end that could not be reached."""
+        """Spread the name of a back end that could not be reached, by gossip."""
         self._unreachable.spread(name, now)
 
     def drain_suspected(self) -> list[str]:
-        """Return back ends with flows here that peers could not reach, and forget them."""
+        """Return and clear the back ends with flows here that peers could not reach."""
         return self._unreachable.drain_suspected()
--- a/sloepond/core/forwarding/peers/heartbeats.py
+++ b/sloepond/core/forwarding/peers/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats: a balancer tells a random few others that it lives and how much it knows.
+"""Heartbeats: a balancer reports to a few random peers that it is alive, and how current its state is.
 
-Owns: when the next heartbeat is sent, and whether it says that this balancer leaves.  Relies on:
-`PeerTable`, which chooses the receivers (peer sampling) and takes what they say of themselves.
+Owns: when the next heartbeat is sent, and whether it announces that this balancer is leaving.  Relies on:
+`PeerTable`, which chooses the receivers (peer sampling) and records what heartbeats report.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from sloepond.core.forwarding.peers.peer_table import HEARTBEAT_INTERVAL_S, SHARED_PEERS
 
 LEAVE_REPEAT_S = 0.05
-"""Seconds after the first word that this balancer leaves until it is repeated to a random few.  Not
-measured: many times the way between halls (about 2 ms), a tenth of the routers' check interval (0.5 s)."""
+"""Seconds after the first announcement that this balancer is leaving until it is repeated to a few random
+peers: many times the latency between halls (about 2 ms), a tenth of the routers' check interval (0.5 s)."""
 
 
 class Heartbeats:
-    """Sends and takes heartbeats.
+    """Sends and handles heartbeats.
 
     :ivar is_leaving: whether a planned stop has begun.
     """
@@ -40,36 +40,35 @@
         return self._due_at
 
     def on_timer(self, now: float) -> None:
-        """Send heartbeats if it is time."""
+        """Send heartbeats, if due."""
         if now < self._due_at:
             return
         self._due_at = now + HEARTBEAT_INTERVAL_S * (0.8 + 0.4 * self._local.random_source.random())
         self._outbox.send(self._local.peers.choose(now), self._heartbeat(now))
 
     def leave(self, now: float) -> None:
-        """Say that this balancer stops: first to those of the hall, whose routers it concerns."""
+        """Announce that this balancer is stopping: first to its hall, whose routers are affected."""
         self.is_leaving = True
         self._outbox.send(self._local.peers.choose_in_hall(now), self._heartbeat(now))
         self._due_at = min(self._due_at, now + LEAVE_REPEAT_S)
 
     def received(self, ip: str, message: Heartbeat, now: float) -> None:
-        """Take a peer's heartbeat; one that knows few peers, or no routes, is sent one in return.
+        """Handle a peer's heartbeat; reply with one to a peer that knows few peers or no routes.
 
-        So is a peer of the hall that begins to stop: when it may end depends on how many of its hall stay
-        ready, which it else knows of those only whose heartbeats happened to come.  Measured on a model of
-        18 balancers of which five of the six in a hall are taken away, 40 seeded runs, 6 s after their start:
-        at most half as many packets are lost as with ends after a fixed time in 39 runs, in 16 without this.
+        Also reply to a peer of the same hall that starts to stop.  When it may end depends on how many
+        balancers of the hall stay ready, and without replies it would count only those whose heartbeats
+        happened to reach it.  If it counts too few when most of a hall is removed, packets are lost.
         """
         peers = self._local.peers
-        knows_few_peers = len(message.known_peers) < SHARED_PEERS and peers.is_new(ip, now)
-        knows_nothing = not message.routes_version and self._local.routes.version > 0
-        counts_hall = peers.is_first_leave_notice(ip, message)
-        if knows_few_peers or knows_nothing or counts_hall:
+        has_few_peers = len(message.known_peers) < SHARED_PEERS and peers.is_new(ip, now)
+        lacks_routes = not message.routes_version and self._local.routes.version > 0
+        is_leave_notice = peers.is_first_leave_notice(ip, message)
+        if has_few_peers or lacks_routes or is_leave_notice:
             self._outbox.send([ip], self._heartbeat(now, message.hall))
         peers.heartbeat_received(ip, message, now)
 
     def introduce(self, ips: Sequence[str], now: float) -> None:
-        """Send a heartbeat to some peers; those that know more reply with theirs."""
+        """Send a heartbeat to some peers; those that have newer state reply with theirs."""
         if ips:
             self._outbox.send(ips, self._heartbeat(now))
 
--- a/sloepond/core/forwarding/peers/held_packets.py
+++ b/sloepond/core/forwarding/peers/held_packets.py
@@ -1,7 +1,7 @@
-"""Packets that wait while peers are asked for the back end of their token.
+"""Buffers packets while the back end of their token is looked up at peers.
 
-Owns: the packets, by token, and how long each waits.  Relies on: `token_lookup`, which sends the
-requests and takes the replies.
+Owns: the packets, by token, and how long each is buffered.  Relies on: `token_lookup`, which sends the
+requests and handles the replies.
 """
 
 from __future__ import annotations
@@ -9,23 +9,23 @@
 import msgspec
 
 BUFFER_TIMEOUT_S = 0.15
-"""Seconds that a packet waits for a reply.  Not measured: its sender repeats it after 0.2 s, and a reply
-takes two ways between halls, about 4 ms."""
+"""Seconds for which a packet is buffered.  A reply takes one round trip between halls, about 4 ms, and the
+sender retransmits the packet after 0.2 s."""
 UNKNOWN_TOKEN_RETRY_S = 1.0
-"""Seconds until peers are asked again for a token that none of them knew.  Not measured: a change reaches
-every balancer within about this time."""
+"""Seconds until the lookup of a token that no peer knew is repeated.  A change reaches every balancer within
+about this time."""
 MAXIMUM_TOKENS = 256
-"""Tokens under request at once.  Not measured: with `MAXIMUM_PACKETS` of 1,500 bytes each it bounds the
+"""Maximum number of tokens looked up at once.  With `MAXIMUM_PACKETS` of 1,500 bytes each it bounds the
 memory to 3 MB."""
 MAXIMUM_PACKETS = 8
-"""Packets held for one token.  Not measured: what one caller sends within `BUFFER_TIMEOUT_S`."""
+"""Maximum number of packets buffered for one token: what one caller sends within `BUFFER_TIMEOUT_S`."""
 
 
 class TokenBuffer(msgspec.Struct):
-    """Packets that wait for one token.
+    """Packets buffered for one token.
 
-    :ivar requested_at: when peers were asked.
-    :ivar is_expired: whether the packets were dropped; the token is remembered until `UNKNOWN_TOKEN_RETRY_S`.
+    :ivar requested_at: when the lookup was sent to peers.
+    :ivar is_expired: whether the packets were dropped; the token is kept for `UNKNOWN_TOKEN_RETRY_S`.
     """
 
     requested_at: float
@@ -34,13 +34,13 @@
 
 
 class BufferedPackets:
-    """Packets by the token that they wait for."""
+    """Buffered packets by token."""
 
     def __init__(self) -> None:
         self._buffers: dict[int, TokenBuffer] = {}
 
     def buffer(self, token: int, datagram: bytes, now: float) -> bool:
-        """Hold a packet if there is room; return whether peers are to be asked for its token."""
+        """Buffer a packet if the limits allow; return whether its token must be looked up at peers."""
         buffered = self._buffers.get(token)
         if buffered is not None and now - buffered.requested_at < UNKNOWN_TOKEN_RETRY_S:
             if not buffered.is_expired and len(buffered.datagrams) < MAXIMUM_PACKETS:
@@ -52,12 +52,12 @@
         return True
 
     def release(self, token: int) -> list[bytes]:
-        """Return the packets that waited for a token, and forget them."""
+        """Return and remove the packets buffered for a token."""
         buffered = self._buffers.pop(token, None)
         return buffered.datagrams if buffered is not None else []
 
     def expire(self, now: float) -> int:
-        """Drop packets that have waited for `BUFFER_TIMEOUT_S`; return how many."""
+        """Drop packets buffered for `BUFFER_TIMEOUT_S`; return how many."""
         dropped = 0
         for token, buffered in list(self._buffers.items()):
             if now - buffered.requested_at >= UNKNOWN_TOKEN_RETRY_S:
--- a/sloepond/core/forwarding/peers/known_readers.py
+++ b/sloepond/core/forwarding/peers/known_readers.py
@@ -1,4 +1,4 @@
-"""Other readers of the store, as far as their confirmations and candidacies show.
+"""The other readers and candidates, known from their confirmations and candidacies.
 
 Owns: one entry for each reader or candidate.  Relies on: `ReaderElection`, which decides by these counts.
 """
@@ -10,31 +10,30 @@
 from sloepond.core.forwarding.peers.messages import Confirmation
 
 READERS = 3
-"""Readers a fleet has.  Measured over a quiet day of 74 balancers: 425 calls to the store with three
-readers, 3,535 where every balancer watched.  Simulated, 5% of the balancers miss any one
-confirmation; three readers and the pull make up for that."""
+"""Target number of readers in a fleet.  Few readers keep the number of calls to the store low.  Gossip at
+`FANOUT` misses about 5% of the balancers with any one confirmation; three readers and the pull compensate
+for that."""
 READER_TIMEOUT_S = 2.0
-"""Seconds of silence after which a reader counts as gone: two confirmations.  Measured on simulated fleets
-of 30 whose readers the store refuses: a change was known after 2.75 s at most in 60 runs; with 2.5 s it
-took 3.0 to 3.5 s in 8 of 200."""
+"""Seconds without a message after which a reader counts as gone: two confirmations.  With 2.5 s, changes
+can take more than 3 s to reach all balancers when the store refuses the readers."""
 RECENT_READER_S = 1.2
-"""Seconds of silence after which a reader keeps no stale balancer from becoming a candidate.  Not measured:
-readers confirm each 0.9 s, and all must have been silent for `STALE_AFTER_S` where none of them is the
-cause."""
+"""Seconds without a message after which a reader no longer keeps a stale balancer from becoming a candidate.
+Readers confirm every 0.9 s; unless they are the cause of the staleness, all of them must have been silent for
+`STALE_AFTER_S`, which is longer."""
 CANDIDACY_DURATION_S = 0.7
-"""Seconds for which a candidacy counts that no confirmation follows.  Not measured: a candidate decides after
-0.08 s and confirms upon its first read, which a small machine needs 0.2 s for."""
+"""Seconds for which a candidacy counts if no confirmation follows.  A candidate decides after 0.08 s and
+confirms after its first read, which takes 0.2 s on a small machine."""
 FORGET_AFTER_S = 10 * READER_TIMEOUT_S
-"""Seconds after which a silent reader's last number is forgotten.  Not measured: longer than any copy of
-its messages travels."""
+"""Seconds after which the entry of a silent reader is removed, with its last sequence number: longer than
+duplicates of its messages can circulate."""
 
 
 class KnownReader(msgspec.Struct):
     """One reader or candidate.
 
-    :ivar rank: of two readers the one with the higher rank stays.
-    :ivar sequence_number: number of its last message.
-    :ivar received_at: when that was received.
+    :ivar rank: if there are too many readers, those with the highest ranks stay.
+    :ivar sequence_number: sequence number of its last message.
+    :ivar received_at: when that message was received.
     :ivar expires_at: time until which it counts without another message.
     """
 
@@ -51,7 +50,7 @@
         self._readers: dict[int, KnownReader] = {}
 
     def message_received(self, message: Confirmation, now: float) -> bool:
-        """Note a candidacy or a confirmation; return whether it is no copy of an earlier one."""
+        """Record a candidacy or a confirmation; return whether it is new, not a duplicate."""
         known = self._readers.get(message.reader)
         if known is not None and message.sequence_number <= known.sequence_number:
             return False
@@ -62,15 +61,15 @@
         return True
 
     def rank_of(self, identity: int) -> float:
-        """Return the rank of a reader from whom a message was noted."""
+        """Return the rank of a reader whose message was recorded."""
         return self._readers[identity].rank
 
     def count(self, now: float) -> int:
-        """Return how many count now."""
+        """Return the number of readers and candidates that count now."""
         return sum(reader.expires_at > now for reader in self._readers.values())
 
     def count_recent(self, now: float) -> int:
-        """Return how many of those that count sent a message in the last `RECENT_READER_S`."""
+        """Return how many of those that count have sent a message within `RECENT_READER_S`."""
         return sum(
             reader.expires_at > now and now - reader.received_at < RECENT_READER_S
             for reader in self._readers.values()
@@ -81,7 +80,7 @@
         return sum(reader.expires_at > now and reader.rank > rank for reader in self._readers.values())
 
     def forget_silent(self, now: float) -> None:
-        """Forget readers that have been silent for `FORGET_AFTER_S`."""
+        """Remove readers that have been silent for `FORGET_AFTER_S`."""
         gone = [key for key, reader in self._readers.items() if now - reader.expires_at > FORGET_AFTER_S]
         for key in gone:
             del self._readers[key]
--- a/sloepond/core/forwarding/peers/messages.py
+++ b/sloepond/core/forwarding/peers/messages.py
@@ -1,7 +1,7 @@
 """Messages between balancers, by datagram (`PeerMessage`) or by stream (`StreamRequest` and its answers).
 
-Owns: the form of the messages.  Each is encoded as an array in the order of its fields with its tag in
-front, so fields are added at the end only, with a default.  Relies on: `msgspec`.
+Owns: the format of the messages.  Each is encoded as an array of its tag and its fields in order, so new
+fields are added only at the end, with a default.  Relies on: `msgspec`.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The sender is alive and knows this much.
+    """Reports that the sender is alive, and how current its state is.
 
     :ivar routes_version: version of the routes in force, 0 for none.
-    :ivar backends_revision: the store's revision of the last change of back ends
-        that the sender knows.
-    :ivar is_leaving: whether it stops.
+    :ivar backends_revision: the store's revision of the last change of a back end
+        that the sender has.
+    :ivar is_leaving: whether the sender is stopping.
     :ivar known_peers: IP addresses of a few other balancers.
     :ivar hall: hall of the sender.
     """
@@ -34,16 +34,16 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Requests the back end that has a token."""
+    """Requests the back end that holds a routing token."""
 
     token: int
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Answers `TokenRequest`: the back end that has the token.
+    """Answers `TokenRequest`: the back end that holds the token.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
-    :ivar announced_leaving: whether it had said that it leaves.
+    :ivar announced_leaving: whether it had announced that it was leaving.
     """
 
     record: BackendRecord
@@ -52,10 +52,10 @@
 
 
 class KnownBackend(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A back end as a balancer knows it.
+    """A back end with the state that a balancer holds for it.
 
     :ivar departed_s: seconds since it left the list, 0 if it is listed.
-    :ivar announced_leaving: whether it had said that it leaves.
+    :ivar announced_leaving: whether it had announced that it was leaving.
     """
 
     record: BackendRecord
@@ -64,17 +64,17 @@
 
 
 class Changes(msgspec.Struct, frozen=True, array_like=True):
-    """What has changed in the store lately.
+    """Recent changes in the store.
 
     :ivar routes_version: version of the routes in force at the sender.
-    :ivar route_delta: what leads to that or an earlier version, if it is small.
-    :ivar base_revision: the store's revision from which `backends` holds all changes.
+    :ivar route_delta: difference that leads to that or an earlier version, if it is small.
+    :ivar base_revision: the store's revision after which `backends` holds all changes.
     :ivar revision: revision up to which it holds them.
-    :ivar last_change_revision: revision of the last change of a back end known to the sender.
-    :ivar backends: changed back ends as they are now.
-    :ivar evacuated: all evacuated halls the sender knows of.
+    :ivar last_change_revision: revision of the last change of a back end that the sender has.
+    :ivar backends: changed back ends in their current state.
+    :ivar evacuated: all evacuated halls.
     :ivar list_checksum: anti-entropy checksum of the sender's list of back ends at `revision`,
-        `NO_CHECKSUM` where the message carries none.
+        `NO_CHECKSUM` if the message carries none.
     """
 
     routes_version: int
@@ -88,11 +88,11 @@
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A reader of the store confirms to all others what it knows; each passes it on once.
+    """Confirms a reader's state of the store to all balancers; each forwards it once.
 
     :ivar reader: identity of the reader's process.
-    :ivar rank: of the reader; see `ReaderElection`.
-    :ivar sequence_number: grows with each confirmation of this reader.
+    :ivar rank: rank of the reader; see `ReaderElection`.
+    :ivar sequence_number: increases with each message of this reader.
     :ivar is_candidacy: whether the sender is only a candidate and confirms nothing.
     :ivar age_s: seconds since the store last answered the reader.
     """
@@ -106,7 +106,7 @@
 
 
 class ChangesRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Requests what has changed since a version of the routes and a revision of the store."""
+    """Requests the changes since a version of the routes and a revision of the store."""
 
     routes_version: int
     revision: int
@@ -119,25 +119,25 @@
 
 
 class ConfirmationsRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Requests the last confirmations, for a balancer that has received none lately."""
+    """Requests the last confirmations; sent by a balancer that has received none recently."""
 
 
 class BackendUnreachable(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The sender, or one before it, could not reach a back end."""
+    """Reports that the sender, or an earlier sender of this gossip, could not reach a back end."""
 
     name: str
 
 
 class RequestUnanswered(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """A back end has left a request of the sender unanswered; sent to the balancers assigned to it."""
+    """Reports a request that a back end left unanswered, to the balancers assigned to that back end."""
 
     name: str
 
 
 class BackendFailing(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """A balancer assigned to a back end says that it leaves requests unanswered.
+    """Reports, from a balancer assigned to a back end, that it is ejected for requests left unanswered.
 
-    :ivar duration_s: for how long it is given no new flow.
+    :ivar duration_s: seconds for which it is given no new flow.
     """
 
     name: str
@@ -160,11 +160,11 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that a balancer knows, for one that has just started; answers `SnapshotRequest`.
+    """The whole state of a balancer, for one that has just started; answers `SnapshotRequest`.
 
-    :ivar routes_age_s: seconds since the store last answered about the routes.
-    :ivar backends_age_s: the same about the back ends.
-    :ivar revision: the store's revision up to which changes of back ends are known.
+    :ivar routes_age_s: seconds since the store last confirmed the routes.
+    :ivar backends_age_s: seconds since the store last confirmed the back ends.
+    :ivar revision: the store's revision up to which all changes of back ends are included.
     """
 
     routes: RouteConfiguration
@@ -176,11 +176,11 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Requests a snapshot, on a stream."""
+    """Requests a snapshot, by stream."""
 
 
 class RoutesRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Requests the differences since a version of the routes, on a stream."""
+    """Requests the differences since a version of the routes, by stream."""
 
     version: int
 
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -1,9 +1,9 @@
-"""Peer sampling: each balancer keeps a partial view of the others, by heartbeats to a random few.
+"""Peer sampling: each balancer keeps a partial view of the others, by heartbeats to a few random peers.
 
-Membership needs no agreement.  A heartbeat says how much its sender knows, so that a peer that has missed
-a change requests it; and it carries addresses of other balancers.
+Membership needs no agreement.  A heartbeat reports its sender's versions, so that a peer that has missed a
+change requests it, and carries addresses of other balancers.
 
-Owns: the peers known, and when each sent its last message.  Relies on: `Heartbeats` to send and take
+Owns: the peers known, and when each sent its last message.  Relies on: `Heartbeats` to send and receive
 heartbeats, the settings for seeds.
 """
 
@@ -18,42 +18,39 @@
 from sloepond.core.forwarding.peers.messages import Heartbeat
 
 HEARTBEAT_INTERVAL_S = 1.0
-"""Seconds between heartbeats, drawn from 0.8 to 1.2 times this so that they do not stay in step.  Not
-measured: with `FANOUT` it makes 3 datagrams a second of each balancer, whatever the size of the fleet."""
+"""Seconds between heartbeats, drawn from 0.8 to 1.2 times this so that balancers do not synchronise.  With
+`FANOUT` each balancer sends 3 datagrams per second, whatever the size of the fleet."""
 FANOUT = 3
-"""Peers that each heartbeat, request and passed-on message goes to.  Not measured alone: simulated, gossip
-at this fanout misses 5% of the balancers; three readers and the pull make up for it."""
+"""Number of peers to which each heartbeat, request and forwarded message is sent.  Gossip at this fanout
+misses about 5% of the balancers; three readers and the pull compensate for that."""
 MAXIMUM_PEERS = 128
-"""Peers kept; a random one makes room for another.  Not measured: bounds the memory and the time to choose
-peers, and holds most of the largest fleet seen (195 balancers)."""
+"""Maximum number of peers kept; a random one is evicted for a new one.  Bounds the memory and the time to
+choose peers, and holds most of a fleet of 195 balancers."""
 SHARED_PEERS = 4
-"""Addresses carried by a heartbeat.  Not measured: one more than `FANOUT`; a heartbeat with four
-takes about 80 bytes."""
+"""Number of addresses in a heartbeat: one more than `FANOUT`; a heartbeat with four takes about 80 bytes."""
 ALIVE_TIMEOUT_S = 5.0
-"""Seconds of silence after which a peer no longer counts as alive.  Not measured: several heartbeat
-intervals, since each heartbeat goes to a random few."""
+"""Seconds without a message after which a peer no longer counts as alive: several heartbeat intervals, since
+each heartbeat goes to only a few random peers."""
 HALL_FANOUT = 32
-"""Peers of its hall to which a balancer says at once that it stops: all of a small hall, and of a larger
-one enough that most of those that stop with it know.  Not measured alone; with the rule of `planned_stop`,
-of which it is a part, requests not served fell from 414 to 25 over days with a planned removal."""
+"""Number of peers in its hall to which a balancer announces at once that it is stopping: all of a small hall,
+and enough of a larger one to reach most of those that stop with it.  Part of the rule in `planned_stop`."""
 NEW_PEER_SILENCE_S = 20.0
-"""Seconds of silence after which a peer counts as new: it is sent a heartbeat with addresses when it
-sends a message again.  Not measured: in this time each of 60 peers is sent one heartbeat on the mean."""
+"""Seconds without a message after which a peer counts as new: it is sent a heartbeat with addresses when it
+sends a message again.  In this time each of 60 peers is sent one heartbeat on average."""
 NAMED_TIMEOUT_S = 3.0
 """Seconds for which a peer counts as alive because a heartbeat of another one names it.  Heartbeats name
-only peers that have sent messages to their sender, so one that is gone is forgotten everywhere.  Measured on
-a simulated fleet of 40 without it: seeds were sent ten times the datagrams of others, and some machines
-were sent almost none."""
+only peers that have sent messages to their sender, so one that is gone is forgotten everywhere.  Without it,
+seeds are sent many times the datagrams of other balancers, and some balancers almost none."""
 
 
 class Peer(msgspec.Struct):
     """One other balancer.
 
-    :ivar received_at: when its last message came, `-NEVER` for never.
+    :ivar received_at: when its last message was received, `-NEVER` for never.
     :ivar named_at: when a heartbeat of another peer last named it, `-NEVER` for never.
-    :ivar is_leaving: whether it has said that it stops.
-    :ivar is_ready: whether it has said that it knows routes and does not stop.
-    :ivar hall: its hall, empty where it is not known.
+    :ivar is_leaving: whether it has announced that it is stopping.
+    :ivar is_ready: whether it has reported that it has routes and is not stopping.
+    :ivar hall: its hall, empty if unknown.
     """
 
     ip: str
@@ -65,10 +62,10 @@
 
 
 class HallPeers(msgspec.Struct, frozen=True):
-    """Peers of the hall that sent a message lately.
+    """Number of peers of the hall that have sent a message recently.
 
-    :ivar ready: those that live and have said that they are ready.
-    :ivar others: those that stop, are silent, or know no routes yet.
+    :ivar ready: those that are alive and have reported that they are ready.
+    :ivar others: those that are stopping, are silent, or have no routes yet.
     """
 
     ready: int
@@ -95,7 +92,7 @@
         return len(self._peers)
 
     def peers_staying(self) -> list[str]:
-        """Return the addresses of all peers kept that have not said that they leave."""
+        """Return the addresses of all known peers that have not announced that they are leaving."""
         return [peer.ip for peer in self._peers.values() if not peer.is_leaving]
 
     def alive(self, now: float) -> list[str]:
@@ -103,7 +100,7 @@
         return [peer.ip for peer in self._peers.values() if self._is_alive(peer, now)]
 
     def count_hall_peers(self, now: float) -> HallPeers:
-        """Count the peers of the hall, this balancer left out."""
+        """Count the peers of the hall, without this balancer."""
         recent = [
             peer
             for peer in self._peers.values()
@@ -113,18 +110,18 @@
         return HallPeers(ready, len(recent) - ready)
 
     def seeds_changed(self, seeds: Iterable[str]) -> None:
-        """Take other seeds; peers known stay."""
+        """Replace the seeds; peers already known are kept."""
         self._seeds = tuple(seed for seed in seeds if seed != self._ip)
         for seed in self._seeds:
             self._get_or_add(seed)
 
     def is_new(self, ip: str, now: float) -> bool:
-        """Tell whether a peer has been silent for long: it may know nobody."""
+        """Return whether a peer is unknown or has been silent for long: it may know no other balancers."""
         peer = self._peers.get(ip)
         return peer is None or now - peer.received_at > NEW_PEER_SILENCE_S
 
     def heartbeat_received(self, ip: str, heartbeat: Heartbeat, now: float) -> None:
-        """Take a peer's heartbeat."""
+        """Record a peer's heartbeat and the peers that it names."""
         peer = self._get_or_add(ip)
         if peer is not None:
             peer.received_at = now
@@ -137,15 +134,15 @@
                 named.named_at = now
 
     def message_received(self, ip: str, now: float) -> None:
-        """Note that a peer has sent some message."""
+        """Record that a peer has sent some message."""
         peer = self._get_or_add(ip)
         if peer is not None:
             peer.received_at = now
 
     def choose(self, now: float, count: int = FANOUT) -> list[str]:
-        """Return addresses of a random few that count as alive.
+        """Return addresses of a few random peers that count as alive.
 
-        One that may be dead is among them now and then, so that the end of a partition is noticed.
+        Occasionally one that may be dead is included, so that the end of a partition is detected.
         """
         alive = self.alive(now)
         others = [peer.ip for peer in self._peers.values() if not self._is_alive(peer, now)]
@@ -155,9 +152,9 @@
         return chosen
 
     def choose_near(self, now: float) -> list[str]:
-        """Return addresses of a few living peers, most of them in the same hall.
+        """Return addresses of a few live peers, most of them in the same hall.
 
-        Bytes between halls have a price; one peer from anywhere keeps the halls in touch.
+        Traffic between halls has a cost; one peer from any hall keeps the halls connected.
         """
         near = self._alive_in_hall(now)
         chosen = self._random.sample(near, min(FANOUT - 1, len(near)))
@@ -165,9 +162,9 @@
         return chosen + others[: FANOUT - len(chosen)]
 
     def choose_in_hall(self, now: float) -> list[str]:
-        """Return addresses of the living peers that stand or may stand in the hall, of many a random part.
+        """Return addresses of live peers that are or may be in the hall, at most `HALL_FANOUT` at random.
 
-        The hall of a peer is unknown until its first heartbeat, which is sent to a random few.
+        The hall of a peer is unknown until its first heartbeat arrives, which goes to only a few peers.
         """
         near = self._alive_in_hall(now)
         chosen = self._random.sample(near, min(HALL_FANOUT, len(near)))
@@ -176,7 +173,7 @@
         return chosen + others
 
     def is_first_leave_notice(self, ip: str, heartbeat: Heartbeat) -> bool:
-        """Tell whether a peer of the hall says that it stops, and was not known to."""
+        """Return whether a heartbeat is the first one in which a peer of the hall announces that it stops."""
         peer = self._peers.get(ip)
         was_leaving = peer is not None and peer.is_leaving
         return heartbeat.is_leaving and heartbeat.hall == self._hall and not was_leaving
@@ -188,7 +185,7 @@
     def choose_source(self, now: float, may_be_far: bool) -> list[str]:
         """Return the address of a peer to fetch a snapshot from, in the same hall if possible.
 
-        :param may_be_far: whether one in another hall, or in an unknown one, will do.
+        :param may_be_far: whether a peer in another or an unknown hall is acceptable.
         """
         alive = [peer for peer in self._peers.values() if self._is_alive(peer, now)]
         near = [peer.ip for peer in alive if peer.hall == self._hall]
@@ -197,9 +194,9 @@
         return self.choose(now, 1)[:1] if may_be_far else []
 
     def choose_shared(self, now: float, hall: str = "") -> tuple[str, ...]:
-        """Return a few living peers for a heartbeat to carry.
+        """Return the addresses of a few live peers for a heartbeat to carry.
 
-        :param hall: hall of the receiver, whose peers it needs most; empty for any.
+        :param hall: hall of the receiver, which needs the peers of its own hall most; empty for any.
         """
         alive = [peer for peer in self._peers.values() if now - peer.received_at < ALIVE_TIMEOUT_S]
         near = [peer.ip for peer in alive if peer.hall == hall]
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -1,13 +1,13 @@
-"""Reader election: which few balancers read the store, without agreement.
+"""Reader election: chooses the few balancers that read the store, without agreement.
 
-A reader watches the store and confirms what it knows to all others.  Each follower counts the readers it
-receives messages of.  When there are too few, it waits a random time, becomes a candidate, says
-so, and reads if no better ones do so meanwhile; when there are too many, the worst resign.  Two parts
-of a fleet that cannot reach each other have readers of their own, and a balancer that receives nothing
-reads for itself.  One reader more or less does no harm, since readers only confirm.
+A reader watches the store and confirms its state to all others.  Each follower counts the readers whose
+messages it receives.  If there are too few, it becomes a candidate after a random delay, announces this, and
+starts to read unless better candidates appear meanwhile.  If there are too many, the readers of the lowest
+rank resign.  Two partitions of a fleet have readers of their own, and a balancer that receives nothing reads
+for itself.  One reader too many or too few does no harm, since readers only confirm.
 
-Owns: the role of this balancer.  Relies on: `KnownReaders` for the others, the caller to say how stale
-what it knows is, and to carry the role out.
+Owns: the role of this balancer.  Relies on: `KnownReaders` for the other readers, the code that calls it to
+report how stale the local state is and to apply the role.
 """
 
 from __future__ import annotations
@@ -20,56 +20,54 @@
 from sloepond.core.forwarding.peers.messages import Confirmation
 
 CANDIDATE_DELAY_S = 0.08
-"""Seconds for messages of better candidates to arrive before a candidate reads.  Not measured: gossip reaches
-all in about 0.05 s."""
+"""Seconds that a candidate leaves for messages of better candidates to arrive before it reads.  Gossip
+reaches all balancers in about 0.05 s."""
 START_DELAY_S = 0.3
-"""Seconds for a process that has just started to receive confirmations, which it pulls at once, so silence
-means that all have just started.  Measured with 1.0 s in its place: after a loss of all processes the
-first watch began 1.26 s after the first read, and entries that came back meanwhile were unknown."""
+"""Seconds before a process that has just started may become a candidate.  It pulls confirmations at once, so
+if none has arrived by then, all balancers have just started.  With 1.0 s, the first watch after a loss of all
+processes begins so late that entries listed again meanwhile are not noticed."""
 START_DELAY_PER_PEER_S = 0.015
-"""The same in seconds for each peer known: the larger a fleet that starts, the more candidates stand at once.
-Measured in a fleet of 74: all stand at 0.3 s without it; no effect on requests served was shown."""
+"""Seconds added to `START_DELAY_S` for each peer known.  Without it, all balancers of a large fleet that
+starts at once become candidates at the same time."""
 URGENT_DELAY_S = 0.35
-"""Longest random wait in seconds before a candidacy while nothing is confirmed.  Not measured: four times
-`CANDIDATE_DELAY_S`, so that few stand at once."""
+"""Maximum random delay in seconds before a candidacy while the local state is stale or there is no reader:
+four times `CANDIDATE_DELAY_S`, so that few become candidates at once."""
 CANDIDACY_DELAY_S = 2.0
-"""The same while there are readers, but too few.  Not measured: nothing is late then, so a longer wait
-lets fewer stand at once."""
+"""Maximum random delay in seconds before a candidacy while there are readers, but too few.  Nothing is late
+then, and a longer delay lets fewer become candidates at once."""
 CAPACITY_FACTOR = 8.0
-"""How much sooner a balancer with a whole core becomes a candidate: the wait is divided by 1 + 8 times its
-share of a core.  Not measured: reading a large configuration takes a small machine 0.2 s, so larger ones
-should read."""
+"""How much sooner a balancer with a whole core becomes a candidate: the delay is divided by 1 + 8 times its
+share of a core.  Reading a large configuration takes 0.2 s on a small machine, so larger ones should read."""
 RESIGNATION_BACKOFF_S = 1.5
-"""Seconds for which a reader that has failed leaves the role to others: once to twice this.  Not measured:
-longer than a candidate needs to become a reader, at most 0.6 s."""
+"""Minimum seconds before a reader that has resigned because its calls failed may become a candidate again;
+drawn from once to twice this.  Longer than a candidate needs to become a reader, at most 0.6 s."""
 FAILING_TIMEOUT_S = 0.6
-"""Seconds for which calls to the store may fail before a reader resigns.  Not measured: about four tries
-with the waits of the backoff."""
+"""Seconds for which calls to the store may fail before a reader resigns: about four attempts with backoff."""
 CHECK_INTERVAL_S = 0.2
-"""Seconds between reviews of the role.  Not measured: a tenth of the silence after which a reader is gone."""
+"""Seconds between reviews of the role: a tenth of the timeout after which a reader counts as gone."""
 RANK_JITTER_DIVISOR = 1000.0
-"""The random part of a rank is at most a core divided by this, so that equal machines differ in rank.  Not
-measured: below the smallest step in which machines' shares of a core differ."""
+"""The random part of a rank is at most a core divided by this, so that equal machines differ in rank.  It is
+smaller than any difference between the shares of a core of unequal machines."""
 
 
 class Role(enum.Enum):
-    """What a balancer does about the store; the values stand in log lines."""
+    """Role of a balancer towards the store; the values appear in log lines."""
 
     FOLLOWER = "listener"
-    """Takes what readers confirm."""
+    """Applies what readers confirm."""
     CANDIDATE = "claimant"
-    """Has said that it would read, and waits for better candidates."""
+    """Has announced that it would read, and leaves time for better candidates."""
     READER = "reader"
-    """Watches the store and confirms what it knows to all others."""
+    """Watches the store and confirms its state to all others."""
 
 
 class ReaderElection:
-    """The role of one balancer.
+    """Decides the role of one balancer.
 
-    :param identity: number of this process, drawn at its start.
-    :param capacity: share of a core it may use; the larger, the sooner it reads.
-    :ivar rank: of two readers the one with the higher rank stays.
-    :ivar role: what it does now.
+    :param identity: number of this process, drawn at random at its start.
+    :param capacity: share of a core that it may use; the larger, the sooner it becomes a candidate.
+    :ivar rank: if there are too many readers, those with the highest ranks stay.
+    :ivar role: the current role.
     """
 
     def __init__(self, identity: int, capacity: float, random_source: random.Random) -> None:
@@ -87,7 +85,7 @@
         self._failing_since: float | None = None
 
     def start(self, now: float) -> None:
-        """Begin as a follower."""
+        """Start as a follower."""
         self._start_at = now
         self._check_at = now + START_DELAY_S
 
@@ -101,30 +99,30 @@
         return min(self._check_at, self._candidate_at)
 
     def message_received(self, message: Confirmation, now: float) -> bool:
-        """Note a candidacy or a confirmation of a reader; return whether it is a new one."""
+        """Record a candidacy or a confirmation; return whether it is new and of another balancer."""
         if message.reader == self.identity:
             return False
         return self._others.message_received(message, now)
 
     def is_among_best(self, identity: int, now: float) -> bool:
-        """Tell whether a reader is one of those that stay when there are too many.
+        """Return whether a reader is one of those that stay if there are too many.
 
-        Only their confirmations are passed on, so that too many readers, as at the start of a large
-        fleet, do not multiply what is sent.
+        Only their confirmations are forwarded, so that too many readers, as at the start of a large fleet,
+        do not multiply the traffic.
         """
         return self._others.count_better(self._others.rank_of(identity), now) < READERS
 
     def readers_counted(self, now: float) -> int:
-        """Return how many other readers there are as far as is known."""
+        """Return the number of other readers and candidates known."""
         return self._others.count(now)
 
     def store_failed(self, now: float) -> None:
-        """Note that a call to the store has failed."""
+        """Record that a call to the store has failed."""
         if self._failing_since is None:
             self._failing_since = now
 
     def store_answered(self) -> None:
-        """Note that the store has answered."""
+        """Record that the store has answered."""
         self._failing_since = None
 
     @property
@@ -133,11 +131,11 @@
         return self._failing_since is not None
 
     def on_timer(self, now: float, is_fresh: bool, has_peer_contact: bool, peers: int) -> None:
-        """Change the role if it is time.
+        """Review the role, if due.
 
-        :param is_fresh: whether what is known was confirmed lately.
-        :param has_peer_contact: whether any message of a peer came lately.
-        :param peers: other balancers known.
+        :param is_fresh: whether the local state was confirmed recently.
+        :param has_peer_contact: whether any message of a peer was received recently.
+        :param peers: number of other balancers known.
         """
         if now < self.next_deadline():
             return
@@ -150,7 +148,7 @@
             self._consider_resigning(now, has_peer_contact)
 
     def forget_silent(self, now: float) -> None:
-        """Forget readers that have been silent for long."""
+        """Remove readers that have been silent for long."""
         self._others.forget_silent(now)
 
     def _consider_candidacy(self, now: float, is_fresh: bool, peers: int) -> None:
--- a/sloepond/core/forwarding/peers/reader_role.py
+++ b/sloepond/core/forwarding/peers/reader_role.py
@@ -1,6 +1,6 @@
-"""Carries out the role that the reader election gives this balancer.
+"""Applies the role that the reader election gives this balancer.
 
-Owns: nothing but the change from one role to the next.  Relies on: `ReaderElection`, which decides;
+Owns: the transition from one role to the next.  Relies on: `ReaderElection`, which decides the role;
 `StoreProbing`, `Confirmations` and the watchers, which a reader starts and a follower stops.
 """
 
@@ -37,7 +37,7 @@
     def on_timer(self, now: float, has_peer_contact: bool) -> None:
         """Review the staleness and the role.
 
-        :param has_peer_contact: whether any message of a peer came lately.
+        :param has_peer_contact: whether any message of a peer was received recently.
         """
         before = self._election.role
         is_fresh = self._staleness.is_fresh(now)
--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -1,6 +1,6 @@
-"""The last confirmation of each reader, for peers that have received none lately.
+"""Keeps the last confirmation of each reader, for peers that have received none recently.
 
-Owns: one confirmation for each reader.  Relies on: `Confirmations`, which adds those it receives.
+Owns: one confirmation for each reader.  Relies on: `Confirmations`, which adds those it sends and receives.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 
 class RecentConfirmation(msgspec.Struct, frozen=True):
-    """The last confirmation of a reader and when it was received."""
+    """The last confirmation of a reader, and when it was received."""
 
     message: Confirmation
     received_at: float
 
 
 class RecentConfirmations:
-    """One confirmation for each reader."""
+    """The last confirmation of each reader."""
 
     def __init__(self) -> None:
         self._by_reader: dict[int, RecentConfirmation] = {}
 
     def note(self, message: Confirmation, now: float) -> None:
-        """Keep a confirmation in place of the reader's last one."""
+        """Store a confirmation in place of the reader's last one."""
         self._by_reader[message.reader] = RecentConfirmation(message, now)
 
     def recent(self, now: float) -> list[Confirmation]:
         """Return those that are still fresh, with their age and without changes.
 
-        After a loss of all processes everyone requests them from the few seeds, four times a second;
-        with changes each seed sent 1,066 kB/s to 195 balancers, without them 600 kB/s.
+        After a loss of all processes every balancer requests them from the few seeds, four times per second;
+        with changes the seeds would send nearly twice as many bytes.
         """
         recent: list[Confirmation] = []
         for received in self._by_reader.values():
@@ -42,18 +42,18 @@
         return recent
 
     def forget(self, now: float) -> None:
-        """Forget those that are no longer fresh."""
+        """Remove those that are no longer fresh."""
         old = [reader for reader, received in self._by_reader.items() if now - received.received_at > STALE_AFTER_S]
         for reader in old:
             del self._by_reader[reader]
 
 
 def without_changes(message: Confirmation) -> Confirmation:
-    """Return a confirmation that only says how much its reader knows.
+    """Return a confirmation that carries only the versions and revisions of its reader.
 
-    A balancer passes changes on whole when it learns of them; when it receives them again it passes on only
-    that they are confirmed, and a peer that lacks them requests them.  What 195 balancers sent each other
-    over one day fell from 254 to 68 MB by this and by sending each change in two confirmations.
+    A balancer forwards changes in full when they are new to it.  When it receives them again it forwards only
+    that they are confirmed, and a peer that lacks them requests them.  Together with `CHANGE_REPEATS` this
+    reduces the traffic between balancers several times.
     """
     sent = message.changes
     bare = Changes(
--- a/sloepond/core/forwarding/peers/snapshots.py
+++ b/sloepond/core/forwarding/peers/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots: routes and back ends as one balancer has them, for one that has just started.
+"""Snapshots: the routes, back ends and evacuated halls of one balancer, for one that has just started.
 
-Owns: nothing; it reads and updates the local state.  Relies on: `Staleness` for the age that goes with
-a snapshot, the runtime to carry it by stream.
+Owns: nothing; it reads and updates the local state.  Relies on: `Staleness` for the age sent with a
+snapshot, the runtime to send it by stream.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Snapshots:
-    """Makes snapshots and takes those of peers."""
+    """Makes snapshots and applies those of peers."""
 
     def __init__(self, local: LocalState, staleness: Staleness, intake: ChangeIntake, outbox: Outbox) -> None:
         self._local = local
@@ -25,7 +25,7 @@
         self._outbox = outbox
 
     def make(self, now: float) -> Snapshot:
-        """Return all that is known here."""
+        """Return a snapshot of the local state."""
         local = self._local
         return Snapshot(
             local.routes.in_force,
@@ -37,7 +37,7 @@
         )
 
     def received(self, event: SnapshotReceived, now: float) -> None:
-        """Take what a peer knows where nothing newer is known here."""
+        """Apply a peer's snapshot where the local state is not newer."""
         local, snapshot = self._local, event.snapshot
         is_first = not local.backends.has_full_list
         is_newer = local.routes.apply(snapshot.routes)
@@ -58,9 +58,9 @@
         self._outbox.log(LogKind.KNOWLEDGE_TAKEN, event.ip, detail)
 
     def _note_confirmation(self, backends_age_s: float, now: float) -> None:
-        """Note whether the peer's list of back ends was ever confirmed, and readers know no later one.
+        """Record whether the peer's list of back ends has been confirmed, and no reader has a later change.
 
-        A reader's confirmation may be here before the snapshot, and not the change at the peer.
+        A reader's confirmation may arrive here before the snapshot while the peer lacks the change.
         """
         watcher = self._local.watchers[Subject.BACKENDS]
         if backends_age_s < NEVER and not self._intake.is_behind_on_backends:
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -1,7 +1,7 @@
-"""Finds the back end of a token that is unknown here, by asking peers.
+"""Looks up the back end of an unknown token at peers.
 
-Owns: the packets that wait meanwhile.  Relies on: `PeerTable` to choose whom to ask, the back end
-directory to take what they reply.
+Owns: the packets that are buffered meanwhile.  Relies on: `PeerTable` to choose the peers, the back end
+directory to apply their replies.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class TokenLookup:
-    """Requests and replies about tokens."""
+    """Sends and handles requests and replies about tokens."""
 
     def __init__(self, local: LocalState, outbox: Outbox) -> None:
         self._local = local
@@ -28,13 +28,13 @@
         return self._expire_at
 
     def on_timer(self, now: float) -> None:
-        """Drop packets for whose token no peer has replied."""
+        """Drop packets whose token was looked up without a reply in time."""
         if now >= self._expire_at:
             self._local.counters.held_packets_dropped += self._buffered.expire(now)
             self._expire_at = NEVER
 
     def unknown_token(self, event: UnknownTokenReceived, now: float) -> None:
-        """Hold a packet and ask peers for its token."""
+        """Buffer a packet and look up its token at peers."""
         if not self._buffered.buffer(event.token, event.datagram, now):
             return
         self._local.counters.tokens_looked_up += 1
@@ -44,14 +44,14 @@
         self._outbox.log(LogKind.TOKEN_LOOKED_UP, f"{event.token:08x}", f"asked={len(peers)}")
 
     def answer(self, ip: str, token: int, now: float) -> None:
-        """Reply to a peer if the back end of a token is known here."""
+        """Reply to a peer if the back end of a token is known locally."""
         backend = self._local.backends.by_token(token)
         if backend is not None:
             known = backend.to_known_backend(now)
             self._outbox.send([ip], TokenReply(known.record, known.departed_s, known.announced_leaving))
 
     def reply_received(self, message: TokenReply, now: float) -> None:
-        """Take a reply, and forward the packets that waited for it."""
+        """Apply a reply, and forward the packets buffered for it."""
         backends = self._local.backends
         known = KnownBackend(message.record, message.departed_s, message.announced_leaving)
         if backends.add_known(known, self._local.watchers[Subject.BACKENDS].revision, now):
--- a/sloepond/core/forwarding/peers/unreachable_gossip.py
+++ b/sloepond/core/forwarding/peers/unreachable_gossip.py
@@ -1,7 +1,7 @@
 """Gossip about back ends that some balancer could not reach.
 
-Owns: the names of back ends that are to be checked here because of it.  Relies on: `Reachability`,
-which remembers what was received lately, so that each balancer passes a name on once.
+Owns: the names of back ends that must be checked here because of it.  Relies on: `Reachability`, which
+records the names received recently, so that each balancer forwards a name once.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class UnreachableGossip:
-    """Spreads the names of back ends that could not be reached, and collects those to check."""
+    """Spreads the names of unreachable back ends, and collects those to check."""
 
     def __init__(self, local: LocalState, reachability: Reachability, outbox: Outbox) -> None:
         self._local = local
@@ -22,11 +22,11 @@
         self._suspected: list[str] = []
 
     def spread(self, name: str, now: float) -> None:
-        """Send a name to a few peers; each passes it on once."""
+        """Send a name to a few peers; each forwards it once."""
         self._outbox.send(self._local.peers.choose_near(now), BackendUnreachable(name))
 
     def received(self, name: str, now: float) -> None:
-        """Take a name from a peer: pass it on, and check the back end if it has flows here."""
+        """Handle a name from a peer: forward it, and check the back end if it has flows here."""
         backend = self._local.backends.by_name(name)
         if backend is None or not self._reachability.suspected_by_peer(backend, now):
             return
@@ -35,6 +35,6 @@
             self._suspected.append(name)
 
     def drain_suspected(self) -> list[str]:
-        """Return back ends with flows here that peers could not reach, and forget them."""
+        """Return and clear the back ends with flows here that peers could not reach."""
         suspected, self._suspected = self._suspected, []
         return suspected
