--- a/features/forwarding/tokens.feature
+++ b/features/forwarding/tokens.feature
@@ -1,25 +1,25 @@
-Feature: A packet's token names its back end, whatever a balancer knows
+Feature: A packet's token identifies its back end, whatever the state of the balancer
 
-  Scenario: Under uneven views, restarts and reused addresses no flow changes its back end
+  Scenario: No flow changes its back end under differing views, restarts and reused addresses
     Then forwarding property: packets of a flow reach its own back end or none
 
-  Scenario: Two back ends with one token are told apart
-    Then forwarding property: of two back ends with one token only the first is given flows
-    And forwarding passes the token on when the first is forgotten
+  Scenario: Of two back ends with the same token only one receives flows
+    Then forwarding property: of two back ends with the same token only the first is given flows
+    And forwarding gives the token to the second when the first is removed
 
-  Scenario: A token is never the mark of no token
+  Scenario: A token never equals the value for no token
     Then forwarding property: tokens are never zero and fit into 32 bits
 
   Scenario: An unknown token is looked up before the packet is dropped
     Given a forwarding node with routes and back ends
-    When forwarding meets a token that only a peer knows
-    Then forwarding holds the packet, asks peers and forwards it when one answers
+    When forwarding receives a packet with a token that only a peer knows
+    Then forwarding buffers the packet, looks up its token and forwards it when a peer replies
 
-  Scenario: A token that no peer knows is dropped and not asked for again at once
+  Scenario: A packet whose token no peer knows is dropped, and the lookup is not repeated at once
     Given a forwarding node with routes and back ends
-    When forwarding meets a token that nobody knows
-    Then forwarding drops the packet and does not ask again within a second
+    When forwarding receives a packet with a token that no peer knows
+    Then forwarding drops the packet and does not repeat the lookup within a second
 
-  Scenario: A packet without a token that opens nothing goes nowhere
+  Scenario: A packet that has no token and opens no flow is dropped
     Given a forwarding node with routes and back ends
     Then forwarding drops a packet without a token
--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of forwarding nodes on a simulated network before a simulated store."""
+"""A fleet of forwarding nodes on a simulated network with a simulated store."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class SimulatedStore:
-    """Routes and back ends, each change at a revision of its own."""
+    """Routes, back ends and evacuated halls; each change has its own revision."""
 
     def __init__(self):
         self.revision = 100
@@ -80,7 +80,7 @@
         self.log.append((now, Subject.BACKENDS, self.revision, DepartedBackend(name, self.revision)))
 
     def evacuate(self, zone, now, is_evacuated=True):
-        """Write that a zone is evacuated, or remove that."""
+        """Mark a hall as evacuated, or remove the mark."""
         self.revision += 1
         if is_evacuated:
             self.evacuated.add(zone)
@@ -99,7 +99,7 @@
         self.log.append((now, Subject.ROUTES, self.revision, self.routes))
 
     def read(self, command, now):
-        """Return what a read brings."""
+        """Return the event that answers a read; a stale one shows the list of `STALE_S` ago."""
         if command.subject is Subject.ROUTES:
             return RoutesRead(self.revision, self.routes, tuple(self.evacuated))
         if not command.may_be_stale:
@@ -112,7 +112,7 @@
         return BackendsRead(self.revision, kept)
 
     def changes(self, command):
-        """Return what a watch brings, None where it waits on."""
+        """Return the event that answers a watch, None if nothing has changed."""
         found = [
             (revision, change)
             for _, subject, revision, change in self.log
@@ -129,13 +129,13 @@
 
 
 class Fleet:
-    """Nodes, their clock, network and store.
+    """Nodes with their clock, network and store.
 
     :ivar loss: share of the datagrams that are lost.
-    :ivar apart: pairs of groups: no datagram goes between different groups.
-    :ivar storeless: addresses whose calls to the store bring nothing.
-    :ivar loses_answers: whether watches lose their answers without a word.
-    :ivar refused: addresses that the store turns away.
+    :ivar group: partition of each address, if any; no message passes between partitions.
+    :ivar storeless: addresses whose calls to the store time out.
+    :ivar loses_answers: whether the answers of watches are lost, so that they time out.
+    :ivar refused: addresses whose calls the store refuses.
     """
 
     def __init__(self, count, seed=1, loss=0.0, seeds=3, **options):
@@ -160,7 +160,7 @@
             self.start(ip)
 
     def start(self, ip):
-        """Start a fresh process."""
+        """Start a new process."""
         self.watches = {key: watch for key, watch in self.watches.items() if key[0] != ip}
         zone = f"z{int(ip.rpartition('.')[2]) % 3}"
         chance = random.Random(self.random.random())
@@ -171,16 +171,16 @@
         self.carry_out(ip, node, node.handle(PeersReachable(), self.now))
 
     def kill(self, ip):
-        """End a process without a word."""
+        """End a process without notice."""
         self.nodes.pop(ip, None)
         self.watches = {key: watch for key, watch in self.watches.items() if key[0] != ip}
 
     def later(self, delay_s, ip, node, event):
-        """Give an event to a node some time from now."""
+        """Schedule an event for a node after a delay."""
         heapq.heappush(self.queue, (self.now + delay_s, next(self.order), ip, node, event))
 
     def carry_out(self, ip, node, commands):
-        """Carry commands of a node out."""
+        """Execute commands of a node."""
         for command in commands:
             if isinstance(command, SendToPeer):
                 self.send(ip, command)
@@ -192,18 +192,18 @@
                 self.call(ip, node, command)
 
     def send(self, ip, command):
-        """Send a datagram."""
+        """Send a datagram, unless it is lost or its receiver is unreachable."""
         self.datagrams += 1
         self.bytes_sent += len(msgspec.msgpack.encode(command.message))
         target = self.nodes.get(command.ip)
-        is_apart = self.group.get(ip) != self.group.get(command.ip)
-        if target is None or is_apart or self.random.random() < self.loss:
+        is_partitioned = self.group.get(ip) != self.group.get(command.ip)
+        if target is None or is_partitioned or self.random.random() < self.loss:
             return
         delay_s = HOP_S * (1.0 + self.random.random())
         self.later(delay_s, command.ip, target, PeerMessageReceived(ip, command.message))
 
     def fetch(self, ip, node, peer):
-        """Bring all that a peer knows."""
+        """Fetch a snapshot from a peer."""
         target = self.nodes.get(peer)
         if target is None or self.group.get(ip) != self.group.get(peer):
             return
@@ -212,7 +212,7 @@
             self.later(ANSWER_S, ip, node, SnapshotReceived(peer, snapshot))
 
     def fetch_routes(self, ip, node, command):
-        """Bring the differences that a peer keeps."""
+        """Fetch the differences of the routes that a peer keeps."""
         target = self.nodes.get(command.ip)
         if target is not None and self.group.get(ip) == self.group.get(command.ip):
             deltas = target.routes_since(command.version)
@@ -220,7 +220,7 @@
                 self.later(ANSWER_S, ip, node, RoutesReceived(command.ip, deltas))
 
     def refuse(self, ips):
-        """Have the store turn some nodes away; their watches are cut."""
+        """Let the store refuse some nodes; their watches fail."""
         self.refused = set(ips)
         for key, (node, command) in list(self.watches.items()):
             if key[0] in self.refused:
@@ -252,7 +252,7 @@
         return StoreCallFailed(command.subject, reason, isinstance(command, WatchSubject))
 
     def answer_watches(self):
-        """Answer the watches that have something to tell; cut ones hang."""
+        """Answer the watches for which there are changes; those of `storeless` nodes get no answer."""
         for key, (node, command) in list(self.watches.items()):
             if key[0] in self.storeless:
                 continue
@@ -266,46 +266,48 @@
                     self.later(ANSWER_S, key[0], node, answer)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time and handle all events until then."""
         end = self.now + seconds
         while True:
             self.answer_watches()
-            due = min(((node.next_deadline(), ip) for ip, node in self.nodes.items()), default=(end, ""))
-            arrives = self.queue[0][0] if self.queue else end
-            if min(due[0], arrives) >= end:
+            next_timer = min(
+                ((node.next_deadline(), ip) for ip, node in self.nodes.items()), default=(end, "")
+            )
+            next_event_at = self.queue[0][0] if self.queue else end
+            if min(next_timer[0], next_event_at) >= end:
                 break
-            if arrives <= due[0]:
+            if next_event_at <= next_timer[0]:
                 self.now, _, ip, node, event = heapq.heappop(self.queue)
                 if self.nodes.get(ip) is node:
                     self.carry_out(ip, node, node.handle(event, self.now))
             else:
-                self.now = max(self.now, due[0])
-                node = self.nodes[due[1]]
-                self.carry_out(due[1], node, node.handle(TimerFired(), self.now))
+                self.now = max(self.now, next_timer[0])
+                node = self.nodes[next_timer[1]]
+                self.carry_out(next_timer[1], node, node.handle(TimerFired(), self.now))
         self.now = end
 
     def readers(self):
-        """Return the addresses of readers."""
+        """Return the addresses of the readers."""
         return [ip for ip, node in self.nodes.items() if node.role is Role.READER]
 
     def run_until_known(self, limit_s):
-        """Let time pass until all know what the store holds; return how long it took."""
-        begun = self.now
-        while self.now - begun < limit_s:
+        """Advance the time until all nodes have the state of the store; return the time that this took."""
+        started_at = self.now
+        while self.now - started_at < limit_s:
             self.run(0.05)
             if not self.behind():
-                return self.now - begun
-        raise AssertionError(f"{self.behind()} do not know it after {limit_s} s")
+                return self.now - started_at
+        raise AssertionError(f"{self.behind()} lack changes of the store after {limit_s} s")
 
     def behind(self):
-        """Return the addresses of nodes that know less than the store holds."""
-        return [ip for ip, node in self.nodes.items() if not self.knows_all(node)]
+        """Return the addresses of nodes whose state differs from that of the store."""
+        return [ip for ip, node in self.nodes.items() if not self.has_all_changes(node)]
 
-    def knows_all(self, node):
-        """Tell whether a node knows exactly what the store holds."""
+    def has_all_changes(self, node):
+        """Return whether a node has exactly the state of the store."""
         routes = {route.key: route for route in node.routes.in_force.routes}
-        wanted = {route.key: route for route in self.store.routes.routes}
-        if node.routes.version != self.store.routes.version or routes != wanted:
+        expected = {route.key: route for route in self.store.routes.routes}
+        if node.routes.version != self.store.routes.version or routes != expected:
             return False
         if set(node.evacuations.current.halls) != self.store.evacuated:
             return False
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the readers of the store and on how what they read spreads."""
+"""Steps on the readers of the store and on how changes spread from them."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 SETTLED_S = 6.0
 
 
-def news_of(backends):
-    """Return what tells and takes changes of back ends."""
+def gossip_of(backends):
+    """Return the change gossip of a balancer that holds some back ends."""
     routes = RouteTable(random.Random(1))
     return ChangeGossip(routes, backends, Evacuations(routes, backends))
 
@@ -51,16 +51,14 @@
         context.fleet.kill(ip)
 
 
-@then("the forwarding fleet calls the store less than {rate:d} times a second at rest")
+@then("the forwarding fleet calls the store less than {rate:d} times per second without changes")
 def calls_at_rest(context, rate):
     before = context.fleet.store.calls
     context.fleet.run(20.0)
     assert context.fleet.store.calls - before < rate * 20
 
 
-@then(
-    "forwarding fleets of {few:d} and of {many:d} send at most {rate:d} datagrams a second for each balancer"
-)
+@then("forwarding fleets of {few:d} and of {many:d} send at most {rate:d} datagrams per second per balancer")
 def datagrams(context, few, many, rate):
     for count in (few, many):
         fleet = Fleet(count)
@@ -84,7 +82,7 @@
         fleet.store.remove(4, fleet.now)
 
 
-@then("forwarding property: changes of routes and back ends reach a fleet with losses within 2 seconds")
+@then("forwarding property: changes of routes and back ends reach a fleet with packet loss within 2 seconds")
 def reach_all(context):
     @FLEET_PROPERTY
     @for_all(st.lists(st.integers(0, 3), min_size=1, max_size=4), st.integers(0, 999))
@@ -94,7 +92,7 @@
         for kind in kinds:
             change_something(fleet, kind)
             fleet.run(0.3)
-        # The last change may be gathered for a second by watches that have just answered.
+        # Watches that have just answered may hold back the last change for a second.
         fleet.run_until_known(2.0)
 
     check()
@@ -108,7 +106,7 @@
 
 
 @then("the forwarding fleet has read the routes from the store at most {count:d} times")
-def read_seldom(context, count):
+def route_reads_bounded(context, count):
     assert context.fleet.store.route_reads <= count, context.fleet.store.route_reads
 
 
@@ -118,13 +116,13 @@
         context.fleet.store.put(100 + number, context.fleet.now)
 
 
-@then("the forwarding fleet knows all within {seconds:d} seconds")
-def knows_all(context, seconds):
+@then("the forwarding fleet has all changes within {seconds:d} seconds")
+def has_all_changes(context, seconds):
     context.fleet.run_until_known(seconds)
 
 
-@then("forwarding property: a change after all readers were cut from the store is known within 3 seconds")
-def readers_cut(context):
+@then("forwarding property: a change after all readers lost the store reaches all within 3 seconds")
+def readers_without_store(context):
     @FLEET_PROPERTY
     @for_all(st.floats(0.0, 1.5), st.integers(0, 999))
     def check(wait_s, seed):
@@ -139,28 +137,28 @@
     check()
 
 
-@when("the forwarding fleet is parted in two and the operator changes a route")
-def parted(context):
+@when("the forwarding fleet is partitioned in two and the operator changes a route")
+def partitioned(context):
     fleet = context.fleet
     fleet.group = {ip: index % 3 == 0 for index, ip in enumerate(fleet.ips)}
     change_something(fleet, 0)
 
 
-@when("the parts of the forwarding fleet meet again")
-def meet_again(context):
+@when("the partition of the forwarding fleet ends")
+def partition_ends(context):
     context.fleet.group = {}
 
 
-@when("one listener of the forwarding fleet is cut off from all others and the operator changes a route")
-def cut_off(context):
+@when("one follower of the forwarding fleet is isolated from all others and the operator changes a route")
+def isolated(context):
     fleet = context.fleet
-    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
-    fleet.group = {listener: 1}
+    follower = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
+    fleet.group = {follower: 1}
     change_something(fleet, 0)
 
 
-@when("the forwarding fleet is without the store for {seconds:d} seconds")
-def without_store(context, seconds):
+@when("the forwarding fleet gets no answer from the store for {seconds:d} seconds")
+def store_silent(context, seconds):
     fleet = context.fleet
     fleet.storeless = set(fleet.ips)
     before = fleet.store.calls
@@ -168,19 +166,19 @@
     context.calls_per_s = (fleet.store.calls - before) / seconds
 
 
-@then("the forwarding fleet has called it less than {rate:d} times a second")
-def called_seldom(context, rate):
+@then("the forwarding fleet has called the store less than {rate:d} times per second")
+def calls_bounded(context, rate):
     assert context.calls_per_s < rate, context.calls_per_s
 
 
-@when("the store is back and the operator changes a route")
+@when("the store answers again and the operator changes a route")
 def store_back(context):
     context.fleet.storeless = set()
     change_something(context.fleet, 0)
 
 
-@when("the store refuses a third of the forwarding fleet, its readers first, and changes come")
-def store_refuses(context):
+@when("the store does not answer a third of the forwarding fleet, its readers first, and changes are made")
+def store_silent_for_some(context):
     fleet = context.fleet
     others = [ip for ip in fleet.ips if ip not in fleet.readers()]
     fleet.storeless = set((fleet.readers() + others)[: len(fleet.ips) // 3])
@@ -188,19 +186,19 @@
     change_something(fleet, 2)
 
 
-@when("a back end of the forwarding fleet leaves and a process is started anew")
-def leaves_and_starts(context):
+@when("a back end of the forwarding fleet leaves and a process is restarted")
+def leaves_and_restarts(context):
     fleet = context.fleet
     fleet.store.remove(4, fleet.now)
     fleet.run(1.2)
-    listener = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
-    fleet.start(listener)
+    follower = next(ip for ip, node in fleet.nodes.items() if node.role is Role.FOLLOWER)
+    fleet.start(follower)
 
 
 VERSIONS = st.lists(st.dictionaries(st.integers(0, 6), st.sampled_from("ab")), min_size=2, max_size=6)
 
 
-@then("forwarding property: a difference of routes makes the newer version out of the older one only")
+@then("forwarding property: a difference of routes turns the older version into the newer one and no other")
 def differences(context):
     @PROPERTY
     @for_all(VERSIONS)
@@ -209,8 +207,8 @@
             RouteConfiguration(number + 1, tuple(route(key, service) for key, service in content.items()))
             for number, content in enumerate(contents)
         ]
-        full, told = RouteTable(random.Random(1)), RouteTable(random.Random(1))
-        told.apply(versions[0])
+        full, updated = RouteTable(random.Random(1)), RouteTable(random.Random(1))
+        updated.apply(versions[0])
         full.apply(versions[0])
         for version in versions[1:]:
             before = {each.key: each for each in full.in_force.routes}
@@ -218,8 +216,8 @@
             full.apply(version)
             fresh = RouteTable(random.Random(1))
             assert not fresh.apply_delta(delta) and fresh.version == 0
-            assert told.apply_delta(delta) and not told.apply_delta(delta)
-            assert {each.key: each for each in told.in_force.routes} == {
+            assert updated.apply_delta(delta) and not updated.apply_delta(delta)
+            assert {each.key: each for each in updated.in_force.routes} == {
                 each.key: each for each in version.routes
             }
         chain = full.history.chain(1, full.version)
@@ -228,16 +226,16 @@
     check()
 
 
-@then("forwarding property: changes told in parts, some lost, never leave a gap unnoticed")
-def no_gap(context):
+@then("forwarding property: changes received in parts, some lost, never leave an undetected gap")
+def gaps_detected(context):
     @PROPERTY
     @for_all(
         st.lists(st.lists(st.integers(0, 30), min_size=1, max_size=30, unique=True), min_size=1, max_size=5),
         st.randoms(use_true_random=False),
     )
     def check(rounds, chance):
-        reader, listener = BackendDirectory(), BackendDirectory()
-        gossip, taken = (news_of(each) for each in (reader, listener))
+        reader, follower = BackendDirectory(), BackendDirectory()
+        reader_gossip, follower_gossip = (gossip_of(each) for each in (reader, follower))
         revision, known = 0, 0
         for at, numbers in enumerate(rounds):
             for number in numbers:
@@ -247,24 +245,24 @@
                     reader.mark_departed(name, revision, float(at))
                 else:
                     reader.apply_record(record(number, revision=revision), float(at))
-            parts = list(gossip.confirmed_changes(revision, float(at)))
+            parts = list(reader_gossip.confirmed_changes(revision, float(at)))
             chance.shuffle(parts)
             for changes in parts:
                 if chance.random() < 0.3:
                     continue
-                taken.apply_backends(changes, known if changes.revision < known else 0, float(at))
-                known = taken.revision_after(changes, known)
+                follower_gossip.apply_backends(changes, known if changes.revision < known else 0, float(at))
+                known = follower_gossip.revision_after(changes, known)
                 for backend in reader:
                     if backend.revision <= known:
-                        mine = listener.by_name(backend.name)
+                        mine = follower.by_name(backend.name)
                         assert mine is not None and mine.revision >= backend.revision
                         assert mine.state is backend.state or mine.revision > backend.revision
 
     check()
 
 
-def restart_whole(fleet):
-    """Kill all processes and start each anew, within half a second of one another."""
+def restart_all(fleet):
+    """Kill all processes, then start each again within half a second."""
     for ip in fleet.ips:
         fleet.kill(ip)
     for ip in fleet.ips:
@@ -272,29 +270,27 @@
         fleet.start(ip)
 
 
-@when(
-    "most entries lapse, the whole forwarding fleet is killed, and the entries come back within 0.3 seconds"
-)
-def lapse_and_kill(context):
+@when("most entries expire, the whole forwarding fleet restarts, and the entries return within 0.3 seconds")
+def expire_and_restart(context):
     fleet = context.fleet
     for number in range(2, 8):
         fleet.store.remove(number, fleet.now)
     fleet.run(STALE_S + 1.0)
-    restart_whole(fleet)
+    restart_all(fleet)
     for number in range(2, 8):
         fleet.run(0.05)
         fleet.store.put(number, fleet.now)
 
 
-@then("the forwarding fleet knows all within {seconds:f} seconds")
-def knows_within(context, seconds):
+@then("the forwarding fleet has all changes within {seconds:f} seconds")
+def has_all_changes_soon(context, seconds):
     context.fleet.run_until_known(seconds)
 
 
-@when("the whole forwarding fleet is killed and started anew")
-def kill_and_start(context):
+@when("the whole forwarding fleet is killed and restarted")
+def whole_fleet_restarts(context):
     context.calls_before = context.fleet.store.calls
-    restart_whole(context.fleet)
+    restart_all(context.fleet)
 
 
 @then("the forwarding fleet calls the store less than {count:d} times in its first {seconds:d} seconds")
--- a/features/steps/forwarding_token_steps.py
+++ b/features/steps/forwarding_token_steps.py
@@ -30,11 +30,11 @@
 
 
 class Fleet:
-    """Balancers with views of their own of back ends that come, leave and are replaced."""
+    """Balancers, each with its own view of back ends that start, leave and are replaced."""
 
     def __init__(self, source):
         self.source = source
-        self.truth = {}
+        self.backends = {}
         self.revision = 1
         self.next_number = 1
         self.harnesses = [self.balancer() for _ in range(BALANCERS)]
@@ -49,8 +49,8 @@
         return harness
 
     def start_backend(self):
-        """Start one at an address that no living one has, though an ended one may have had it."""
-        used = {each.host for each in self.truth.values()}
+        """Start a back end at an address that no live one has; one that has ended may have had it."""
+        used = {each.host for each in self.backends.values()}
         free = [host for host in ADDRESSES if host not in used]
         if not free:
             return
@@ -63,21 +63,21 @@
         new = type(new)(
             new.name, number, service, address, 8000, "north", 2, BackendState.READY, 0.0, self.revision
         )
-        self.truth[number] = new
+        self.backends[number] = new
 
     def end_backend(self):
-        if len(self.truth) > 1:
+        if len(self.backends) > 1:
             self.revision += 1
-            del self.truth[self.source.choice(sorted(self.truth))]
+            del self.backends[self.source.choice(sorted(self.backends))]
 
     def update(self):
-        """Let one balancer read; what it reads may be old by then for the others."""
+        """Let one balancer read the current list; the views of the others stay as they are."""
         harness = self.source.choice(self.harnesses)
         harness.now = self.now
         from forwarding_model import ROUTES
 
         harness.handle(RoutesRead(self.revision, ROUTES))
-        harness.handle(BackendsRead(self.revision, tuple(self.truth.values())))
+        harness.handle(BackendsRead(self.revision, tuple(self.backends.values())))
 
     def restart(self):
         self.harnesses[self.source.randrange(BALANCERS)] = self.balancer()
@@ -102,7 +102,7 @@
             assert decision.backend.prefix == number.to_bytes(8, "big")
         elif decision.reset:
             assert decision.refusal is Refusal.UNREACHABLE
-            assert number not in self.truth, "a flow of a living back end was reset"
+            assert number not in self.backends, "a flow of a live back end was reset"
         else:
             assert decision.refusal is Refusal.UNKNOWN_TOKEN
 
@@ -124,7 +124,7 @@
 
 
 @then("forwarding property: packets of a flow reach its own back end or none")
-def packets_reach_their_own(context):
+def packets_reach_own_backend(context):
     @PROPERTY
     @for_all(st.integers(0, 2**32), st.lists(st.integers(0, 9), min_size=40, max_size=160))
     def check(seed, actions):
@@ -135,7 +135,7 @@
     check()
 
 
-@then("forwarding property: of two back ends with one token only the first is given flows")
+@then("forwarding property: of two back ends with the same token only the first is given flows")
 def one_token_two_backends(context):
     @PROPERTY
     @for_all(st.integers(1, TOKEN_MASK), st.integers(1, TOKEN_MASK))
@@ -152,8 +152,8 @@
     check()
 
 
-@then("forwarding passes the token on when the first is forgotten")
-def token_passed_on(context):
+@then("forwarding gives the token to the second when the first is removed")
+def token_reassigned(context):
     directory = BackendDirectory()
     first, second = 5, (9 << 32) | (5 ^ 9)
     directory.apply_record(record(first), 1.0)
@@ -180,8 +180,8 @@
     context.harness = Harness().configure()
 
 
-@when("forwarding meets a token that only a peer knows")
-def token_of_a_peer(context):
+@when("forwarding receives a packet with a token that only a peer knows")
+def token_known_to_peer(context):
     context.unknown = record(77, "roster", 3, BackendState.DEPARTED)
     harness = context.harness
     harness.commands.clear()
@@ -190,11 +190,11 @@
     harness.handle(UnknownTokenReceived(77, b"packet"))
 
 
-@then("forwarding holds the packet, asks peers and forwards it when one answers")
-def packet_held(context):
+@then("forwarding buffers the packet, looks up its token and forwards it when a peer replies")
+def packet_buffered(context):
     harness = context.harness
-    asked = harness.all(SendToPeer)
-    assert [c.message for c in asked] == [TokenRequest(77)] * 3
+    requests = harness.all(SendToPeer)
+    assert [c.message for c in requests] == [TokenRequest(77)] * 3
     assert harness.all(ReprocessPackets) == []
     harness.now += 0.01
     harness.handle(PeerMessageReceived("10.1.0.2", TokenReply(context.unknown, 4.0)))
@@ -204,14 +204,14 @@
     assert 77 not in [b.number for b in harness.node.backends.candidates("roster")]
 
 
-@when("forwarding meets a token that nobody knows")
-def token_of_nobody(context):
+@when("forwarding receives a packet with a token that no peer knows")
+def token_unknown_to_all(context):
     harness = context.harness
     harness.commands.clear()
     harness.handle(UnknownTokenReceived(78, b"packet"))
 
 
-@then("forwarding drops the packet and does not ask again within a second")
+@then("forwarding drops the packet and does not repeat the lookup within a second")
 def packet_dropped(context):
     harness = context.harness
     assert len(harness.all(SendToPeer)) == 3
