--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -107,12 +107,12 @@
         self.suspected_until = 0.0
         self.unreachable_until = 0.0
 
-    def is_other_start(self, record: BackendRecord) -> bool:
+    def is_other_incarnation(self, record: BackendRecord) -> bool:
         """Tell whether a record is of another start: it has another name, address or service."""
         is_elsewhere = (record.host, record.port) != self.endpoint or record.service != self.service
         return record.name != self.name or is_elsewhere
 
-    def is_older_than(self, record: BackendRecord) -> bool:
+    def is_superseded_by(self, record: BackendRecord) -> bool:
         """Tell whether a record of this start is newer than what is held.
 
         A start that has said that it leaves stays leaving.  One that was only missing in the list may come
--- a/sloepond/core/forwarding/state/backend_records.py
+++ b/sloepond/core/forwarding/state/backend_records.py
@@ -27,7 +27,7 @@
     """No longer listed; its flows are still forwarded to it."""
 
 
-START_MARK = "#"
+INCARNATION_SEPARATOR = "#"
 """Between the id of a back end and its start, in the names of those that are started again under their id."""
 
 
@@ -40,12 +40,12 @@
     :param identity: its id.
     :param born_ms: Unix time of its start in milliseconds, 0 where it is not known.
     """
-    return f"{identity}{START_MARK}{born_ms}" if born_ms else identity
+    return f"{identity}{INCARNATION_SEPARATOR}{born_ms}" if born_ms else identity
 
 
-def identity_of(name: str) -> str:
+def id_of_incarnation(name: str) -> str:
     """Return the id of the back end of which a name names one start."""
-    return name.partition(START_MARK)[0]
+    return name.partition(INCARNATION_SEPARATOR)[0]
 
 
 class BackendRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -14,7 +14,7 @@
 from sloepond.core.forwarding.peers.messages import KnownBackend
 from sloepond.core.forwarding.placement.places import ANYWHERE, PlaceRules
 from sloepond.core.forwarding.state.backend import ForwardingBackend
-from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, identity_of
+from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, id_of_incarnation
 from sloepond.core.forwarding.state.change_index import ChangeIndex
 from sloepond.core.forwarding.state.holders import EndpointHolders, TokenHolders
 from sloepond.core.forwarding.state.list_checksum import ListChecksum
@@ -22,7 +22,7 @@
 DEPARTED_RETENTION_S = 90.0
 """Seconds for which a departed back end keeps its token: it may serve its flows after it has left the list.
 Not measured: the life of a flow and a margin."""
-UNNOTICED_DEPARTURE_S = 30.0
+ASSUMED_DEPARTURE_AGE_S = 30.0
 """Seconds ago at which a back end counts as departed where the time is unknown.  Not measured: beyond the
 2.0 s for which a departed one may be given new flows where no other is left, and well within
 `DEPARTED_RETENTION_S`, so that its flows are still forwarded."""
@@ -41,7 +41,7 @@
         self.has_full_list = False
         self._places = places
         self._by_name: dict[str, ForwardingBackend] = {}
-        self._starts: dict[str, str] = {}
+        self._incarnations: dict[str, str] = {}
         self._tokens = TokenHolders()
         self._endpoints = EndpointHolders()
         self._by_service: dict[str, dict[str, ForwardingBackend]] = {}
@@ -71,7 +71,7 @@
         """Note that a whole list is taken; the first is where changes are known from."""
         if not self.has_full_list:
             self.has_full_list = True
-            self.changes.begin_at(revision)
+            self.changes.skip_to(revision)
 
     def places_changed(self, places: PlaceRules) -> None:
         """Take other rules; they bind new flows at once."""
@@ -104,7 +104,7 @@
         """Return the back ends of a service that take new flows."""
         known = self._candidates.get(service)
         if known is None:
-            known = [backend for backend in self._of_service(service) if self._takes_flows(backend)]
+            known = [backend for backend in self._of_service(service) if self._accepts_flows(backend)]
             self._candidates[service] = known
         return known
 
@@ -113,7 +113,9 @@
         return [
             backend
             for backend in self._of_service(service)
-            if backend.departed_unannounced and backend.departed_at >= since and self._may_take_flows(backend)
+            if backend.departed_unannounced
+            and backend.departed_at >= since
+            and self._may_receive_flows(backend)
         ]
 
     def apply_record(self, record: BackendRecord, now: float, complete_to: int = 0) -> bool:
@@ -125,35 +127,35 @@
         """
         if record.name not in self._by_name and self._has_left(record, complete_to):
             return False
-        if not self._replace_former_start(record):
+        if not self._replace_former_incarnation(record):
             return False
         backend = self._by_name.get(record.name)
         if backend is None or record.revision > backend.revision:
             self._checksum.entered(record.name, record.number, record.revision)
         if backend is None:
             self._add(ForwardingBackend(record, now))
-        elif not backend.is_older_than(record):
+        elif not backend.is_superseded_by(record):
             return False
         else:
             backend.update(record, now)
             self.cold_until = max(self.cold_until, backend.warm_at)
-        self._changed(record.name, record.service, record.revision)
+        self._record_change(record.name, record.service, record.revision)
         return True
 
-    def _replace_former_start(self, record: BackendRecord) -> bool:
+    def _replace_former_incarnation(self, record: BackendRecord) -> bool:
         """Forget the start before the one of a record, if there is one; return whether the record may count.
 
         A back end that starts again under its id knows nothing of before: its token stands for the new start
         from now on, and callers of flows with the former one are reset by it at their next packet.  News of
         both may come in any order; the revision of the entry tells which start is the later one.
         """
-        former = self._by_name.get(self._starts.get(identity_of(record.name), ""))
-        if former is None or not former.is_other_start(record):
+        former = self._by_name.get(self._incarnations.get(id_of_incarnation(record.name), ""))
+        if former is None or not former.is_other_incarnation(record):
             return True
         if record.revision <= former.revision:
             return False
         self._checksum.left(former.name)
-        self._forget(former)
+        self._remove(former)
         return True
 
     def apply_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
@@ -189,20 +191,20 @@
         :param complete_to: revision up to which all changes are known here.
         """
         record, departed_s = known.record, known.departed_s
-        if record.name in self._by_name or not self._replace_former_start(record):
+        if record.name in self._by_name or not self._replace_former_incarnation(record):
             return False
         is_listed = record.state is not BackendState.DEPARTED
         if is_listed and self._has_left(record, complete_to):
             is_listed = False
             record = msgspec.structs.replace(record, state=BackendState.DEPARTED)
-            departed_s = UNNOTICED_DEPARTURE_S
+            departed_s = ASSUMED_DEPARTURE_AGE_S
         backend = ForwardingBackend(record, now)
         backend.departed_at = now - departed_s
         backend.announced_leaving = backend.announced_leaving or known.announced_leaving
         self._add(backend)
         if is_listed:
             self._checksum.entered(record.name, record.number, record.revision)
-        self._changed(record.name, record.service, record.revision)
+        self._record_change(record.name, record.service, record.revision)
         return True
 
     def mark_unreadable(self, name: str, revision: int, now: float) -> bool:
@@ -211,14 +213,14 @@
         It is given no new flow, not even as a last resort: nothing says that it still serves.  Its open flows
         go on, as those of one that has left the list: they break only if it has really ended.
         """
-        return self.mark_departed(name, revision, now - UNNOTICED_DEPARTURE_S)
+        return self.mark_departed(name, revision, now - ASSUMED_DEPARTURE_AGE_S)
 
     def mark_departed(self, name: str, revision: int, now: float) -> bool:
         """Note that a back end is no longer listed as of a revision.
 
         :param name: of one start of it, or its id for the latest one.
         """
-        backend = self._by_name.get(self._starts.get(name, name))
+        backend = self._by_name.get(self._incarnations.get(name, name))
         if backend is None or backend.state is BackendState.DEPARTED or revision < backend.revision:
             return False
         self._checksum.left(backend.name)
@@ -227,8 +229,8 @@
         backend.departed_at = now
         if backend.is_unreachable(now):
             backend.unreachable_until = now + DEPARTED_RETENTION_S
-        self._endpoints.settle(backend)
-        self._changed(backend.name, backend.service, revision)
+        self._endpoints.resolve_conflict(backend)
+        self._record_change(backend.name, backend.service, revision)
         return True
 
     def apply_list(
@@ -252,43 +254,43 @@
             if backend.state is BackendState.DEPARTED and now - backend.departed_at > DEPARTED_RETENTION_S
         ]
         for backend in old:
-            self._forget(backend)
-            self.changes.begin_at(backend.revision)
+            self._remove(backend)
+            self.changes.skip_to(backend.revision)
         return len(old)
 
-    def _changed(self, name: str, service: str, revision: int) -> None:
+    def _record_change(self, name: str, service: str, revision: int) -> None:
         self._candidates.pop(service, None)
-        self.changes.note(name, revision)
+        self.changes.record_change(name, revision)
 
     def _of_service(self, service: str) -> Iterable[ForwardingBackend]:
         members = self._by_service.get(service)
         return members.values() if members else ()
 
-    def _takes_flows(self, backend: ForwardingBackend) -> bool:
-        return backend.state is BackendState.READY and self._may_take_flows(backend)
+    def _accepts_flows(self, backend: ForwardingBackend) -> bool:
+        return backend.state is BackendState.READY and self._may_receive_flows(backend)
 
-    def _may_take_flows(self, backend: ForwardingBackend) -> bool:
+    def _may_receive_flows(self, backend: ForwardingBackend) -> bool:
         if self._tokens.is_waiting(backend) or backend.hall in self._evacuated:
             return False
         return self._places.is_permitted(backend.service, backend.hall)
 
     def _add(self, backend: ForwardingBackend) -> None:
         self._by_name[backend.name] = backend
-        self._starts[identity_of(backend.name)] = backend.name
+        self._incarnations[id_of_incarnation(backend.name)] = backend.name
         self.cold_until = max(self.cold_until, backend.warm_at)
         self._by_service.setdefault(backend.service, {})[backend.name] = backend
         self._tokens.add(backend)
-        self._endpoints.settle(backend)
+        self._endpoints.resolve_conflict(backend)
 
-    def _forget(self, backend: ForwardingBackend) -> None:
+    def _remove(self, backend: ForwardingBackend) -> None:
         del self._by_name[backend.name]
-        self._starts.pop(identity_of(backend.name), None)
+        self._incarnations.pop(id_of_incarnation(backend.name), None)
         self._endpoints.remove(backend)
         members = self._by_service[backend.service]
         del members[backend.name]
         if not members:
             del self._by_service[backend.service]
         self._candidates.pop(backend.service, None)
-        heir = self._tokens.remove(backend)
-        if heir is not None:
-            self._candidates.pop(heir.service, None)
+        successor = self._tokens.remove(backend)
+        if successor is not None:
+            self._candidates.pop(successor.service, None)
--- a/sloepond/core/forwarding/state/change_index.py
+++ b/sloepond/core/forwarding/state/change_index.py
@@ -33,14 +33,14 @@
         self.complete_from = 0
         self.latest = 0
 
-    def note(self, name: str, revision: int) -> None:
+    def record_change(self, name: str, revision: int) -> None:
         """Note that a back end has changed at a revision."""
         self.latest = max(self.latest, revision)
         self._changes.append(IndexedChange(revision, name))
         if len(self._changes) > MAXIMUM_CHANGES:
             self.complete_from = max(self.complete_from, self._changes.popleft().revision)
 
-    def begin_at(self, revision: int) -> None:
+    def skip_to(self, revision: int) -> None:
         """Note that changes up to a revision were not seen one by one."""
         self.complete_from = max(self.complete_from, revision)
 
--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sloepond.core.forwarding.state.backend_records import START_MARK, Endpoint
+from sloepond.core.forwarding.state.backend_records import INCARNATION_SEPARATOR, Endpoint
 
 LONGEST_TEXT = 100
 """Most characters of a service, a hall, an id or a reason.  Not measured: 12 back ends of this size are 6 kB,
@@ -58,7 +58,7 @@
 
     :raises ValueError: if it is empty or too long, or holds a mark with a meaning in keys or names.
     """
-    if not 0 < len(text) <= LONGEST_TEXT or "/" in text or START_MARK in text:
+    if not 0 < len(text) <= LONGEST_TEXT or "/" in text or INCARNATION_SEPARATOR in text:
         raise ValueError(f"{truncated(text)} is no id")
     return text
 
--- a/sloepond/core/forwarding/state/holders.py
+++ b/sloepond/core/forwarding/state/holders.py
@@ -42,11 +42,11 @@
             return None
         del self._holders[backend.token]
         for name in sorted(self._waiting):
-            heir = self._waiting[name]
-            if heir.token == backend.token:
+            successor = self._waiting[name]
+            if successor.token == backend.token:
                 del self._waiting[name]
-                self._holders[heir.token] = heir
-                return heir
+                self._holders[successor.token] = successor
+                return successor
         return None
 
 
@@ -58,22 +58,22 @@
     """
 
     def __init__(self) -> None:
-        self._living: dict[Endpoint, ForwardingBackend] = {}
+        self._live: dict[Endpoint, ForwardingBackend] = {}
 
-    def settle(self, backend: ForwardingBackend) -> None:
+    def resolve_conflict(self, backend: ForwardingBackend) -> None:
         """Take a back end that is new or has departed; of two at one address, mark the ended one."""
-        other = self._living.setdefault(backend.endpoint, backend)
+        other = self._live.setdefault(backend.endpoint, backend)
         if other is backend:
             return
         ended = _ended(backend, other)
         if ended is not None:
             ended.unreachable_until = NEVER
-            self._living[backend.endpoint] = other if ended is backend else backend
+            self._live[backend.endpoint] = other if ended is backend else backend
 
     def remove(self, backend: ForwardingBackend) -> None:
         """Forget a back end."""
-        if self._living.get(backend.endpoint) is backend:
-            del self._living[backend.endpoint]
+        if self._live.get(backend.endpoint) is backend:
+            del self._live[backend.endpoint]
 
 
 def _ended(one: ForwardingBackend, other: ForwardingBackend) -> ForwardingBackend | None:
--- a/sloepond/core/forwarding/state/list_checksum.py
+++ b/sloepond/core/forwarding/state/list_checksum.py
@@ -21,7 +21,7 @@
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
 """Odd factor of the splitmix64 generator (Steele, Lea, Flood, 2014): its increment."""
 _REVISION_FACTOR = 0xBF58476D1CE4E5B9
-"""Its first mixing factor.  With the shifts in `_mixed`, each bit of an identity or a revision changes about
+"""Its first mixing factor.  With the shifts in `_mix`, each bit of an identity or a revision changes about
 half of the bits of the result."""
 _MIXING_FACTOR = 0x94D049BB133111EB
 """Its second mixing factor."""
@@ -52,7 +52,7 @@
         known = self._entries.get(name)
         if known is not None and known.revision >= revision:
             return
-        entry = ListedEntry(revision, _mixed(number, revision))
+        entry = ListedEntry(revision, _mix(number, revision))
         self.value ^= entry.value ^ (known.value if known is not None else 0)
         self._entries[name] = entry
 
@@ -63,7 +63,7 @@
             self.value ^= known.value
 
 
-def _mixed(number: int, revision: int) -> int:
+def _mix(number: int, revision: int) -> int:
     """Return 64 bits that depend on all bits of an identity and a revision."""
     mixed = (number * _NUMBER_FACTOR + revision * _REVISION_FACTOR) & CHECKSUM_MASK
     mixed = (mixed ^ mixed >> 30) * _REVISION_FACTOR & CHECKSUM_MASK
