--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -14,31 +14,31 @@
 
 from sloepond.core.forwarding.state.backend_records import INCARNATION_SEPARATOR, Endpoint
 
-LONGEST_TEXT = 100
+MAXIMUM_TEXT_LENGTH = 100
 """Most characters of a service, a hall, an id or a reason.  Not measured: 12 back ends of this size are 6 kB,
 within a datagram of 65 kB."""
-MOST_SLOTS = 1_000_000
+MAXIMUM_SLOTS = 1_000_000
 """Most requests that a back end works on at once.  Not measured: beyond any, and it fits every message."""
-LONGEST_SLOW_MS = 86_400_000.0
+MAXIMUM_SLOW_MS = 86_400_000.0
 """Most milliseconds for which a back end is slow from its start: a day.  Not measured: beyond any."""
-MOST_COUNT = 2**53
+MAXIMUM_COUNT = 2**53
 """Largest whole number that JSON carries exactly everywhere."""
 NUMBER_BITS = 64
 """Bits of an identity in a packet."""
 HEXADECIMAL_DIGITS = frozenset("0123456789abcdefABCDEF")
 """Digits of the number in an id."""
-MOST_PORT = 65_535
+MAXIMUM_PORT = 65_535
 """Largest port."""
-MOST_OCTET = 255
+MAXIMUM_OCTET = 255
 """Largest part of an IPv4 address."""
 IPV4_PARTS = 4
 """Parts of an IPv4 address."""
 
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_TEXT)]
-OptionalText = Annotated[str, msgspec.Meta(max_length=LONGEST_TEXT)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNT)]
-Slots = Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-SlowMilliseconds = Annotated[float, msgspec.Meta(ge=0, le=LONGEST_SLOW_MS)]
+Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMUM_TEXT_LENGTH)]
+OptionalText = Annotated[str, msgspec.Meta(max_length=MAXIMUM_TEXT_LENGTH)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_COUNT)]
+Slots = Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_SLOTS)]
+SlowMilliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAXIMUM_SLOW_MS)]
 
 
 def number_of(identity: str) -> int:
@@ -58,7 +58,7 @@
 
     :raises ValueError: if it is empty or too long, or holds a mark with a meaning in keys or names.
     """
-    if not 0 < len(text) <= LONGEST_TEXT or "/" in text or INCARNATION_SEPARATOR in text:
+    if not 0 < len(text) <= MAXIMUM_TEXT_LENGTH or "/" in text or INCARNATION_SEPARATOR in text:
         raise ValueError(f"{truncated(text)} is no id")
     return text
 
@@ -70,18 +70,18 @@
     """
     host, _, port = address.rpartition(":")
     parts = host.split(".")
-    is_host = len(parts) == IPV4_PARTS and all(_is_number(part, MOST_OCTET) for part in parts)
-    if not is_host or not _is_number(port, MOST_PORT) or not int(port):
+    is_host = len(parts) == IPV4_PARTS and all(_is_number(part, MAXIMUM_OCTET) for part in parts)
+    if not is_host or not _is_number(port, MAXIMUM_PORT) or not int(port):
         raise ValueError(f"{truncated(address)} is no address and port")
     return Endpoint(host, int(port))
 
 
 def truncated(text: str) -> str:
     """Return a text as it may stand in a log line, whoever wrote it."""
-    return text if len(text) <= LONGEST_TEXT else f"{text[:LONGEST_TEXT]}..."
+    return text if len(text) <= MAXIMUM_TEXT_LENGTH else f"{text[:MAXIMUM_TEXT_LENGTH]}..."
 
 
-def _is_number(text: str, most: int) -> bool:
+def _is_number(text: str, maximum: int) -> bool:
     """Tell whether a text is a decimal number up to a largest one, without a sign or superfluous zeros."""
-    is_decimal = text.isascii() and text.isdigit() and len(text) <= len(str(most))
-    return is_decimal and int(text) <= most and str(int(text)) == text
+    is_decimal = text.isascii() and text.isdigit() and len(text) <= len(str(maximum))
+    return is_decimal and int(text) <= maximum and str(int(text)) == text
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -22,7 +22,7 @@
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
         self._routes: dict[int, Route] = {}
-        self._turns: dict[int, WeightedRoundRobin] = {}
+        self._round_robins: dict[int, WeightedRoundRobin] = {}
         self._idle_timeout_s = RouteConfiguration(0, ()).idle_timeout_s
         self._cold_starts: tuple[ColdStart, ...] = ()
         self.version = 0
@@ -62,20 +62,20 @@
 
     def round_robin(self, route: Route) -> WeightedRoundRobin:
         """Return the turns of a route's services."""
-        round_robin = self._turns.get(route.key)
+        round_robin = self._round_robins.get(route.key)
         if round_robin is None:
             round_robin = WeightedRoundRobin(route.shares, self._random)
-            self._turns[route.key] = round_robin
+            self._round_robins[route.key] = round_robin
         return round_robin
 
     def _apply(self, delta: RouteDelta) -> None:
         for key in delta.removed:
             self._routes.pop(key, None)
-            self._turns.pop(key, None)
+            self._round_robins.pop(key, None)
         for route in delta.changed:
             before = self._routes.get(route.key)
             if before is None or before.shares != route.shares:
-                self._turns.pop(route.key, None)
+                self._round_robins.pop(route.key, None)
             self._routes[route.key] = route
         self.version = delta.version
         self._idle_timeout_s = delta.idle_timeout_s
--- a/sloepond/core/forwarding/state/routes.py
+++ b/sloepond/core/forwarding/state/routes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-LONGEST_START = 1000.0
+MAXIMUM_START_TURNS = 1000.0
 """Most turns that are taken to find a random start.  Not measured: bounds the time where weights are large;
 weights that sum to less than this are started anywhere in their whole cycle."""
 
@@ -83,11 +83,11 @@
         self._total = sum(share.weight for share in shares)
         self._credits = [0.0] * len(shares)
         if len(shares) > 1 and self._total > 0:
-            self._start_anywhere(random_source)
+            self._randomise_start(random_source)
 
-    def _start_anywhere(self, random_source: random.Random) -> None:
+    def _randomise_start(self, random_source: random.Random) -> None:
         """Draw the credits a long-running balancer would have at some moment."""
-        for _ in range(random_source.randrange(1 + int(min(self._total, LONGEST_START)))):
+        for _ in range(random_source.randrange(1 + int(min(self._total, MAXIMUM_START_TURNS)))):
             self.next()
 
     def next(self) -> str:
