--- a/sloepond/core/forwarding/peers/recent_confirmations.py
+++ b/sloepond/core/forwarding/peers/recent_confirmations.py
@@ -43,7 +43,11 @@
 
     def forget(self, now: float) -> None:
         """Remove those that are no longer fresh."""
-        old = [reader for reader, received in self._by_reader.items() if now - received.received_at > STALE_AFTER_S]
+        old = [
+            reader
+            for reader, received in self._by_reader.items()
+            if now - received.received_at > STALE_AFTER_S
+        ]
         for reader in old:
             del self._by_reader[reader]
 
