--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -1,7 +1,7 @@
-"""One start of a back end as the data path sees it, and the decisions about packets.
+"""One incarnation of a back end as the data path uses it, and the decisions about packets.
 
-Owns: what is known and observed of the back end.  Relies on: `BackendDirectory` to keep it, and `load` and
-`health` to update what they observe.
+Owns: the state and the observations of the back end.  Relies on: `BackendDirectory` to keep it, and `load`
+and `health` to update their observations.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState, Endpoint
 
 TOKEN_BITS = 32
-"""Bits of a routing token; the packet format of the platform gives it this room."""
+"""Size of a routing token in bits, given by the packet format of the platform."""
 TOKEN_MASK = (1 << TOKEN_BITS) - 1
-"""The bits of a token."""
+"""Mask of the bits of a token."""
 NO_TOKEN = 0
-"""Stands in packets that carry no token."""
+"""Token field of packets that carry no token."""
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What becomes of a packet.
+    """Decision about a packet.
 
-    :ivar backend: where it is forwarded to; None where it is not.
+    :ivar backend: back end to forward it to; None if it is not forwarded.
     :ivar refusal: why it is not forwarded.
     :ivar reset: whether the caller is sent a reset at once.
-    :ivar lookup: whether peers are asked for the token before the packet is dropped.
-    :ivar queue: whether the packet waits for room at a back end.
+    :ivar lookup: whether the token is looked up at peers before the packet is dropped.
+    :ivar queue: whether the packet is queued until a back end has spare capacity.
     :ivar suspect: name of a back end that may be gone and should be checked.
     """
 
@@ -42,25 +42,25 @@
 
 
 class ForwardingBackend:
-    """One start of a back end.
+    """One incarnation of a back end: the time from one start to the next under the same id.
 
     :ivar token: routing token, never 0.
-    :ivar prefix: identity in front of each packet (8 bytes), so that another
-        start at the same address does not take it.
-    :ivar warm_at: time at which it is as fast as the others after its start.
+    :ivar prefix: identity sent in front of each packet (8 bytes), so that another
+        back end at the same address does not accept it.
+    :ivar warm_at: time at which its cold start ends.
     :ivar departed_at: time at which it was found missing in the list.
-    :ivar announced_leaving: whether it has said that it leaves.
+    :ivar announced_leaving: whether it has announced that it is leaving.
     :ivar flows: flows opened through this balancer and not closed.
-    :ivar in_flight: requests seen through this balancer without an answer.
-    :ivar latency: how long it takes to answer.
+    :ivar in_flight: requests forwarded by this balancer and not yet answered.
+    :ivar latency: estimate of its response time.
     :ivar decision: the decision to forward to it.
-    :ivar suspicious_decision: the same, and to check whether it is gone.
-    :ivar avoided_until: time until which it is passed over for its silence.
+    :ivar suspicious_decision: the decision to forward to it and to check whether it is gone.
+    :ivar avoided_until: time until which it is chosen only if there is no other, since it may not answer.
     :ivar checked_at: when it was last checked.
-    :ivar suspected_until: time until which it is checked because a peer could not reach it.
+    :ivar suspected_until: time until which packets to it start a check, because a peer could not reach it.
     :ivar unreachable_until: time until which its flows are reset.
     :ivar ejected_until: time until which it is given no new flow, for requests left unanswered.
-    :ivar probation_until: time until which it is given few of them.
+    :ivar probation_until: time until which it is given few new flows after the ejection.
     """
 
     __slots__ = (
@@ -97,7 +97,7 @@
         self.update(record, now)
 
     def update(self, record: BackendRecord, now: float) -> None:
-        """Take a newer record of the back end."""
+        """Apply a newer record of the back end."""
         self.slots = max(1, record.slots)
         self.state = record.state
         if record.state is BackendState.LEAVING:
@@ -108,27 +108,27 @@
         self.unreachable_until = 0.0
 
     def is_other_incarnation(self, record: BackendRecord) -> bool:
-        """Tell whether a record is of another start: it has another name, address or service."""
+        """Return whether a record is of another incarnation: its name, address or service differs."""
         is_elsewhere = (record.host, record.port) != self.endpoint or record.service != self.service
         return record.name != self.name or is_elsewhere
 
     def is_superseded_by(self, record: BackendRecord) -> bool:
-        """Tell whether a record of this start is newer than what is held.
+        """Return whether a record of this incarnation is newer than the state held.
 
-        A start that has said that it leaves stays leaving.  One that was only missing in the list may come
-        back: its entry can lapse while it lives.
+        An incarnation that has announced that it is leaving stays leaving.  One that was only missing in the
+        list may return: its entry can expire while it is alive.
         """
         if record.revision <= self.revision:
             return False
         return not (self.announced_leaving and record.state is BackendState.READY)
 
     def is_unreachable(self, now: float) -> bool:
-        """Tell whether its flows are reset."""
+        """Return whether its flows are reset."""
         return self.unreachable_until > now
 
     @property
     def departed_unannounced(self) -> bool:
-        """Whether it has left the list without having said so."""
+        """Whether it has left the list without announcing it."""
         return self.state is BackendState.DEPARTED and not self.announced_leaving
 
     def departed_s(self, now: float) -> float:
@@ -136,11 +136,11 @@
         return now - self.departed_at if self.state is BackendState.DEPARTED else 0.0
 
     def to_known_backend(self, now: float) -> KnownBackend:
-        """Return this back end as peers are sent it."""
+        """Return the state of this back end as it is sent to peers."""
         return KnownBackend(self.record(now), self.departed_s(now), self.announced_leaving)
 
     def record(self, now: float) -> BackendRecord:
-        """Return this back end as it would be listed, with the state it has here."""
+        """Return a list record of this back end, with its local state."""
         return BackendRecord(
             self.name,
             self.number,
@@ -156,6 +156,6 @@
 
 
 def token_of(number: int) -> int:
-    """Return the routing token of an identity: 32 bits, the same everywhere, never 0."""
+    """Return the routing token of an identity: 32 bits, the same on all balancers, never 0."""
     folded = (number ^ number >> TOKEN_BITS) & TOKEN_MASK
     return folded or TOKEN_MASK
--- a/sloepond/core/forwarding/state/backend_records.py
+++ b/sloepond/core/forwarding/state/backend_records.py
@@ -1,6 +1,6 @@
-"""Records of back ends, as the store lists them and as peers pass them on.
+"""Records of back ends, as the store lists them and as peers send them.
 
-Owns: the form of a record.  Relies on: nothing.
+Owns: the format of a record.  Relies on: nothing.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 class Endpoint(NamedTuple):
-    """Address and port, as sockets take them."""
+    """Address and port, in the form that sockets expect."""
 
     host: str
     port: int
 
 
 class BackendState(enum.IntEnum):
-    """State of a back end, as it has reported it or as the list shows."""
+    """State of a back end, reported by itself or derived from the list."""
 
     READY = 0
     LEAVING = 1
@@ -28,34 +28,34 @@
 
 
 INCARNATION_SEPARATOR = "#"
-"""Between the id of a back end and its start, in the names of those that are started again under their id."""
+"""Separates the id of a back end from its start time in the name of an incarnation."""
 
 
 def incarnation_name(identity: str, born_ms: int) -> str:
-    """Return the name of one start of a back end.
+    """Return the name of one incarnation of a back end.
 
-    All that is counted, measured or told of a back end goes by this name, so nothing of a former start
-    counts for the one that follows under the same id.
+    All counts, measurements and messages about a back end use this name, so those of a former incarnation
+    do not affect the next one under the same id.
 
-    :param identity: its id.
-    :param born_ms: Unix time of its start in milliseconds, 0 where it is not known.
+    :param identity: id of the back end.
+    :param born_ms: Unix time of its start in milliseconds, 0 if unknown.
     """
     return f"{identity}{INCARNATION_SEPARATOR}{born_ms}" if born_ms else identity
 
 
 def id_of_incarnation(name: str) -> str:
-    """Return the id of the back end of which a name names one start."""
+    """Return the id of the back end from the name of one of its incarnations."""
     return name.partition(INCARNATION_SEPARATOR)[0]
 
 
 class BackendRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One back end as it is listed and as peers pass it on.
+    """One back end as it is listed and as peers send it.
 
-    :ivar name: of this start of it, see `incarnation_name`.
-    :ivar number: its identity in packets, the same for all starts under one id (64 bits).
-    :ivar slots: requests that it works on at once.
-    :ivar cold_s: seconds until it is as fast as the others after its start.
-    :ivar revision: revision of the list at which this was written.
+    :ivar name: name of this incarnation, see `incarnation_name`.
+    :ivar number: its identity in packets (64 bits), the same for all incarnations under one id.
+    :ivar slots: number of requests that it processes at once.
+    :ivar cold_s: seconds until its cold start ends.
+    :ivar revision: revision of the list at which this entry was written.
     """
 
     name: str
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -1,8 +1,9 @@
-"""The back ends that the data path knows, found by name, service and routing token.
+"""Directory of the back ends that the data path uses, by name, service and routing token.
 
-Owns: every back end known, also those that leave or have departed, and which of them take new flows.
-Relies on: `TokenHolders` and `EndpointHolders` for what only one can hold, `ChangeIndex` for what peers are
-sent, `ListChecksum` for comparing lists with peers, `PlaceRules` for where flows may go.
+Owns: all known back ends, also those that are leaving or have departed, and which of them accept new flows.
+Relies on: `TokenHolders` and `EndpointHolders` to resolve conflicts over tokens and addresses, `ChangeIndex`
+for the changes to send to peers, `ListChecksum` to compare lists with peers, `PlaceRules` for the halls that
+may receive flows.
 """
 
 from __future__ import annotations
@@ -20,28 +21,28 @@
 from sloepond.core.forwarding.state.list_checksum import ListChecksum
 
 DEPARTED_RETENTION_S = 90.0
-"""Seconds for which a departed back end keeps its token: it may serve its flows after it has left the list.
-Not measured: the life of a flow and a margin."""
+"""Seconds for which a departed back end keeps its token, since it may still serve its flows after it has left
+the list: the lifetime of a flow and a margin."""
 ASSUMED_DEPARTURE_AGE_S = 30.0
-"""Seconds ago at which a back end counts as departed where the time is unknown.  Not measured: beyond the
-2.0 s for which a departed one may be given new flows where no other is left, and well within
-`DEPARTED_RETENTION_S`, so that its flows are still forwarded."""
+"""Assumed time in seconds since the departure of a back end if it is unknown.  Longer than the 2.0 s for
+which a departed one may be given new flows if no other is left, and well below `DEPARTED_RETENTION_S`, so
+that its flows are still forwarded."""
 
 
 class BackendDirectory:
-    """All back ends known, also those that leave or have departed.
+    """All known back ends, also those that are leaving or have departed.
 
     :param places: where flows may go; a back end elsewhere is given none.
-    :ivar changes: which of them have changed since a revision.
-    :ivar cold_until: time until which one of them at least is slow from its start.
-    :ivar has_full_list: whether a whole list was taken; before that, single ones may be known from peers.
+    :ivar changes: index of the back ends that have changed since a revision.
+    :ivar cold_until: time until which at least one back end is in its cold start.
+    :ivar has_full_list: whether a whole list was applied; before that, single back ends may come from peers.
     """
 
     def __init__(self, places: PlaceRules = ANYWHERE) -> None:
         self.has_full_list = False
         self._places = places
         self._by_name: dict[str, ForwardingBackend] = {}
-        self._incarnations: dict[str, str] = {}
+        self._incarnation_by_id: dict[str, str] = {}
         self._tokens = TokenHolders()
         self._endpoints = EndpointHolders()
         self._by_service: dict[str, dict[str, ForwardingBackend]] = {}
@@ -59,49 +60,49 @@
 
     @property
     def list_checksum(self) -> int:
-        """Anti-entropy checksum of the back ends that are listed, at their revisions."""
+        """Anti-entropy checksum of the listed back ends and their revisions."""
         return self._checksum.value
 
     @property
     def has_backends(self) -> bool:
-        """Whether a whole list is known and there is something in it."""
+        """Whether a whole list was applied and any back end is known."""
         return self.has_full_list and len(self._by_name) > 0
 
     def list_received(self, revision: int) -> None:
-        """Note that a whole list is taken; the first is where changes are known from."""
+        """Record that a whole list is applied; changes are indexed from the first one on."""
         if not self.has_full_list:
             self.has_full_list = True
             self.changes.skip_to(revision)
 
     def places_changed(self, places: PlaceRules) -> None:
-        """Take other rules; they bind new flows at once."""
+        """Replace the place rules; they apply to new flows at once."""
         self._places = places
         self._candidates.clear()
 
     def halls_evacuated(self, halls: frozenset[str]) -> None:
-        """Take the halls that are given no new flow from now on."""
+        """Replace the set of evacuated halls; they are given no new flow from now on."""
         self._evacuated = halls
         self._candidates.clear()
 
     def is_within(self, backend: ForwardingBackend, regions: tuple[str, ...]) -> bool:
-        """Tell whether a back end stands in one of some regions."""
+        """Return whether a back end is located in one of some regions."""
         return self._places.is_within(regions, backend.hall)
 
     def mark_cold(self, backend: ForwardingBackend, until: float) -> None:
-        """Note that a back end is slow from its start until a time."""
+        """Record that a back end is in its cold start until a time."""
         backend.warm_at = max(backend.warm_at, until)
         self.cold_until = max(self.cold_until, backend.warm_at)
 
     def by_token(self, token: int) -> ForwardingBackend | None:
-        """Return the back end whose flows carry the token."""
+        """Return the back end that holds a token."""
         return self._tokens.holder(token)
 
     def by_name(self, name: str) -> ForwardingBackend | None:
-        """Return a back end."""
+        """Return the back end of a name."""
         return self._by_name.get(name)
 
     def candidates(self, service: str) -> list[ForwardingBackend]:
-        """Return the back ends of a service that take new flows."""
+        """Return the back ends of a service that accept new flows."""
         known = self._candidates.get(service)
         if known is None:
             known = [backend for backend in self._of_service(service) if self._accepts_flows(backend)]
@@ -109,7 +110,7 @@
         return known
 
     def recently_departed(self, service: str, since: float) -> list[ForwardingBackend]:
-        """Return those that left the list after `since` without having said so."""
+        """Return the back ends of a service that left the list after `since` without announcing it."""
         return [
             backend
             for backend in self._of_service(service)
@@ -119,10 +120,10 @@
         ]
 
     def apply_record(self, record: BackendRecord, now: float, complete_to: int = 0) -> bool:
-        """Take a record; an older one than the one held, or than the list, changes nothing.
+        """Apply a record; one that is older than the one held, or than the list, changes nothing.
 
-        :param complete_to: revision up to which all changes are known here, if that is beyond what
-            the sender of the record knows.
+        :param complete_to: revision up to which all changes have been applied here, if the sender of
+            the record is behind it.
         :returns: whether anything changed.
         """
         if record.name not in self._by_name and self._has_left(record, complete_to):
@@ -143,13 +144,13 @@
         return True
 
     def _replace_former_incarnation(self, record: BackendRecord) -> bool:
-        """Forget the start before the one of a record, if there is one; return whether the record may count.
+        """Remove the incarnation before that of a record, if any; return whether the record may be applied.
 
-        A back end that starts again under its id knows nothing of before: its token stands for the new start
-        from now on, and callers of flows with the former one are reset by it at their next packet.  News of
-        both may come in any order; the revision of the entry tells which start is the later one.
+        A back end that starts again under its id has lost its flows: its token now identifies the new
+        incarnation, which resets the callers of flows of the former one at their next packet.  Records of
+        both may arrive in any order; the revision of the entry shows which incarnation is the later one.
         """
-        former = self._by_name.get(self._incarnations.get(id_of_incarnation(record.name), ""))
+        former = self._by_name.get(self._incarnation_by_id.get(id_of_incarnation(record.name), ""))
         if former is None or not former.is_other_incarnation(record):
             return True
         if record.revision <= former.revision:
@@ -159,10 +160,10 @@
         return True
 
     def apply_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
-        """Take a back end from a peer, with the state it has there.
+        """Apply a back end from a peer, with the state it has there.
 
-        :param complete_to: revision up to which all changes are known here, if that is beyond what
-            the peer knows.
+        :param complete_to: revision up to which all changes have been applied here, if the peer is
+            behind it.
         :returns: whether anything changed.
         """
         record = known.record
@@ -177,18 +178,18 @@
         return changed
 
     def _has_left(self, record: BackendRecord, complete_to: int) -> bool:
-        """Tell whether a back end that is unknown here has left the list, though a record lists it.
+        """Return whether a back end that is unknown here has left the list although a record lists it.
 
-        One that is missing in a list which is complete up to a later revision has left it.  Records of it
-        may still arrive: from a balancer that has slept or was cut off, or in an answer of the store that
-        a later one has overtaken.
+        A back end that is missing in a list which is complete up to a later revision has left it.  Records
+        of it may still arrive: from a balancer that was stalled or partitioned, or in an answer of the store
+        that a later one has overtaken.
         """
         return self.has_full_list and record.revision <= complete_to
 
     def add_known(self, known: KnownBackend, complete_to: int, now: float) -> bool:
-        """Take a back end from a peer: it adds what is unknown here, and changes nothing else.
+        """Add a back end from a peer if it is unknown here; return whether it was added.
 
-        :param complete_to: revision up to which all changes are known here.
+        :param complete_to: revision up to which all changes have been applied here.
         """
         record, departed_s = known.record, known.departed_s
         if record.name in self._by_name or not self._replace_former_incarnation(record):
@@ -208,19 +209,19 @@
         return True
 
     def mark_unreadable(self, name: str, revision: int, now: float) -> bool:
-        """Note that the entry of a back end, named by its id, cannot be read any more as of a revision.
+        """Record that the entry of a back end, named by its id, is unreadable as of a revision.
 
-        It is given no new flow, not even as a last resort: nothing says that it still serves.  Its open flows
-        go on, as those of one that has left the list: they break only if it has really ended.
+        It is given no new flow, not even as a last resort, since nothing shows that it still serves.  Its
+        open flows are kept, as those of one that has left the list: they break only if it has really ended.
         """
         return self.mark_departed(name, revision, now - ASSUMED_DEPARTURE_AGE_S)
 
     def mark_departed(self, name: str, revision: int, now: float) -> bool:
-        """Note that a back end is no longer listed as of a revision.
+        """Record that a back end is no longer listed as of a revision.
 
-        :param name: of one start of it, or its id for the latest one.
+        :param name: name of an incarnation, or an id for the latest incarnation.
         """
-        backend = self._by_name.get(self._incarnations.get(name, name))
+        backend = self._by_name.get(self._incarnation_by_id.get(name, name))
         if backend is None or backend.state is BackendState.DEPARTED or revision < backend.revision:
             return False
         self._checksum.left(backend.name)
@@ -236,9 +237,9 @@
     def apply_list(
         self, records: Sequence[BackendRecord], revision: int, now: float, complete_to: int = 0
     ) -> int:
-        """Take the whole list as of a revision: a back end that is missing in it has departed.
+        """Apply the whole list as of a revision: a back end that is missing in it has departed.
 
-        :param complete_to: revision up to which all changes are known here, if that is beyond the list.
+        :param complete_to: revision up to which all changes have been applied here, if the list is behind it.
         :returns: number of back ends that changed.
         """
         names = {record.name for record in records}
@@ -247,7 +248,7 @@
         return changed + sum(self.mark_departed(name, revision, now) for name in missing)
 
     def forget_departed(self, now: float) -> int:
-        """Forget those whose flows must have ended; return how many."""
+        """Remove departed back ends whose flows must have ended; return how many."""
         old = [
             backend
             for backend in self._by_name.values()
@@ -276,7 +277,7 @@
 
     def _add(self, backend: ForwardingBackend) -> None:
         self._by_name[backend.name] = backend
-        self._incarnations[id_of_incarnation(backend.name)] = backend.name
+        self._incarnation_by_id[id_of_incarnation(backend.name)] = backend.name
         self.cold_until = max(self.cold_until, backend.warm_at)
         self._by_service.setdefault(backend.service, {})[backend.name] = backend
         self._tokens.add(backend)
@@ -284,7 +285,7 @@
 
     def _remove(self, backend: ForwardingBackend) -> None:
         del self._by_name[backend.name]
-        self._incarnations.pop(id_of_incarnation(backend.name), None)
+        self._incarnation_by_id.pop(id_of_incarnation(backend.name), None)
         self._endpoints.remove(backend)
         members = self._by_service[backend.service]
         del members[backend.name]
--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -1,7 +1,7 @@
-"""What the fields of a listed back end may hold, whoever wrote the entry.
+"""Validation of the fields of a listed back end.
 
-Other programs may write to the list.  What they write must not be taken for a back end, nor be too large
-for a message between balancers, nor be a host name, whose look-up would block the process.
+Other programs may write to the list.  Their entries must not be accepted as back ends, be too large for a
+message between balancers, or contain a host name, whose resolution would block the process.
 
 Owns: the bounds.  Relies on: nothing.
 """
@@ -15,24 +15,25 @@
 from sloepond.core.forwarding.state.backend_records import INCARNATION_SEPARATOR, Endpoint
 
 MAXIMUM_TEXT_LENGTH = 100
-"""Most characters of a service, a hall, an id or a reason.  Not measured: 12 back ends of this size are 6 kB,
-within a datagram of 65 kB."""
+"""Maximum number of characters of a service, a hall, an id or a reason.  12 back ends with texts of this
+length take 6 kB, which fits a datagram of 65 kB."""
 MAXIMUM_SLOTS = 1_000_000
-"""Most requests that a back end works on at once.  Not measured: beyond any, and it fits every message."""
+"""Maximum number of requests that a back end processes at once: more than any does, and it fits every
+message."""
 MAXIMUM_SLOW_MS = 86_400_000.0
-"""Most milliseconds for which a back end is slow from its start: a day.  Not measured: beyond any."""
+"""Maximum duration of a cold start in milliseconds: a day, longer than any."""
 MAXIMUM_COUNT = 2**53
-"""Largest whole number that JSON carries exactly everywhere."""
+"""Largest integer that every JSON implementation represents exactly."""
 NUMBER_BITS = 64
-"""Bits of an identity in a packet."""
+"""Size of an identity in a packet, in bits."""
 HEXADECIMAL_DIGITS = frozenset("0123456789abcdefABCDEF")
-"""Digits of the number in an id."""
+"""Hexadecimal digits that may occur in an id."""
 MAXIMUM_PORT = 65_535
 """Largest port."""
 MAXIMUM_OCTET = 255
-"""Largest part of an IPv4 address."""
+"""Largest value of one part of an IPv4 address."""
 IPV4_PARTS = 4
-"""Parts of an IPv4 address."""
+"""Number of parts of an IPv4 address."""
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMUM_TEXT_LENGTH)]
 OptionalText = Annotated[str, msgspec.Meta(max_length=MAXIMUM_TEXT_LENGTH)]
@@ -42,9 +43,9 @@
 
 
 def number_of(identity: str) -> int:
-    """Return the hex digits of an id, after its last dash, as a number; of longer ones the last 64 bits.
+    """Return the hexadecimal digits after the last dash of an id as a number, of which the lowest 64 bits.
 
-    :raises ValueError: if there are none, or they are 0, which stands for any back end in a packet.
+    :raises ValueError: if there are none, or the number is 0, which means any back end in a packet.
     """
     digits = "".join(digit for digit in identity.rpartition("-")[2] if digit in HEXADECIMAL_DIGITS)
     number = int(digits or "0", 16) & (1 << NUMBER_BITS) - 1
@@ -54,9 +55,9 @@
 
 
 def checked_identity(text: str) -> str:
-    """Return a text that may be the id of a back end.
+    """Return a text if it is a valid id of a back end.
 
-    :raises ValueError: if it is empty or too long, or holds a mark with a meaning in keys or names.
+    :raises ValueError: if it is empty or too long, or contains a separator of keys or names.
     """
     if not 0 < len(text) <= MAXIMUM_TEXT_LENGTH or "/" in text or INCARNATION_SEPARATOR in text:
         raise ValueError(f"{truncated(text)} is no id")
@@ -64,9 +65,9 @@
 
 
 def endpoint_of(address: str) -> Endpoint:
-    """Return the endpoint in `ip:port`.
+    """Parse an endpoint of the form `ip:port`.
 
-    :raises ValueError: if it is no IPv4 address in numbers, or has no port.
+    :raises ValueError: if the host is not a numeric IPv4 address, or there is no valid port.
     """
     host, _, port = address.rpartition(":")
     parts = host.split(".")
@@ -77,11 +78,11 @@
 
 
 def truncated(text: str) -> str:
-    """Return a text as it may stand in a log line, whoever wrote it."""
+    """Return a text from another program, truncated for a log line."""
     return text if len(text) <= MAXIMUM_TEXT_LENGTH else f"{text[:MAXIMUM_TEXT_LENGTH]}..."
 
 
 def _is_number(text: str, maximum: int) -> bool:
-    """Tell whether a text is a decimal number up to a largest one, without a sign or superfluous zeros."""
+    """Return whether a text is a decimal number from 0 to a maximum, without a sign or leading zeros."""
     is_decimal = text.isascii() and text.isdigit() and len(text) <= len(str(maximum))
     return is_decimal and int(text) <= maximum and str(int(text)) == text
--- a/sloepond/core/forwarding/state/evacuated_halls.py
+++ b/sloepond/core/forwarding/state/evacuated_halls.py
@@ -1,9 +1,9 @@
-"""Halls that an operator has evacuated: they get no new flow until they are taken back.
+"""Halls that an operator has evacuated: they receive no new flow until the evacuation ends.
 
-The whole set is sent with the store's revision at which it held, so the newer of two sets is right,
-whatever was missed between them.
+The whole set is always sent, with the store's revision at which it was valid, so the newer of two sets is
+correct even if changes between them were missed.
 
-Owns: the form of the set.  Relies on: nothing; `Evacuations` applies it.
+Owns: the format of the set.  Relies on: nothing; `Evacuations` applies it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 class EvacuatedHalls(msgspec.Struct, frozen=True, array_like=True):
-    """The evacuated halls as of a revision of the store, 0 where nothing is known."""
+    """The evacuated halls at a revision of the store, 0 if unknown."""
 
     revision: int = 0
     halls: tuple[str, ...] = ()
 
 
 class EvacuationChange(msgspec.Struct, frozen=True):
-    """A hall was evacuated, or taken back, at a revision of the store."""
+    """A hall was evacuated, or its evacuation ended, at a revision of the store."""
 
     hall: str
     revision: int
@@ -29,7 +29,7 @@
 def apply_hall_changes(
     known: EvacuatedHalls, changes: tuple[EvacuationChange, ...], revision: int
 ) -> EvacuatedHalls:
-    """Return the halls after changes, which are all there were up to a revision."""
+    """Return the evacuated halls after some changes; these must be all changes up to `revision`."""
     halls = set(known.halls)
     for change in changes:
         if change.revision <= known.revision:
--- a/sloepond/core/forwarding/state/holders.py
+++ b/sloepond/core/forwarding/state/holders.py
@@ -1,4 +1,4 @@
-"""Which back end holds a routing token, and which one an address: only one can hold each.
+"""Assigns each routing token and each address to at most one back end.
 
 Owns: the holder of each token and of each address, and the back ends that wait for a token.  Relies on:
 `BackendDirectory`, which adds and removes back ends.
@@ -14,8 +14,8 @@
 class TokenHolders:
     """Back ends by token.
 
-    Two back ends with one token: the one known first holds it; the other waits, and is given no flow,
-    until the first is removed, so a token always means one of them.
+    If two back ends have the same token, the one added first holds it.  The other waits, without new flows,
+    until the first is removed, so a token always identifies one back end.
     """
 
     def __init__(self) -> None:
@@ -23,20 +23,20 @@
         self._waiting: dict[str, ForwardingBackend] = {}
 
     def holder(self, token: int) -> ForwardingBackend | None:
-        """Return the back end whose flows carry a token."""
+        """Return the back end that holds a token."""
         return self._holders.get(token)
 
     def is_waiting(self, backend: ForwardingBackend) -> bool:
-        """Tell whether another back end holds the token."""
+        """Return whether another back end holds the token of a back end."""
         return backend.name in self._waiting
 
     def add(self, backend: ForwardingBackend) -> None:
-        """Give a back end its token, or let it wait."""
+        """Assign a back end its token, or let it wait if the token is held."""
         if self._holders.setdefault(backend.token, backend) is not backend:
             self._waiting[backend.name] = backend
 
     def remove(self, backend: ForwardingBackend) -> ForwardingBackend | None:
-        """Forget a back end; return the one that has its token now, None where none waited."""
+        """Remove a back end; return the one that now holds its token, None if none waited."""
         self._waiting.pop(backend.name, None)
         if self._holders.get(backend.token) is not backend:
             return None
@@ -51,17 +51,17 @@
 
 
 class EndpointHolders:
-    """The back end that lives at each address, as far as is known.
+    """The back end that is presumably alive at each address.
 
-    An address is used again after a back end has ended.  The one of two that has ended accepts no
-    connection any more, whatever else is known of it, so its flows are reset.
+    An address may be reused after a back end has ended.  Of two back ends at one address, the one that has
+    ended accepts no connection any more, whatever its listed state, so its flows are reset.
     """
 
     def __init__(self) -> None:
         self._live: dict[Endpoint, ForwardingBackend] = {}
 
     def resolve_conflict(self, backend: ForwardingBackend) -> None:
-        """Take a back end that is new or has departed; of two at one address, mark the ended one."""
+        """Check a back end that is new or has departed; mark the ended one of two at the same address."""
         other = self._live.setdefault(backend.endpoint, backend)
         if other is backend:
             return
@@ -71,13 +71,13 @@
             self._live[backend.endpoint] = other if ended is backend else backend
 
     def remove(self, backend: ForwardingBackend) -> None:
-        """Forget a back end."""
+        """Remove a back end."""
         if self._live.get(backend.endpoint) is backend:
             del self._live[backend.endpoint]
 
 
 def _ended(one: ForwardingBackend, other: ForwardingBackend) -> ForwardingBackend | None:
-    """Return which of two back ends with one address has ended, None where that is not known."""
+    """Return which of two back ends at one address has ended, None if unknown."""
     is_one_departed = one.state is BackendState.DEPARTED
     is_other_departed = other.state is BackendState.DEPARTED
     if is_one_departed is not is_other_departed:
--- a/sloepond/core/forwarding/state/list_checksum.py
+++ b/sloepond/core/forwarding/state/list_checksum.py
@@ -1,7 +1,7 @@
-"""Anti-entropy checksum of the list of back ends: tells whether two balancers hold the same list.
+"""Anti-entropy checksum of the list of back ends: shows whether two balancers hold the same list.
 
-It is the same wherever the same entries are listed at the same revisions, in whatever order they were
-learned, so two balancers compare their lists without sending them.
+It depends only on the entries and their revisions, not on the order in which they were added, so two
+balancers can compare their lists without sending them.
 
 Owns: the checksum and each entry's part in it.  Relies on: `BackendDirectory`, which reports each change.
 """
@@ -11,20 +11,20 @@
 import msgspec
 
 CHECKSUM_BITS = 64
-"""Bits of the checksum.  Not measured: two lists that differ share one with a probability of 5e-20."""
+"""Size of the checksum in bits.  Two lists that differ have the same checksum with a probability of 5e-20."""
 CHECKSUM_MASK = (1 << CHECKSUM_BITS) - 1
-"""The bits of a checksum."""
+"""Mask of the bits of a checksum."""
 NO_CHECKSUM = 0
-"""Stands where a message carries no checksum."""
+"""Checksum field of a message that carries no checksum."""
 EMPTY_CHECKSUM = 0x6A09E667F3BCC908
 """Checksum of an empty list: any number but `NO_CHECKSUM`."""
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
-"""Odd factor of the splitmix64 generator (Steele, Lea, Flood, 2014): its increment."""
+"""Increment of the splitmix64 generator (Steele, Lea, Flood, 2014), an odd number."""
 _REVISION_FACTOR = 0xBF58476D1CE4E5B9
-"""Its first mixing factor.  With the shifts in `_mix`, each bit of an identity or a revision changes about
-half of the bits of the result."""
+"""First mixing factor of splitmix64.  With the shifts in `_mix`, each bit of an identity or a revision
+changes about half of the bits of the result."""
 _MIXING_FACTOR = 0x94D049BB133111EB
-"""Its second mixing factor."""
+"""Second mixing factor of splitmix64."""
 
 
 class ListedEntry(msgspec.Struct, frozen=True, gc=False):
@@ -45,7 +45,7 @@
         self._entries: dict[str, ListedEntry] = {}
 
     def entered(self, name: str, number: int, revision: int) -> None:
-        """Note that a back end is listed as of a revision; an older one changes nothing.
+        """Record that a back end is listed as of a revision; an older revision changes nothing.
 
         :param number: identity of the back end (64 bits).
         """
@@ -57,7 +57,7 @@
         self._entries[name] = entry
 
     def left(self, name: str) -> None:
-        """Note that a back end is listed no longer."""
+        """Record that a back end is no longer listed."""
         known = self._entries.pop(name, None)
         if known is not None:
             self.value ^= known.value
--- a/sloepond/core/forwarding/state/route_delta.py
+++ b/sloepond/core/forwarding/state/route_delta.py
@@ -1,6 +1,6 @@
-"""Differences between versions of the routes, for balancers that have one and not the other.
+"""Differences between versions of the routes, for balancers that have an older version.
 
-Owns: the last differences.  Relies on: `RouteTable`, which adds each version that comes into force.
+Owns: the last differences.  Relies on: `RouteTable`, which adds one for each version that comes into force.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from sloepond.core.forwarding.state.routes import ColdStart, Route, RouteConfiguration
 
 MAXIMUM_DELTAS = 32
-"""Differences kept for peers that are behind.  Not measured: a peer that lacks more versions reads the
+"""Maximum number of differences kept for peers that are behind; a peer that lacks more versions reads the
 routes from the store."""
 MAXIMUM_CHANGES = 12
-"""Routes changed in a difference that is sent by datagram; a larger one goes by stream.  Encoded,
-12 routes with two services each take 987 bytes, so the message stays below 1,500."""
+"""Maximum number of changed routes in a difference that is sent by datagram; a larger one is sent by stream.
+Encoded, 12 routes with two services each take 987 bytes, so the message stays below 1,500 bytes."""
 
 
 class RouteDelta(msgspec.Struct, frozen=True, array_like=True):
-    """What makes one version of the routes out of another.
+    """The difference from one version of the routes to another.
 
-    :ivar base: version it applies to, and to no other.
-    :ivar version: version it leads to.
-    :ivar changed: routes that are new or differ.
-    :ivar removed: keys of routes that are no more.
-    :ivar cold_starts: all of them if any has changed, else None.
+    :ivar base: the only version to which it applies.
+    :ivar version: version that results.
+    :ivar changed: routes that are new or have changed.
+    :ivar removed: keys of routes that were removed.
+    :ivar cold_starts: all cold starts if any has changed, else None.
     """
 
     base: int
@@ -38,7 +38,7 @@
 
     @property
     def fits_datagram(self) -> bool:
-        """Whether it is small enough to be sent."""
+        """Whether it is small enough for a datagram."""
         cold_starts = len(self.cold_starts or ())
         return len(self.changed) + cold_starts <= MAXIMUM_CHANGES and len(self.removed) <= 4 * MAXIMUM_CHANGES
 
@@ -49,10 +49,10 @@
     newer: RouteConfiguration,
     cold_starts: tuple[ColdStart, ...] = (),
 ) -> RouteDelta:
-    """Return what leads from a version to a newer one.
+    """Return the difference from a version to a newer one.
 
-    :param routes: of version `base`, by key.
-    :param cold_starts: of version `base`.
+    :param routes: routes of version `base`, by key.
+    :param cold_starts: cold starts of version `base`.
     """
     kept = {route.key for route in newer.routes}
     return RouteDelta(
@@ -66,26 +66,26 @@
 
 
 class RouteHistory:
-    """The last differences, each found by the version it applies to."""
+    """The last differences, by the version to which each applies."""
 
     def __init__(self) -> None:
         self._deltas: dict[int, RouteDelta] = {}
 
     def add(self, delta: RouteDelta) -> None:
-        """Keep a difference; the oldest makes room."""
+        """Add a difference; the oldest is evicted above `MAXIMUM_DELTAS`."""
         self._deltas[delta.base] = delta
         if len(self._deltas) > MAXIMUM_DELTAS:
             del self._deltas[next(iter(self._deltas))]
 
     def latest_to(self, version: int) -> RouteDelta | None:
-        """Return the difference that leads to a version and fits a datagram, None where there is none."""
+        """Return the difference that leads to a version if it fits a datagram, else None."""
         for delta in reversed(self._deltas.values()):
             if delta.version == version:
                 return delta if delta.fits_datagram else None
         return None
 
     def chain(self, base: int, version: int) -> tuple[RouteDelta, ...]:
-        """Return differences that lead from one version to another, empty where not all are kept."""
+        """Return the differences that lead from one version to another, empty if not all are kept."""
         deltas: list[RouteDelta] = []
         while base != version:
             delta = self._deltas.get(base)
--- a/sloepond/core/forwarding/state/route_table.py
+++ b/sloepond/core/forwarding/state/route_table.py
@@ -1,7 +1,7 @@
-"""The routes in force: takes whole versions and differences, never an older one.
+"""The routes in force: applies whole versions and differences, never an older version.
 
-Owns: the version in force, and the weighted turns of its routes.  Relies on: `RouteHistory`, which keeps
-the differences for peers.
+Owns: the version in force, and the weighted round robin of each route.  Relies on: `RouteHistory`, which
+keeps the differences for peers.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RouteTable:
-    """The version in force; an older one never replaces it.
+    """The routes in force; an older version never replaces them.
 
     :ivar version: version in force, 0 for none.
     :ivar history: the last differences, for peers that are behind.
@@ -33,20 +33,20 @@
 
     @property
     def in_force(self) -> RouteConfiguration:
-        """The whole version in force."""
+        """The whole configuration in force."""
         return RouteConfiguration(
             self.version, tuple(self._routes.values()), self._idle_timeout_s, self._cold_starts
         )
 
     def apply(self, configuration: RouteConfiguration) -> bool:
-        """Put a version in force if it is newer; return whether it is."""
+        """Apply a whole version if it is newer; return whether it is."""
         if configuration.version <= self.version:
             return False
         self._apply(difference(self.version, self._routes, configuration, self._cold_starts))
         return True
 
     def apply_delta(self, delta: RouteDelta) -> bool:
-        """Put a version in force by its difference to the present one; return whether it applies."""
+        """Apply a difference if it is based on the version in force; return whether it is."""
         if delta.base != self.version or delta.version <= self.version:
             return False
         self._apply(delta)
@@ -57,11 +57,11 @@
         return self._routes.get(key)
 
     def cold_start(self, service: str) -> ColdStart | None:
-        """Return how slow the back ends of a service are after a start, None where they are not."""
+        """Return the cold start of the back ends of a service, None if they have none."""
         return next((cold for cold in self._cold_starts if cold.service == service), None)
 
     def round_robin(self, route: Route) -> WeightedRoundRobin:
-        """Return the turns of a route's services."""
+        """Return the round robin over the services of a route."""
         round_robin = self._round_robins.get(route.key)
         if round_robin is None:
             round_robin = WeightedRoundRobin(route.shares, self._random)
--- a/sloepond/core/forwarding/state/routes.py
+++ b/sloepond/core/forwarding/state/routes.py
@@ -1,6 +1,6 @@
-"""Routes: which services the flows to an endpoint go to, and in what shares.
+"""Routes: the services that receive the flows to an endpoint, and their shares.
 
-Owns: the form of a configuration, and the turns that keep its shares.  Relies on: nothing.
+Owns: the format of a configuration, and the round robin that keeps its shares.  Relies on: nothing.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 import msgspec
 
 MAXIMUM_START_TURNS = 1000.0
-"""Most turns that are taken to find a random start.  Not measured: bounds the time where weights are large;
-weights that sum to less than this are started anywhere in their whole cycle."""
+"""Maximum number of turns that are skipped for a random start.  Bounds the time if weights are large; if they
+sum to less than this, the start is anywhere in the whole cycle."""
 
 
 class Share(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One service of a route.
 
-    :ivar weight: share of the route's load, relative to the other weights.
+    :ivar weight: share of the route's flows, relative to the other weights.
     """
 
     service: str
@@ -25,10 +25,10 @@
 
 
 class ColdStart(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """How slow the back ends of a service are after a start.
+    """Cold start of the back ends of a service: they are slow for a time after their start.
 
-    :ivar duration_s: seconds for which they stay slow.
-    :ivar flows_per_s: new flows that one of them takes in a second meanwhile.
+    :ivar duration_s: seconds for which they are slow.
+    :ivar flows_per_s: new flows per second that one of them accepts meanwhile.
     """
 
     service: str
@@ -39,11 +39,11 @@
 class Route(msgspec.Struct, frozen=True, array_like=True):
     """One route.
 
-    :ivar key: endpoint callers send to; see `Segment.route_key`.
-    :ivar repeatable: whether its requests may run more than once.
+    :ivar key: endpoint to which callers send; see `Segment.route_key`.
+    :ivar repeatable: whether its requests may be executed more than once.
     :ivar timeout_s: seconds that its requests may take.
     :ivar priority: 0 is the highest.
-    :ivar regions: the only regions its flows may go to, empty for anywhere.
+    :ivar regions: the only regions to which its flows may go, empty for all.
     """
 
     name: str
@@ -58,9 +58,9 @@
 class RouteConfiguration(msgspec.Struct, frozen=True, array_like=True):
     """One version of all routes.
 
-    :ivar version: grows with each change.
-    :ivar idle_timeout_s: seconds without a packet after which a flow may be forgotten.
-    :ivar cold_starts: of the services whose back ends are slow after a start.
+    :ivar version: increases with each change.
+    :ivar idle_timeout_s: seconds without a packet after which a flow may be removed.
+    :ivar cold_starts: cold starts of the services that have one.
     """
 
     version: int
@@ -70,9 +70,9 @@
 
 
 class WeightedRoundRobin:
-    """Smooth weighted turns: exact over time, within two flows of each share at any moment.
+    """Smooth weighted round robin: exact over time, within two flows of each share at any moment.
 
-    Each balancer begins at a place of its own, so that the first few flows of many
+    Each balancer starts at a random position, so that the first few flows of many
     balancers do not all go to the same service.
 
     :param shares: at least one.
@@ -86,12 +86,12 @@
             self._randomise_start(random_source)
 
     def _randomise_start(self, random_source: random.Random) -> None:
-        """Draw the credits a long-running balancer would have at some moment."""
+        """Set the credits that a long-running balancer would have at a random moment."""
         for _ in range(random_source.randrange(1 + int(min(self._total, MAXIMUM_START_TURNS)))):
             self.next()
 
     def next(self) -> str:
-        """Return the service whose turn it is."""
+        """Return the next service."""
         credits = self._credits
         best = 0
         for index, share in enumerate(self._shares):
