--- a/features/forwarding/entries.feature
+++ b/features/forwarding/entries.feature
@@ -1,10 +1,10 @@
-Feature: Entries of other writers name no back end; a back end may start again under its id
+Feature: Invalid entries of other programs are not back ends; a back end may restart under its id
 
-  Scenario: Whatever another program writes, the other entries hold
-    Then entries property: no entry raises, and none costs another one its place in a page or a watch
+  Scenario: An invalid entry does not affect the other entries
+    Then entries property: no entry raises, and none removes another one from a page or a watch
 
-  Scenario Outline: An entry that another program has written names no back end
-    Then entries: an entry with <field> <value> names no back end
+  Scenario Outline: An entry with an invalid field is not a back end
+    Then entries: an entry with <field> <value> is not a back end
 
     Examples:
       | field         | value                 |
@@ -35,8 +35,8 @@
       | addr          | "store.example:8080"  |
       | addr          | ["10.128.0.9", 8080]  |
 
-  Scenario Outline: Bytes that cannot be read name no back end
-    Then entries: an entry whose value is <value> names no back end
+  Scenario Outline: A value that cannot be decoded is not a back end
+    Then entries: an entry whose value is <value> is not a back end
 
     Examples:
       | value              |
@@ -47,8 +47,8 @@
       | very long          |
       | empty              |
 
-  Scenario Outline: A key that is none of a back end names none
-    Then entries: an entry under <key> names no back end
+  Scenario Outline: An entry under an invalid key is not a back end
+    Then entries: an entry under <key> is not a back end
 
     Examples:
       | key                          |
@@ -58,50 +58,50 @@
       | servers/i-0                  |
       | servers/i-7f3a91c2#17        |
 
-  Scenario: An entry that cannot be read is counted and logged at a bounded rate
+  Scenario: Unreadable entries are counted, and logged at a bounded rate
     Given a forwarding node with routes and back ends
-    When forwarding reads 40 lists in which an entry cannot be read
+    When forwarding reads 40 lists with an unreadable entry
     Then forwarding has counted 40 unreadable entries, and logged at most 12 with key and reason
 
-  Scenario: A back end whose entry turns unreadable gets no new flow, and keeps its open ones
+  Scenario: A back end whose entry becomes unreadable in a watch gets no new flow, and keeps its open ones
     Given a forwarding node with one back end of a service
-    When the entry of that back end turns unreadable in a watch
+    When the entry of that back end becomes unreadable in a watch
     Then forwarding gives that service no new flow, and forwards its open flows
-    When the entry of that back end can be read again
+    When the entry of that back end becomes readable again
     Then forwarding gives that service new flows
 
-  Scenario: The same, found in a whole list
+  Scenario: A back end whose entry is unreadable in a list gets no new flow, and keeps its open ones
     Given a forwarding node with one back end of a service
     When the entry of that back end is unreadable in a list
     Then forwarding gives that service no new flow, and forwards its open flows
 
   Scenario: A back end that has left and starts again under its id gets new flows
-    It had said that it leaves, and a back end that has said so stays leaving.  Started again under
-    its id it was given no new flow for good.
+    A back end that has announced that it leaves stays leaving.  If this also applied to its next incarnation,
+    a back end that restarts under its id would never be given a new flow again.
     Given a forwarding node with one back end of a service
-    When that back end says that it leaves, and starts again under its id
+    When that back end announces that it leaves, and starts again under its id
     Then forwarding gives that service new flows
 
-  Scenario: A back end that starts again elsewhere is found there
+  Scenario: A back end that restarts at another address is used there
     Given a forwarding node with one back end of a service
     When that back end starts again under its id at another address
     Then forwarding sends new flows, and packets with its token, to the new address
 
-  Scenario: A back end of an older platform that stands at another address has started again
+  Scenario: A changed address shows a restart if the platform gives no start time
     Given a forwarding node with one back end of a service
-    When the entry of that back end names another address and no start
+    When the entry of that back end names another address and no start time
     Then forwarding sends new flows, and packets with its token, to the new address
 
-  Scenario: Nothing that was seen of the former start counts for the new one
+  Scenario: Observations of the former incarnation do not apply to the new one
     Given a forwarding node with one back end of a service
     When that back end is found unreachable, slow and failing, and starts again under its id
-    Then nothing of that is known of the new start, which is slow from its start
+    Then the new incarnation has none of these observations, and is in its cold start
 
-  Scenario: What peers say late of the former start does not touch the new one
+  Scenario: Late reports of peers about the former incarnation do not affect the new one
     Given a forwarding node with one back end of a service
     When that back end starts again under its id
-    And peers say late that the former start leaves, fails and has departed
+    And peers report late that the former incarnation leaves, fails and has departed
     Then forwarding gives that service new flows
 
-  Scenario: News of two starts may come in any order
-    Then entries property: in any order of news of several starts the latest one holds, and nothing of the others
+  Scenario: Records of several incarnations may arrive in any order
+    Then entries property: after records of several incarnations in any order only the latest one is held
--- a/features/steps/forwarding_entries_steps.py
+++ b/features/steps/forwarding_entries_steps.py
@@ -1,4 +1,4 @@
-"""Steps on entries of other writers, and on back ends that start again under their id."""
+"""Steps on entries of other programs, and on back ends that restart under their id."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
     "born": 1764730000000,
 }
 KEY = "servers/i-7f3a91c2"
-NEIGHBOURS = ("servers/i-00000001", "servers/i-ffffffff")
+NEIGHBOUR_KEYS = ("servers/i-00000001", "servers/i-ffffffff")
 """Keys before and after it in a page."""
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=400)
 ORDERS = settings(derandomize=True, deadline=None, database=None, max_examples=300)
 PEER = "10.1.0.3"
 NUMBER = 6
-"""Number of the one back end of its service."""
+"""Number of the only back end of its service."""
 FIRST_BORN, SECOND_BORN = 1764730000000, 1764730060000
 UNREADABLE = {
     "no base64": "***",
@@ -60,14 +60,14 @@
 
 
 def item(key, value, revision):
-    """Return an item of the store; `value` is a document or the text that stands in its place."""
+    """Return an item of the store; `value` is a document, or a text that is used as it is."""
     text = value if isinstance(value, str) else base64.b64encode(json.dumps(value).encode()).decode()
     return {"key": key, "value": text, "rev": revision, "made": 1, "lease": 0}
 
 
 def decoded(entry):
-    """Return the entries of a page and of a watch that hold one entry between two good ones."""
-    before, after = (item(key, GOOD, 9) for key in NEIGHBOURS)
+    """Return the events decoded from a page and from a watch that contain an entry between two valid ones."""
+    before, after = (item(key, GOOD, 9) for key in NEIGHBOUR_KEYS)
     items = [before, entry, after]
     page = STORE.decode_page(Subject.BACKENDS, msgspec.json.encode({"items": items, "more": False, "at": 30}))
     body = msgspec.json.encode({"events": items, "at": 31})
@@ -75,10 +75,10 @@
     return page.event, watch
 
 
-def assert_others_hold(entry):
-    """Check that the good entries around one are there; return what the one is."""
+def assert_others_kept(entry):
+    """Check that the valid entries around an entry are kept; return the decoded entry."""
     page, watch = decoded(entry)
-    names = {incarnation_name(key.removeprefix("servers/"), GOOD["born"]) for key in NEIGHBOURS}
+    names = {incarnation_name(key.removeprefix("servers/"), GOOD["born"]) for key in NEIGHBOUR_KEYS}
     assert isinstance(page, BackendsRead) and isinstance(watch, BackendsChanged), (page, watch)
     assert names <= {each.name for each in page.records}
     assert names <= {each.name for each in watch.changes}
@@ -86,14 +86,14 @@
     return watch.changes[1]
 
 
-def assert_names_none(entry):
-    """Check that an entry names no back end, and that nothing too long is said of it."""
-    one = assert_others_hold(entry)
+def assert_rejected(entry):
+    """Check that an entry is not decoded as a back end, and that its name and reason are short."""
+    one = assert_others_kept(entry)
     assert isinstance(one, UnreadableBackend), one
     assert one.reason and len(one.reason) < 200 and len(one.name) < 200
 
 
-@then("entries property: no entry raises, and none costs another one its place in a page or a watch")
+@then("entries property: no entry raises, and none removes another one from a page or a watch")
 def any_entry(context):
     scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20)
     values = st.recursive(scalars, lambda inner: st.lists(inner, max_size=3), max_leaves=5)
@@ -110,7 +110,7 @@
     @PROPERTY
     @for_all(keys, documents | texts)
     def check(key, value):
-        one = assert_others_hold(item(key, value, 12))
+        one = assert_others_kept(item(key, value, 12))
         if isinstance(one, BackendRecord):
             directory = BackendDirectory()
             directory.apply_record(one, 1.0)
@@ -120,31 +120,31 @@
     check()
 
 
-@then("entries: an entry with {field} {value} names no back end")
+@then("entries: an entry with {field} {value} is not a back end")
 def field_wrong(context, field, value):
     document = {name: content for name, content in GOOD.items() if name != field}
     if value != "missing":
         document[field] = json.loads(value)
-    assert_names_none(item(KEY, document, 12))
+    assert_rejected(item(KEY, document, 12))
 
 
-@then("entries: an entry whose value is {value} names no back end")
+@then("entries: an entry whose value is {value} is not a back end")
 def value_wrong(context, value):
-    assert_names_none(item(KEY, UNREADABLE[value], 12))
+    assert_rejected(item(KEY, UNREADABLE[value], 12))
 
 
-@then("entries: an entry under {key} names no back end")
+@then("entries: an entry under {key} is not a back end")
 def key_wrong(context, key):
-    assert_names_none(item(key, GOOD, 12))
+    assert_rejected(item(key, GOOD, 12))
 
 
-@when("forwarding reads {count:d} lists in which an entry cannot be read")
+@when("forwarding reads {count:d} lists with an unreadable entry")
 def lists_unreadable(context, count):
     harness = context.harness
     for step in range(count):
         harness.now += 0.1
-        foreign = UnreadableBackend("i-77", 20 + step, "no JSON")
-        harness.handle(BackendsRead(20 + step, records(), (foreign,)))
+        unreadable = UnreadableBackend("i-77", 20 + step, "no JSON")
+        harness.handle(BackendsRead(20 + step, records(), (unreadable,)))
 
 
 @then("forwarding has counted {count:d} unreadable entries, and logged at most {most:d} with key and reason")
@@ -158,13 +158,13 @@
 
 
 def only(revision=10, born=FIRST_BORN, port=8000, **options):
-    """Return a record of the one back end of its service."""
+    """Return a record of the only back end of its service."""
     entry = record(NUMBER, "roster", revision, **options)
     return msgspec.structs.replace(entry, name=incarnation_name(entry.name, born), port=port)
 
 
 def identity():
-    """Return the id of the one back end."""
+    """Return the id of that back end."""
     return record(NUMBER).name
 
 
@@ -176,31 +176,31 @@
 
 
 def changed(context, *changes, revision):
-    """Let a watch bring changes."""
+    """Deliver changes by a watch."""
     context.harness.now += 0.1
     context.harness.handle(BackendsChanged(revision, changes))
 
 
-@when("the entry of that back end turns unreadable in a watch")
-def turns_unreadable(context):
+@when("the entry of that back end becomes unreadable in a watch")
+def becomes_unreadable(context):
     changed(context, UnreadableBackend(identity(), 20, "no JSON"), revision=20)
 
 
 @when("the entry of that back end is unreadable in a list")
 def unreadable_in_list(context):
     context.harness.now += 0.1
-    foreign = UnreadableBackend(identity(), 20, "no JSON")
-    context.harness.handle(BackendsRead(20, records()[:5], (foreign,)))
+    unreadable = UnreadableBackend(identity(), 20, "no JSON")
+    context.harness.handle(BackendsRead(20, records()[:5], (unreadable,)))
 
 
-@when("the entry of that back end can be read again")
-def readable_again(context):
+@when("the entry of that back end becomes readable again")
+def becomes_readable(context):
     context.harness.run_to(context.harness.now + MINIMUM_SHARE_PERIOD_S, TimerFired())
     changed(context, only(30), revision=30)
 
 
 @then("forwarding gives that service no new flow, and forwards its open flows")
-def none_new(context):
+def no_new_flows(context):
     harness = context.harness
     decision = harness.node.decide(segment(PATIENT, 2, opening=True), harness.now)
     assert decision.backend is None and decision.reset
@@ -209,12 +209,12 @@
 
 
 @then("forwarding gives that service new flows")
-def some_new(context):
+def new_flows(context):
     decision = context.harness.node.decide(segment(EXPORT, 3, opening=True), context.harness.now)
     assert decision.backend is not None, decision
 
 
-@when("that back end says that it leaves, and starts again under its id")
+@when("that back end announces that it leaves, and starts again under its id")
 def leaves_and_starts(context):
     changed(context, only(20, state=BackendState.LEAVING), revision=20)
     changed(context, DepartedBackend(identity(), 25), revision=25)
@@ -222,12 +222,12 @@
 
 
 @when("that back end starts again under its id at another address")
-def starts_elsewhere(context):
+def restarts_elsewhere(context):
     changed(context, only(30, SECOND_BORN, port=9000), revision=30)
 
 
-@when("the entry of that back end names another address and no start")
-def unborn_elsewhere(context):
+@when("the entry of that back end names another address and no start time")
+def without_start_time(context):
     context.harness = Harness().configure(ROUTES, (*records()[:5], only(born=0)))
     changed(context, only(30, born=0, port=9000), revision=30)
 
@@ -236,13 +236,13 @@
 def at_new_address(context):
     harness = context.harness
     opening = harness.node.decide(segment(EXPORT, 3, opening=True), harness.now)
-    resting = harness.node.decide(segment(EXPORT, 1, token=opening.backend.token), harness.now)
-    assert opening.backend.endpoint.port == resting.backend.endpoint.port == 9000
+    established = harness.node.decide(segment(EXPORT, 1, token=opening.backend.token), harness.now)
+    assert opening.backend.endpoint.port == established.backend.endpoint.port == 9000
     assert opening.backend.token == only().number
 
 
 @when("that back end is found unreachable, slow and failing, and starts again under its id")
-def seen_then_starts(context):
+def observed_then_restarts(context):
     backend, now = context.opened, context.harness.now
     backend.unreachable_until = backend.ejected_until = backend.probation_until = now + 100.0
     backend.avoided_until = now + 100.0
@@ -252,24 +252,24 @@
     changed(context, only(30, SECOND_BORN, cold_s=4.0), revision=30)
 
 
-@then("nothing of that is known of the new start, which is slow from its start")
-def nothing_known(context):
+@then("the new incarnation has none of these observations, and is in its cold start")
+def no_observations(context):
     now = context.harness.now
     backend = context.harness.node.backends.by_token(only().number)
     assert backend is not context.opened and backend.name == only(born=SECOND_BORN).name
-    verdicts = (backend.unreachable_until, backend.ejected_until, backend.probation_until)
-    assert max(verdicts) <= now and backend.avoided_until <= now
+    deadlines = (backend.unreachable_until, backend.ejected_until, backend.probation_until)
+    assert max(deadlines) <= now and backend.avoided_until <= now
     assert backend.in_flight == backend.flows == 0 and backend.latency.mean(now) is None
     assert abs(backend.warm_at - now - 4.0) < 0.2
 
 
 @when("that back end starts again under its id")
-def starts_again(context):
+def restarts_under_id(context):
     changed(context, only(30, SECOND_BORN), revision=30)
 
 
-@when("peers say late that the former start leaves, fails and has departed")
-def late_news(context):
+@when("peers report late that the former incarnation leaves, fails and has departed")
+def late_reports(context):
     former = (
         KnownBackend(only(20, state=BackendState.LEAVING), 0.0, announced_leaving=True),
         KnownBackend(only(25, state=BackendState.DEPARTED), 0.5, announced_leaving=True),
@@ -280,24 +280,22 @@
     context.harness.handle(PeerMessageReceived(PEER, BackendFailing(only().name, 8.0)))
 
 
-@then(
-    "entries property: in any order of news of several starts the latest one holds, and nothing of the others"
-)
+@then("entries property: after records of several incarnations in any order only the latest one is held")
 def any_order(context):
     @ORDERS
     @for_all(st.lists(st.booleans(), min_size=2, max_size=6), st.randoms(use_true_random=False))
     def check(restarts, chance):
-        born, revision, news = FIRST_BORN, 10, []
+        born, revision, sent = FIRST_BORN, 10, []
         for is_restart in restarts:
             revision += 10
             if is_restart:
                 born += 1000
-            news.append(only(revision, born, port=8000 + born % 7))
-        latest = news[-1]
-        told = [*news, *chance.sample(news, len(news) // 2)]
-        chance.shuffle(told)
+            sent.append(only(revision, born, port=8000 + born % 7))
+        latest = sent[-1]
+        delivered = [*sent, *chance.sample(sent, len(sent) // 2)]
+        chance.shuffle(delivered)
         directory = BackendDirectory()
-        for each in told:
+        for each in delivered:
             if chance.random() < 0.5:
                 directory.apply_record(each, 1.0)
             else:
--- a/features/steps/forwarding_unconfirmed_steps.py
+++ b/features/steps/forwarding_unconfirmed_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a fresh balancer whose first list of back ends may be old."""
+"""Steps on a new balancer whose first list of back ends may be stale."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 OLD_REVISION = 120
 NEW_REVISION = 132
 COUNT = 12
-"""Back ends, each changed once between the two revisions."""
+"""Number of back ends; each is changed once between the two revisions."""
 LIMIT = SlowStartLimit(factor=1.5, slack_per_s=5.0)
 ROUTES = RouteConfiguration(
     7, (Route("stream", STREAM, (Share("booking", 1),)),), cold_starts=(ColdStart("booking", 60.0, 0.0),)
 )
 READER = 11
-"""Identity of the reader that confirms."""
+"""Identity of the reader that sends confirmations."""
 PEER = "10.1.0.3"
 
 
 def old_records():
-    """Return the list as it was some seconds ago: all back ends are fast."""
+    """Return the list of some seconds ago: no back end is in its cold start."""
     return tuple(record(n, revision=OLD_REVISION - COUNT + n) for n in range(1, COUNT + 1))
 
 
 def new_records():
-    """Return the list as it is: all have just become slow."""
+    """Return the current list: all back ends have just begun a cold start."""
     return tuple(record(n, revision=NEW_REVISION - COUNT + n, cold_s=60.0) for n in range(1, COUNT + 1))
 
 
 def open_flow(harness, port):
-    """Open a flow as a caller would; return what becomes of it."""
+    """Open a flow as a caller would; return the decision."""
     opening = segment(STREAM, port, opening=True)
     decision = harness.node.decide(opening, harness.now)
     if decision.queue:
@@ -55,7 +55,7 @@
 
 
 @given("a forwarding node that spares slow back ends and has just read a list that may be old")
-def fresh_with_old_list(context):
+def new_with_old_list(context):
     context.harness = harness = Harness(fresh_node(slow_start_limit=LIMIT))
     harness.run_to(harness.now + 0.06, TimerFired())
     assert [read.may_be_stale for read in harness.reads(Subject.BACKENDS)] == [True]
@@ -64,7 +64,7 @@
 
 
 @then("forwarding lets a new flow wait and reads the list again within {seconds:g} seconds")
-def waits_and_reads(context, seconds):
+def queues_and_reads(context, seconds):
     harness = context.harness
     assert open_flow(harness, 1).queue
     harness.run_to(harness.now + seconds, TimerFired())
@@ -108,14 +108,14 @@
 
 
 @then("forwarding decides on the flow that waited, and no back end is given one")
-def decided_none_given(context):
+def decided_without_new_flows(context):
     assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     decisions = [open_flow(context.harness, port) for port in range(2, 40)]
     assert all(decision.backend is None and not decision.queue for decision in decisions)
 
 
 @then("forwarding decides on the flow that waited, and back ends are given new ones")
-def decided_and_given(context):
+def decided_with_new_flows(context):
     assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     assert open_flow(context.harness, 2).backend is not None
 
@@ -126,12 +126,12 @@
 
 
 @then("forwarding lets a new flow wait")
-def still_waits(context):
+def still_queued(context):
     assert open_flow(context.harness, 4).queue
 
 
 @given("a forwarding node that spares slow back ends and has heard a reader confirm revision {revision:d}")
-def heard_reader(context, revision):
+def reader_confirmed_before(context, revision):
     context.harness = harness = Harness(fresh_node(slow_start_limit=LIMIT))
     changes = Changes(7, None, revision, revision, revision, (), list_checksum=1)
     harness.handle(PeerMessageReceived(PEER, Confirmation(READER, 1.0, 1, False, 0.0, changes)))
