--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -69,7 +69,7 @@
         known[Subject.BACKENDS] = max(known[Subject.BACKENDS], self._backends_revision(changes))
         for subject in Subject:
             if self.is_behind(subject) and subject not in self._lags:
-                self._lags[subject] = Lag(ip, now + CATCH_UP_DELAYS_S[0], self.known(subject))
+                self._lags[subject] = Lag(ip, now + CATCH_UP_DELAYS_S[0], self.local_version(subject))
 
     def _backends_revision(self, changes: Changes) -> int:
         """Return the revision up to which a peer shows that back ends have changed.
@@ -83,13 +83,15 @@
     def is_newer(self, changes: Changes) -> bool:
         """Return whether changes hold something newer than the local state."""
         newest = min(changes.last_change_revision, changes.revision)
-        return changes.routes_version > self.known(Subject.ROUTES) or newest > self.known(Subject.BACKENDS)
+        return changes.routes_version > self.local_version(Subject.ROUTES) or newest > self.local_version(
+            Subject.BACKENDS
+        )
 
     def is_behind(self, subject: Subject) -> bool:
         """Return whether some peer has reported a newer version or revision."""
-        return self._peer_versions[subject] > self.known(subject)
+        return self._peer_versions[subject] > self.local_version(subject)
 
-    def known(self, subject: Subject) -> int:
+    def local_version(self, subject: Subject) -> int:
         """Return the local version or revision of a subject."""
         if subject is Subject.ROUTES:
             return self._local.routes.version
@@ -103,8 +105,8 @@
         if not self.is_behind(subject):
             del self._lags[subject]
             return
-        if self.known(subject) > lag.known:
-            lag.known = self.known(subject)
+        if self.local_version(subject) > lag.known:
+            lag.known = self.local_version(subject)
             lag.step = 0
         lag.step += 1
         if lag.step >= len(CATCH_UP_DELAYS_S):
@@ -113,10 +115,12 @@
             return
         lag.due = now + CATCH_UP_DELAYS_S[lag.step]
         ips = [lag.peer] if lag.step == 1 else self._local.peers.choose_near(now)
-        self._outbox.send(ips, ChangesRequest(self.known(Subject.ROUTES), self.known(Subject.BACKENDS)))
+        self._outbox.send(
+            ips, ChangesRequest(self.local_version(Subject.ROUTES), self.local_version(Subject.BACKENDS))
+        )
 
     def _read_store(self, subject: Subject, now: float) -> None:
         self._local.counters.behind_peers += 1
         self._local.watchers[subject].invalidate(now + READ_SPREAD_S * self._local.random_source.random())
-        detail = f"told={self._peer_versions[subject]} known={self.known(subject)}"
+        detail = f"told={self._peer_versions[subject]} known={self.local_version(subject)}"
         self._outbox.log(LogKind.BEHIND_PEER, subject.name.lower(), detail)
--- a/sloepond/core/forwarding/peers/change_intake.py
+++ b/sloepond/core/forwarding/peers/change_intake.py
@@ -111,7 +111,7 @@
         is_behind = self._catch_up.is_behind(Subject.ROUTES)
         if changes.route_delta is None and is_behind and now >= self._next_fetch_at:
             self._next_fetch_at = now + FETCH_INTERVAL_S
-            self._outbox.add(FetchRoutes(ip, self._catch_up.known(Subject.ROUTES)))
+            self._outbox.add(FetchRoutes(ip, self._catch_up.local_version(Subject.ROUTES)))
         return is_new
 
     def apply_fetched_routes(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> bool:
--- a/sloepond/core/forwarding/peers/exchange.py
+++ b/sloepond/core/forwarding/peers/exchange.py
@@ -89,7 +89,7 @@
         """Run the parts that are due."""
         self._heartbeats.on_timer(now)
         self._tokens.on_timer(now)
-        self._heartbeats.introduce(self.bootstrap.on_timer(now), now)
+        self._heartbeats.send_to(self.bootstrap.on_timer(now), now)
 
     def leave(self, now: float) -> None:
         """Notify peers that this balancer is stopping."""
@@ -116,7 +116,7 @@
     def _heartbeat_received(self, ip: str, message: Heartbeat, now: float) -> None:
         self._heartbeats.received(ip, message, now)
         self._dissemination.heartbeat_received(ip, message, now)
-        self._heartbeats.introduce(self.bootstrap.heartbeat_received(ip, message, now), now)
+        self._heartbeats.send_to(self.bootstrap.heartbeat_received(ip, message, now), now)
 
     def _changes_message_received(
         self,
--- a/sloepond/core/forwarding/peers/heartbeats.py
+++ b/sloepond/core/forwarding/peers/heartbeats.py
@@ -67,7 +67,7 @@
             self._outbox.send([ip], self._heartbeat(now, message.hall))
         peers.heartbeat_received(ip, message, now)
 
-    def introduce(self, ips: Sequence[str], now: float) -> None:
+    def send_to(self, ips: Sequence[str], now: float) -> None:
         """Send a heartbeat to some peers; those that have newer state reply with theirs."""
         if ips:
             self._outbox.send(ips, self._heartbeat(now))
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -112,7 +112,7 @@
         """
         return self._others.count_better(self._others.rank_of(identity), now) < READERS
 
-    def readers_counted(self, now: float) -> int:
+    def count_readers(self, now: float) -> int:
         """Return the number of other readers and candidates known."""
         return self._others.count(now)
 
--- a/sloepond/core/forwarding/peers/reader_role.py
+++ b/sloepond/core/forwarding/peers/reader_role.py
@@ -72,13 +72,13 @@
         ages = " ".join(
             f"{subject.name.lower()}_age_s={self._staleness.of(subject, now):.2f}" for subject in Subject
         )
-        detail = f"heard={self._election.readers_counted(now)} {ages}"
+        detail = f"heard={self._election.count_readers(now)} {ages}"
         self._outbox.log(LogKind.KNOWLEDGE_OLD, self._election.role.value, detail)
 
     def _log_change(self, role: Role, is_fresh: bool, now: float) -> None:
         self._local.counters.role_changes += 1
         detail = (
-            f"heard={self._election.readers_counted(now)} fresh={is_fresh} "
+            f"heard={self._election.count_readers(now)} fresh={is_fresh} "
             f"failing={self._election.is_failing} age_s={self._staleness.maximum(now):.2f}"
         )
         self._outbox.log(LogKind.ROLE_CHANGED, role.value, detail)
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -42,7 +42,7 @@
 
 
 class ForwardingBackend:
-    """One incarnation of a back end: the time from one start to the next under the same id.
+    """One incarnation of a back end; each start under the same id is a new one.
 
     :ivar token: routing token, never 0.
     :ivar prefix: identity sent in front of each packet (8 bytes), so that another
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -230,7 +230,7 @@
         backend.departed_at = now
         if backend.is_unreachable(now):
             backend.unreachable_until = now + DEPARTED_RETENTION_S
-        self._endpoints.resolve_conflict(backend)
+        self._endpoints.update_holder(backend)
         self._record_change(backend.name, backend.service, revision)
         return True
 
@@ -281,7 +281,7 @@
         self.cold_until = max(self.cold_until, backend.warm_at)
         self._by_service.setdefault(backend.service, {})[backend.name] = backend
         self._tokens.add(backend)
-        self._endpoints.resolve_conflict(backend)
+        self._endpoints.update_holder(backend)
 
     def _remove(self, backend: ForwardingBackend) -> None:
         del self._by_name[backend.name]
--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -43,7 +43,7 @@
 
 
 def number_of(identity: str) -> int:
-    """Return the hexadecimal digits after the last dash of an id as a number, of which the lowest 64 bits.
+    """Return the hexadecimal digits after the last dash of an id as a number, truncated to 64 bits.
 
     :raises ValueError: if there are none, or the number is 0, which means any back end in a packet.
     """
--- a/sloepond/core/forwarding/state/holders.py
+++ b/sloepond/core/forwarding/state/holders.py
@@ -60,8 +60,11 @@
     def __init__(self) -> None:
         self._live: dict[Endpoint, ForwardingBackend] = {}
 
-    def resolve_conflict(self, backend: ForwardingBackend) -> None:
-        """Check a back end that is new or has departed; mark the ended one of two at the same address."""
+    def update_holder(self, backend: ForwardingBackend) -> None:
+        """Update the holder of the address of a back end that is new or has departed.
+
+        If two back ends have the same address, the flows of the ended one are reset from now on.
+        """
         other = self._live.setdefault(backend.endpoint, backend)
         if other is backend:
             return
@@ -71,7 +74,7 @@
             self._live[backend.endpoint] = other if ended is backend else backend
 
     def remove(self, backend: ForwardingBackend) -> None:
-        """Remove a back end."""
+        """Remove a back end if it holds its address."""
         if self._live.get(backend.endpoint) is backend:
             del self._live[backend.endpoint]
 
