--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -50,7 +50,7 @@
     Snapshot,
 )
 from sloepond.core.forwarding.state.backend_records import BackendState
-from sloepond.core.forwarding.store.watcher import CONFIRM_AFTER_S, StoreWatcher
+from sloepond.core.forwarding.store.watcher import REREAD_AFTER_BREAK_S, StoreWatcher
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 GRACE_S = 6.0
@@ -98,7 +98,7 @@
     harness.handle(BackendsRead(11, records()))
     assert harness.node.routes.version == 8
     assert len(harness.all(WatchSubject)) == 2
-    harness.run_to(harness.now + CONFIRM_AFTER_S + 0.05, TimerFired())
+    harness.run_to(harness.now + REREAD_AFTER_BREAK_S + 0.05, TimerFired())
     for subject in SUBJECTS:
         assert len(harness.reads(subject)) == 1
     harness.handle(RoutesRead(14, version(9)))
--- a/sloepond/core/forwarding/store/__init__.py
+++ b/sloepond/core/forwarding/store/__init__.py
@@ -1,1 +1,1 @@
-"""Reading and watching the platform's store, and the age of what was read."""
+"""Reading, watching and probing the platform's store, and the staleness of what was read."""
--- a/sloepond/core/forwarding/store/backoff.py
+++ b/sloepond/core/forwarding/store/backoff.py
@@ -1,7 +1,7 @@
-"""Exponential backoff: between calls to a store that fails, and between reads that do not help.
+"""Backoff between calls to a store that fails, and between reads that find nothing new.
 
-Owns: how far each backoff has grown.  Relies on: the shared random source, of which each failure of a call
-draws one number (the jitter).
+Owns: the current step of each backoff.  Relies on: the shared random source, from which each failed call
+draws one number for the jitter.
 """
 
 from __future__ import annotations
@@ -10,59 +10,59 @@
 
 from sloepond.core.forwarding.events import StoreFailure
 
-READ_WAITS_S = (0.0, 0.05, 0.15, 0.3, 0.5)
-"""Waits in seconds before the next read after that many failures in a row, at most the last.  Not measured:
-one failure may be a single broken connection, so the first try follows at once."""
-PROBE_WAITS_S = READ_WAITS_S[1:]
-"""The same before the next probe, which follows upon a failed call.  Measured over a day with a store that
-is down for a part of it, on 24 machines: 303 calls with probes in place of reads, 420 without."""
-THROTTLED_WAIT_S = 0.4
-"""The least wait in seconds after the store has refused because of too many calls.  Not measured: at most
-2.5 calls a second of one balancer, whatever the failures before."""
+READ_DELAYS_S = (0.0, 0.05, 0.15, 0.3, 0.5)
+"""Delays in seconds before the next read, by the number of failures in a row; the last one is the maximum.
+A first failure may be a single broken connection, so the first retry follows at once."""
+PROBE_DELAYS_S = READ_DELAYS_S[1:]
+"""Delays in seconds before the next probe.  A probe follows a call that has failed already, so there is no
+immediate retry."""
+MINIMUM_THROTTLED_DELAY_S = 0.4
+"""Minimum delay in seconds after the store has throttled a call: at most 2.5 calls per second and balancer,
+whatever the number of failures."""
 
 
 class StoreBackoff:
-    """Waits that grow with each failure in a row.
+    """Delay that grows with each failure in a row, with jitter.
 
-    :param waits_s: wait in seconds by the number of earlier failures; the last one holds for all more.
+    :param delays_s: delays in seconds by the number of earlier failures; the last one is the maximum.
     :ivar failures: failures in a row.
     """
 
-    def __init__(self, waits_s: tuple[float, ...], random_source: random.Random) -> None:
-        self._waits_s = waits_s
+    def __init__(self, delays_s: tuple[float, ...], random_source: random.Random) -> None:
+        self._delays_s = delays_s
         self._random = random_source
         self.failures = 0
 
     def reset(self) -> None:
-        """Note that a call was answered."""
+        """Start again from the first delay: a call was answered."""
         self.failures = 0
 
     def failed(self, reason: StoreFailure) -> float:
-        """Note a failure; return the seconds to wait, drawn from half to one and a half of the wait."""
-        wait_s = self._waits_s[min(self.failures, len(self._waits_s) - 1)]
+        """Record a failure; return the delay in seconds, drawn from 0.5 to 1.5 times the nominal one."""
+        delay_s = self._delays_s[min(self.failures, len(self._delays_s) - 1)]
         if reason is StoreFailure.THROTTLED:
-            wait_s = max(wait_s, THROTTLED_WAIT_S)
+            delay_s = max(delay_s, MINIMUM_THROTTLED_DELAY_S)
         self.failures += 1
-        return wait_s * (0.5 + self._random.random())
+        return delay_s * (0.5 + self._random.random())
 
 
 class DoublingInterval:
-    """An interval that doubles each time it did not help, without jitter.
+    """Interval that doubles up to a maximum, without jitter.
 
-    :param first_s: seconds to begin with.
-    :param longest_s: seconds up to which it grows.
-    :ivar seconds: the interval now.
+    :param first_s: initial interval in seconds.
+    :param maximum_s: maximum interval in seconds.
+    :ivar seconds: current interval.
     """
 
-    def __init__(self, first_s: float, longest_s: float) -> None:
+    def __init__(self, first_s: float, maximum_s: float) -> None:
         self._first_s = first_s
-        self._longest_s = longest_s
+        self._maximum_s = maximum_s
         self.seconds = first_s
 
     def reset(self) -> None:
-        """Begin anew: it has helped, or is needed no longer."""
+        """Return to the initial interval."""
         self.seconds = self._first_s
 
     def double(self) -> None:
-        """Grow: it did not help."""
-        self.seconds = min(self._longest_s, 2.0 * self.seconds)
+        """Double the interval, up to the maximum."""
+        self.seconds = min(self._maximum_s, 2.0 * self.seconds)
--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -1,6 +1,6 @@
-"""Staleness: seconds since the store, or a reader of it, confirmed what a balancer knows.
+"""Staleness: seconds since the store, or a reader of it, confirmed the content that a balancer holds.
 
-Owns: when readers last confirmed each subject.  Relies on: the watchers for own reads of the store.
+Owns: when readers last confirmed each subject.  Relies on: the watchers, for this balancer's own reads.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 STALE_AFTER_S = 1.5
-"""Staleness in seconds above which a reader is needed at once.  Not measured: readers confirm each 0.9 s, so
-one confirmation may be missed; a change must be in force within 3 s."""
+"""Staleness in seconds from which a reader is needed at once.  Readers confirm every 0.9 s, so one lost
+confirmation is tolerated; a change must be in force within 3 s."""
 
 
 class Staleness:
-    """When each subject was confirmed last.
+    """Time of the last confirmation of each subject.
 
-    :param watchers: own reads of the store confirm too.
-    :ivar is_stale: whether a subject was unconfirmed for longer than `STALE_AFTER_S` when last reviewed.
+    :param watchers: an own read of the store counts as a confirmation too.
+    :ivar is_stale: whether a subject was stale (`STALE_AFTER_S`) at the last review.
     """
 
     def __init__(self, watchers: Mapping[Subject, StoreWatcher]) -> None:
@@ -29,30 +29,30 @@
         self.is_stale = False
 
     def confirmed(self, subject: Subject, at: float) -> None:
-        """Note that what is known of a subject held in the store at a time."""
+        """Record that the content held of a subject was current in the store at a time."""
         self._confirmed_at[subject] = max(self._confirmed_at[subject], at)
 
     def of(self, subject: Subject, now: float) -> float:
-        """Return seconds since what is known of a subject was last confirmed."""
+        """Return the seconds since a subject was last confirmed."""
         return now - max(self._confirmed_at[subject], self._watchers[subject].confirmed_at)
 
     def maximum(self, now: float) -> float:
-        """Return seconds since the subject that was confirmed longest ago was, at most `NEVER`."""
+        """Return the staleness of the stalest subject in seconds, at most `NEVER`."""
         return min(NEVER, max(self.of(subject, now) for subject in Subject))
 
     @property
     def confirmed_at(self) -> float:
-        """When the subject that was confirmed longest ago was confirmed, `-NEVER` for never."""
+        """Time of the last confirmation of the stalest subject, `-NEVER` for never."""
         return min(
             max(self._confirmed_at[subject], self._watchers[subject].confirmed_at) for subject in Subject
         )
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether all subjects were confirmed lately."""
+        """Return whether all subjects were confirmed within `STALE_AFTER_S`."""
         return self.maximum(now) < STALE_AFTER_S
 
     def review(self, now: float) -> bool:
-        """Compare the staleness with `STALE_AFTER_S`; tell whether it has exceeded it since."""
+        """Update `is_stale`; return whether the content has become stale since the last review."""
         was_stale = self.is_stale
         self.is_stale = not self.is_fresh(now)
         return self.is_stale and not was_stale
--- a/sloepond/core/forwarding/store/staleness_bound.py
+++ b/sloepond/core/forwarding/store/staleness_bound.py
@@ -1,11 +1,11 @@
-"""Staleness bound: a follower that no reader confirms anything to asks the store itself in time.
+"""Staleness bound: a follower that receives no confirmations probes the store itself in time.
 
-Readers confirm to all others what has changed, but the store may refuse them, or they may be cut off or
-gone, and so may the candidates for their place.  Nobody else can know that the store would answer this
-balancer, so it waits for others only for a part of the time in which a change must be in force.
+Readers send changes and confirmations to all followers, but the store may refuse the readers and the
+candidates, or these may be down or unreachable.  No other balancer can find out whether the store would
+answer this one, so a follower waits for confirmations only for a part of the time within which a change
+must be in force.
 
-Owns: when the store is probed for this reason.  Relies on: the caller to send the probe and to report its
-end.
+Owns: when such a probe is due.  Relies on: the calling module to send the probe and to report its end.
 """
 
 from __future__ import annotations
@@ -15,31 +15,29 @@
 from sloepond.core.deadlines import NEVER
 
 CHANGE_LIMIT_S = 3.0
-"""Seconds within which a change must be in force where the settings name none: the shortest bound of all
-deployments known."""
-FIRST_SHARE = 0.55
-"""Share of that time after which the store is probed.  Measured on a model of 7 balancers of which the
-store serves one, 900 seeded runs: that one knew of a back end that leaves after up to 3.4 s, of 3.0 s
-allowed; with this after 2.2 s."""
-SPREAD_SHARE = 0.2
-"""Share of that time over which the probes of a fleet are spread: the first balancer that is answered
-becomes a reader, and those that receive its confirmations probe no more.  Not measured: 0.6 s of 3.0 s, many
-times the 0.05 s of gossip, with a quarter of the time left for the read."""
-RETRY_S = 0.4
-"""Seconds until the next probe where nothing is confirmed meanwhile; it doubles with each one in a row.  Not
-measured: as after a refusal (`THROTTLED_WAIT_S`)."""
-RETRY_S_PER_PEER = 0.1
-"""The least wait in seconds for each balancer known.  Not measured: a store that is down is then probed at
-most 10 times a second more by a fleet of any size."""
-LONGEST_RETRY_S = 15.0
-"""Seconds up to which the wait doubles.  Not measured: a store that is back is noticed by each balancer
-within this, by the first of a fleet much sooner."""
+"""Seconds within which a change must be in force where the settings name no limit."""
+PROBE_AFTER_SHARE = 0.55
+"""Share of the change limit after which the store is probed.  Without this probe, the only balancer that the
+store serves may receive a change after the limit."""
+PROBE_SPREAD_SHARE = 0.2
+"""Share of the change limit over which the probes of a fleet are spread: the first balancer that is answered
+becomes a reader, and those that receive its confirmations do not probe.  Of 3.0 s this is 0.6 s, many times
+the 0.05 s that gossip takes, and leaves a quarter of the limit for the read."""
+MINIMUM_RETRY_S = 0.4
+"""Minimum seconds until the next probe while nothing is confirmed; doubles with each probe in a row.  The
+same as after a throttled call (`MINIMUM_THROTTLED_DELAY_S`)."""
+MINIMUM_RETRY_S_PER_PEER = 0.1
+"""Minimum delay in seconds per known balancer: a fleet of any size adds at most 10 probes per second to a
+store that is down."""
+MAXIMUM_RETRY_S = 15.0
+"""Maximum delay in seconds.  Each balancer detects within this time that the store answers again; the first
+one of a fleet does so much sooner."""
 
 
 class StalenessBound:
-    """Requests a probe when what is known was not confirmed for too long.
+    """Requests a probe when the content held was not confirmed for too long.
 
-    :param limit_s: time within which a change must be in force.
+    :param limit_s: time in seconds within which a change must be in force.
     :ivar is_waiting: whether a probe was requested and has not ended.
     """
 
@@ -53,9 +51,9 @@
         self.is_waiting = False
 
     def next_deadline(self, confirmed_at: float) -> float:
-        """Return when `is_due` may be true.
+        """Return when `is_due` may next return True.
 
-        :param confirmed_at: when what is known was confirmed last.
+        :param confirmed_at: time of the last confirmation of the stalest subject.
         """
         if self.is_waiting:
             return NEVER
@@ -63,9 +61,9 @@
         return due_at if confirmed_at > self._probed_at else max(due_at, self._retry_at)
 
     def is_due(self, confirmed_at: float, peers: int, now: float) -> bool:
-        """Tell whether the store is to be probed; the probe counts as sent.
+        """Return whether a probe is due; if so, it counts as sent.
 
-        :param peers: other balancers known.
+        :param peers: number of other balancers known.
         """
         if now < self.next_deadline(confirmed_at):
             return False
@@ -73,23 +71,23 @@
             self._attempts = 0
         self.is_waiting = True
         self._probed_at = now
-        self._retry_at = now + self._drawn_wait(peers)
+        self._retry_at = now + self._drawn_delay(peers)
         self._attempts += 1
         return True
 
     def ended(self) -> bool:
-        """Note the end of any probe; return whether it was requested here."""
+        """Record the end of any probe; return whether it was requested here."""
         was_waiting = self.is_waiting
         self.is_waiting = False
         self._timeout_s = self._drawn_timeout()
         return was_waiting
 
     def _drawn_timeout(self) -> float:
-        share = FIRST_SHARE + SPREAD_SHARE * self._random.random()
+        share = PROBE_AFTER_SHARE + PROBE_SPREAD_SHARE * self._random.random()
         return share * self._limit_s
 
-    def _drawn_wait(self, peers: int) -> float:
-        """Return the time until the next attempt unless something is confirmed meanwhile."""
-        least_s = max(RETRY_S, RETRY_S_PER_PEER * peers)
-        wait_s = min(LONGEST_RETRY_S, least_s * 2.0**self._attempts)
-        return wait_s * (0.5 + self._random.random())
+    def _drawn_delay(self, peers: int) -> float:
+        """Return the seconds until the next probe if nothing is confirmed meanwhile."""
+        minimum_s = max(MINIMUM_RETRY_S, MINIMUM_RETRY_S_PER_PEER * peers)
+        delay_s = min(MAXIMUM_RETRY_S, minimum_s * 2.0**self._attempts)
+        return delay_s * (0.5 + self._random.random())
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -1,7 +1,7 @@
-"""Takes the store's answers: routes, back ends, failures.
+"""Applies answers and failures of store calls to the local state.
 
-Owns: nothing; it updates the local state.  Relies on: the watchers, which schedule the next call;
-`Dissemination`, which tells peers what is new.
+Owns: its log lines and their rate limit.  Relies on: the watchers, which schedule the next call, and
+`Dissemination`, which sends changes to peers.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 from sloepond.core.token_bucket import TokenBucket
 
-UNREADABLE_LINES = 10
-"""Log lines about unreadable entries written at once; the counter counts all.  Not measured."""
-UNREADABLE_LINES_PER_S = 0.1
-"""Such lines a second after that: a list that holds many is read again and again.  Not measured."""
+UNREADABLE_LOG_BURST = 10
+"""Log lines about unreadable entries that may be written in a burst; the counter counts all entries."""
+UNREADABLE_LOG_LINES_PER_S = 0.1
+"""Rate limit of these lines after the burst: a list with many unreadable entries is read repeatedly."""
 
 
 class StoreAnswers:
@@ -42,15 +42,15 @@
         self._counters = local.counters
         self._dissemination = dissemination
         self._outbox = Outbox(local.counters)
-        self._unreadable_lines = TokenBucket(UNREADABLE_LINES_PER_S, UNREADABLE_LINES)
+        self._unreadable_log_limit = TokenBucket(UNREADABLE_LOG_LINES_PER_S, UNREADABLE_LOG_BURST)
         self._now = 0.0
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return self._outbox.drain()
 
     def apply(self, event: StoreAnswer | StoreCallFailed, now: float) -> None:
-        """Take the answer to a call, or its failure."""
+        """Apply the answer to a call, or handle its failure."""
         self._now = now
         if isinstance(event, StoreCallFailed):
             self._failed(event)
@@ -59,26 +59,26 @@
         watcher = self._watchers[subject]
         if watcher.failures:
             self._outbox.log(LogKind.STORE_REGAINED, subject.name.lower(), f"failures={watcher.failures}")
-        self._take_answer(event, watcher)
+        self._apply_answer(event, watcher)
         self._dissemination.store_answered(self._now)
 
-    def _take_answer(self, event: StoreAnswer, watcher: StoreWatcher) -> None:
-        """Apply an answer, then note its revision with the subject's watcher."""
+    def _apply_answer(self, event: StoreAnswer, watcher: StoreWatcher) -> None:
+        """Apply an answer, then record its revision with the subject's watcher."""
         if isinstance(event, RoutesRead):
-            self._take_routes(event.configuration)
-            self._take_evacuated(EvacuatedHalls(event.revision, tuple(sorted(event.evacuated))))
+            self._apply_routes(event.configuration)
+            self._apply_evacuated(EvacuatedHalls(event.revision, tuple(sorted(event.evacuated))))
             watcher.read(event.revision, self._now)
         elif isinstance(event, RoutesChanged):
             for configuration in event.configurations:
-                self._take_routes(configuration)
-            self._take_evacuated(apply_hall_changes(self._evacuations.current, event.halls, event.revision))
+                self._apply_routes(configuration)
+            self._apply_evacuated(apply_hall_changes(self._evacuations.current, event.halls, event.revision))
             watcher.watched(event.revision, self._now)
         elif isinstance(event, BackendsRead):
-            revision = _certain_revision(event, watcher)
-            self._take_list(event, revision, watcher.revision_beyond(revision))
+            revision = _complete_revision(event, watcher)
+            self._apply_list(event, revision, watcher.revision_beyond(revision))
             watcher.read(revision, self._now, len(event.records))
         else:
-            self._take_changes(event, watcher.revision_beyond(event.revision))
+            self._apply_changes(event, watcher.revision_beyond(event.revision))
             watcher.watched(event.revision, self._now)
 
     def _failed(self, event: StoreCallFailed) -> None:
@@ -89,7 +89,7 @@
         watcher.failed(event.reason, event.was_watch, self._now)
         self._dissemination.store_failed(event, self._now)
 
-    def _take_routes(self, configuration: RouteConfiguration | None) -> None:
+    def _apply_routes(self, configuration: RouteConfiguration | None) -> None:
         if configuration is None or not self._routes.apply(configuration):
             return
         self._counters.configurations_taken += 1
@@ -98,7 +98,7 @@
             LogKind.ROUTES_IN_FORCE, str(configuration.version), f"routes={len(configuration.routes)}"
         )
 
-    def _take_evacuated(self, evacuated: EvacuatedHalls) -> None:
+    def _apply_evacuated(self, evacuated: EvacuatedHalls) -> None:
         if not self._evacuations.apply(evacuated, self._now):
             return
         self._dissemination.change_learned(self._now)
@@ -108,17 +108,18 @@
             f"from=store rev={evacuated.revision}",
         )
 
-    def _take_list(self, event: BackendsRead, revision: int, complete_to: int) -> None:
-        """Take the whole list.
+    def _apply_list(self, event: BackendsRead, revision: int, complete_to: int) -> None:
+        """Apply the whole list of back ends.
 
-        What had left it before the answer was never seen here, so peers that know less are sent only
-        changes after the store's revision at the answer, also where the list may be older.
+        Entries removed before the answer are unknown here.  So peers are sent only changes after the
+        store's revision at the answer, even where the list itself may be older.
 
-        :param revision: revision up to which the list certainly holds all changes.
-        :param complete_to: revision up to which all changes are known here, if that is beyond the list.
+        :param revision: revision up to which the list is certain to hold all changes.
+        :param complete_to: revision up to which all changes are known here if that is after `revision`,
+            else 0.
         """
         for unreadable in event.unreadable:
-            self._take_unreadable(unreadable)
+            self._apply_unreadable(unreadable)
         changed = self._backends.apply_list(event.records, revision, self._now, complete_to)
         self._backends.list_received(event.revision)
         self._counters.backend_changes += changed
@@ -130,14 +131,15 @@
                 f"changed={changed} listed={len(event.records)} rev={revision}",
             )
 
-    def _take_changes(self, event: BackendsChanged, complete_to: int) -> None:
-        """Take what a watch has brought.
+    def _apply_changes(self, event: BackendsChanged, complete_to: int) -> None:
+        """Apply the changes in the answer to a watch.
 
-        :param complete_to: revision up to which all changes are known here, if that is beyond the answer.
+        :param complete_to: revision up to which all changes are known here if that is after the answer's,
+            else 0.
         """
         for change in event.changes:
             if isinstance(change, UnreadableBackend):
-                self._take_unreadable(change)
+                self._apply_unreadable(change)
                 continue
             if isinstance(change, BackendRecord):
                 changed = self._backends.apply_record(change, self._now, complete_to)
@@ -150,21 +152,21 @@
                 self._dissemination.change_learned(self._now)
                 self._outbox.log(LogKind.BACKEND_CHANGED, change.name, f"state={state} rev={change.revision}")
 
-    def _take_unreadable(self, entry: UnreadableBackend) -> None:
-        """Give a back end whose entry cannot be read no new flow."""
+    def _apply_unreadable(self, entry: UnreadableBackend) -> None:
+        """Give no new flows to a back end whose entry cannot be read."""
         self._counters.backends_unreadable += 1
         if self._backends.mark_unreadable(entry.name, entry.revision, self._now):
             self._counters.backend_changes += 1
             self._dissemination.change_learned(self._now)
-        if self._unreadable_lines.take(self._now, 1.0):
+        if self._unreadable_log_limit.take(self._now, 1.0):
             detail = f"rev={entry.revision} reason={entry.reason}"
             self._outbox.log(LogKind.BACKEND_UNREADABLE, entry.name, detail)
 
 
-def _certain_revision(event: BackendsRead, watcher: StoreWatcher) -> int:
-    """Return the revision up to which a list certainly holds all changes.
+def _complete_revision(event: BackendsRead, watcher: StoreWatcher) -> int:
+    """Return the revision up to which a list is certain to hold all changes.
 
-    One that may be stale holds at least the changes it shows.
+    A list that may be stale holds at least all changes up to its newest entry.
     """
     if not watcher.is_reading_stale:
         return event.revision
