--- a/features/forwarding/store.feature
+++ b/features/forwarding/store.feature
@@ -1,81 +1,81 @@
-Feature: What the store says is followed, whatever it answers
+Feature: Forwarding follows the store's content, whatever the store answers
 
-  Scenario: Routes never go back
-    Then forwarding property: the version in force never falls, in any order of answers
+  Scenario: The route version never decreases
+    Then forwarding property: the route version in force never decreases, in any order of answers
 
-  Scenario: A change made while watches were cut is known after the next read
+  Scenario: A change made while watches were down is found by the next read
     Given a forwarding node with routes and back ends
-    When forwarding has its watches cut and the new ones stay silent
-    Then forwarding reads everything again at once, and once more a little later
+    When the watches of forwarding fail and new watches are not answered
+    Then forwarding reads everything again at once, and once more shortly after
 
-  Scenario: Whatever fails, everything is read before the next watch
-    Then forwarding property: after a failed call a read is answered before a watch begins
+  Scenario: After any failure everything is read before the next watch
+    Then forwarding property: after a failed call a read is answered before the next watch is issued
 
-  Scenario: A store that fails is asked at a bounded rate
-    Then forwarding property: calls to a failing store stay below three a second for each subject
+  Scenario: A failing store is called at a bounded rate
+    Then forwarding property: calls to a failing store stay below three per second for each subject
 
-  Scenario: A peer that knows more is asked, and the store where no peer answers
+  Scenario: Newer routes are requested from the peer that has them, then read from the store if no peer answers
     Given a forwarding node with routes and back ends
-    And three readers that know no more than it does
-    When forwarding hears of a newer version from a peer
-    Then forwarding asks that peer for it within a fifth of a second
-    And forwarding reads the routes within a second where no peer answers
+    And three readers that hold no newer content
+    When forwarding receives a heartbeat of a peer with newer routes
+    Then forwarding requests the routes from that peer within a fifth of a second
+    And forwarding reads the routes from the store within a second if no peer answers
 
-  Scenario: A fresh balancer learns from peers while the store is silent
+  Scenario: A fresh balancer gets routes and back ends from a peer while the store is silent
     Given a fresh forwarding node whose store is silent, beside a peer in its zone
-    When forwarding is told all a peer knows
+    When forwarding receives a snapshot from a peer
     Then forwarding is ready and forwards to back ends that left the list
 
-  Scenario: A fresh balancer that the store refuses asks a peer at once
+  Scenario: A fresh balancer that the store refuses requests a snapshot from a peer at once
     Given a fresh forwarding node beside a peer in its zone
     When the store refuses the first reads of forwarding
-    Then forwarding asks the peer for all it knows within 0.12 seconds
+    Then forwarding requests a snapshot from the peer within 0.12 seconds
 
   Scenario: A fresh balancer that the store refuses does not wait long for a peer in its zone
     Given a fresh forwarding node beside a peer in another zone
     When the store refuses the first reads of forwarding
-    Then forwarding asks the peer for all it knows within 0.4 seconds
+    Then forwarding requests a snapshot from the peer within 0.4 seconds
 
   Scenario: A first list that may be stale is confirmed soon
     Given a fresh forwarding node whose store is silent
-    Then forwarding asks for a stale list first and reads it again within three seconds
+    Then forwarding accepts a stale list first and reads it again within three seconds
 
-  Scenario: What is large is asked of a peer in the own zone; elsewhere only after a while
-    Given a fresh forwarding node whose store is silent and whose peers stand in other zones
-    Then forwarding asks nobody for all it knows within a second
-    And forwarding asks a peer in another zone soon after
-    When forwarding hears a peer in its own zone
-    Then forwarding asks only that peer from then on
+  Scenario: Snapshots are requested from peers in the own zone first, in other zones only after a delay
+    Given a fresh forwarding node whose store is silent and whose peers are in other zones
+    Then forwarding requests no snapshot within a second
+    And forwarding requests a snapshot from a peer in another zone soon after
+    When forwarding receives a heartbeat of a peer in its own zone
+    Then forwarding sends further requests only to that peer
 
-  Scenario: While the store is answering a large read no peer is asked for all it knows
+  Scenario: While the store is answering a large read no snapshot is requested from peers
     Given a fresh forwarding node whose store is silent, beside a peer in its zone
-    When forwarding hears a part of an answer of the store each tenth of a second for 1.5 seconds
-    Then forwarding has asked nobody meanwhile and asks a peer 0.3 seconds after the last part
+    When forwarding receives a page of an answer of the store each tenth of a second for 1.5 seconds
+    Then forwarding has requested no snapshot, and requests one 0.3 seconds after the last page
 
-  Scenario: A store that never ends its answer does not keep a fresh process from its peers
+  Scenario: A store whose answer never ends does not prevent a snapshot request to a peer
     Given a fresh forwarding node whose store is silent, beside a peer in its zone
-    When forwarding hears a part of an answer of the store each tenth of a second for 3.0 seconds
-    Then forwarding has asked a peer meanwhile
+    When forwarding receives a page of an answer of the store each tenth of a second for 3.0 seconds
+    Then forwarding has requested a snapshot from a peer
 
-  Scenario: What peers tell of single back ends does not count as the list of them
+  Scenario: Changes of single back ends from a peer do not count as the list of back ends
     Given a fresh forwarding node whose store is silent
-    When forwarding hears of 3 changed back ends before it has read the list
-    Then forwarding forwards nothing yet, and knows all changes since the list once it is read
+    When forwarding receives 3 changed back ends from a peer before it has read the list
+    Then forwarding forwards nothing yet, and holds all changes since the list once it has read it
 
-  Scenario: A list that a peer tells after single changes is where changes go on from
+  Scenario: After single changes, a list from a peer is the new start of the change history
     Given a fresh forwarding node whose store is silent
-    When forwarding hears of 3 changed back ends before it has read the list
-    And forwarding is told the list and the routes by a peer
-    Then forwarding is ready and knows all changes since the list
+    When forwarding receives 3 changed back ends from a peer before it has read the list
+    And forwarding receives the list and the routes from a peer
+    Then forwarding is ready and holds all changes since the list
 
-  Scenario: A store that refuses is asked by probes until it serves again
-    Then forwarding property: while calls are refused few are reads, and once they are served all is read soon
+  Scenario: A store that refuses calls is probed until it serves again
+    Then forwarding property: few refused calls are reads, and all is read soon after the store recovers
 
-  Scenario: A probe that fails, for whatever reason, is not repeated at once
-    Then forwarding property: a reader whose probes fail sends at most four a second
+  Scenario: A failed probe is not repeated at once, whatever the reason
+    Then forwarding property: a reader whose probes fail sends at most four per second
 
-  Scenario: Calls made in the last moments of a silent outage keep nobody from what follows
-    A watch that is issued while the store says nothing is given up after 25.7 seconds only.  The
-    probes beside it are answered again as the outage ends, and what they bring counts as contact
-    with the store; that the watch tells nothing shows in the revisions that two probes name.
-    Then forwarding property: changes after an outage are known within 3 seconds, whatever hangs
+  Scenario: Calls that hang since the end of an outage do not hide later changes
+    A watch issued while the store is silent times out only after 25.7 seconds.  The probes beside
+    it are answered again when the outage ends, so the store counts as reachable.  That the watch
+    misses changes shows in the revisions that two probes return.
+    Then forwarding property: changes after an outage arrive within 3 seconds, whatever hangs
--- a/features/steps/forwarding_outage_steps.py
+++ b/features/steps/forwarding_outage_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls made in the last moments of an outage of the store that says nothing."""
+"""Steps on calls that are issued during an outage in which the store is silent."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 OUTAGE_S = 3.3
 SETTLED_S = 6.0
 WATCH_MARGIN_S = 0.7
-"""Seconds after the end of its wait at which the runtime gives a watch up."""
+"""Seconds after the requested time at which the runtime times a watch out."""
 LEAVING = 3
 """Number of the back end that leaves after the outage."""
 WITHOUT_SHRINKING = (Phase.explicit, Phase.generate)
-"""A smaller seed of a fleet is no simpler case; looking for one takes minutes."""
+"""A smaller seed of a fleet is not a simpler case, and shrinking takes minutes."""
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=30, phases=WITHOUT_SHRINKING)
 
 
-class DarkenedFleet(Fleet):
-    """A fleet whose calls made during an outage are lost for good, watches among them.
+class SilentOutageFleet(Fleet):
+    """A fleet whose calls issued during an outage are never answered, watches included.
 
-    :ivar is_dark: whether the store says nothing.
+    :ivar is_silent: whether the store is silent.
     """
 
-    is_dark = False
+    is_silent = False
 
     def call(self, ip, node, command):
-        """Lose a call made during the outage; it is given up when the runtime would."""
-        if not self.is_dark:
+        """Lose a call issued during the outage; it fails when the runtime would time it out."""
+        if not self.is_silent:
             super().call(ip, node, command)
             return
         self.store.calls += 1
-        wait_s = TIMEOUT_S
+        timeout_s = TIMEOUT_S
         if isinstance(command, WatchSubject):
-            wait_s = command.wait_s + WATCH_MARGIN_S
-        self.later(wait_s, ip, node, self.failure(command, StoreFailure.TIMED_OUT))
+            timeout_s = command.wait_s + WATCH_MARGIN_S
+        self.later(timeout_s, ip, node, self.failure(command, StoreFailure.TIMED_OUT))
 
-    def darken(self, seconds):
-        """Let the store say nothing for a while; watches under way are lost too."""
-        self.is_dark = True
+    def run_silent_outage(self, seconds):
+        """Let the store be silent for some seconds; watches in flight are lost too."""
+        self.is_silent = True
         for (ip, _), (node, command) in list(self.watches.items()):
             self.call(ip, node, command)
         self.watches.clear()
         self.run(seconds)
-        self.is_dark = False
+        self.is_silent = False
 
 
-@then("forwarding property: changes after an outage are known within {seconds:g} seconds, whatever hangs")
+@then("forwarding property: changes after an outage arrive within {seconds:g} seconds, whatever hangs")
 def known_after_outage(context, seconds):
     @PROPERTY
     @for_all(
@@ -63,9 +63,9 @@
         st.booleans(),
     )
     def check(seed, count, since_probe_s, before_s, is_route):
-        fleet = DarkenedFleet(count, seed, loss=0.02, capacity=0.5)
+        fleet = SilentOutageFleet(count, seed, loss=0.02, capacity=0.5)
         fleet.run(SETTLED_S + since_probe_s)
-        fleet.darken(OUTAGE_S)
+        fleet.run_silent_outage(OUTAGE_S)
         fleet.run(before_s)
         if is_route:
             fleet.store.configure([*fleet.store.routes.routes, route(seed % 1000 + 10)], fleet.now)
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is followed in the store and told by peers."""
+"""Steps on reads, watches and probes of the store, and on content received from peers."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
 FAILURES = st.sampled_from(tuple(StoreFailure))
 
 
-@then("forwarding property: the version in force never falls, in any order of answers")
-def never_back(context):
+@then("forwarding property: the route version in force never decreases, in any order of answers")
+def version_never_decreases(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.booleans(), st.lists(st.integers(1, 30), max_size=3)), max_size=30))
     def check(answers):
@@ -77,7 +77,7 @@
     check()
 
 
-@when("forwarding has its watches cut and the new ones stay silent")
+@when("the watches of forwarding fail and new watches are not answered")
 def watches_cut(context):
     harness = context.harness
     harness.become_reader()
@@ -89,7 +89,7 @@
     harness.run_to(harness.now + 0.05, TimerFired())
 
 
-@then("forwarding reads everything again at once, and once more a little later")
+@then("forwarding reads everything again at once, and once more shortly after")
 def read_twice(context):
     harness = context.harness
     for subject in SUBJECTS:
@@ -105,14 +105,14 @@
     assert harness.node.routes.version == 9
 
 
-@then("forwarding property: after a failed call a read is answered before a watch begins")
+@then("forwarding property: after a failed call a read is answered before the next watch is issued")
 def read_before_watch(context):
     @PROPERTY
     @for_all(st.lists(st.tuples(st.integers(0, 3), FAILURES), min_size=5, max_size=60), st.integers(0, 99))
     def check(steps, seed):
         watcher = StoreWatcher(Subject.ROUTES, random.Random(seed))
         watcher.begin_watching(0.0)
-        now, reading, watching, trusted, revision = 0.0, False, False, False, 0
+        now, reading, watching, is_read, revision = 0.0, False, False, False, 0
         for action, failure in steps:
             now = max(now + 0.01, min(watcher.next_deadline(), now + 0.7))
             for call in watcher.on_timer(now):
@@ -120,20 +120,20 @@
                     assert not reading
                     reading = True
                 else:
-                    assert trusted and not watching and call.after == revision
+                    assert is_read and not watching and call.after == revision
                     watching = True
             revision += 1
             if action == 0 and reading:
-                reading, trusted = False, True
+                reading, is_read = False, True
                 watcher.read(revision, now)
             elif action == 1 and watching:
                 watching = False
                 watcher.watched(revision, now)
             elif action == 2 and watching:
-                watching = trusted = False
+                watching = is_read = False
                 watcher.failed(failure, True, now)
             elif action == 3 and reading:
-                reading = trusted = False
+                reading = is_read = False
                 watcher.failed(failure, False, now)
             else:
                 revision -= 1
@@ -143,7 +143,7 @@
     check()
 
 
-@then("forwarding property: calls to a failing store stay below three a second for each subject")
+@then("forwarding property: calls to a failing store stay below three per second for each subject")
 def bounded_rate(context):
     @PROPERTY
     @for_all(FAILURES, st.integers(0, 99))
@@ -161,35 +161,35 @@
     check()
 
 
-@given("three readers that know no more than it does")
+@given("three readers that hold no newer content")
 def three_readers(context):
     hear_readers(context.harness)
 
 
-@when("forwarding hears of a newer version from a peer")
-def hears_newer(context):
+@when("forwarding receives a heartbeat of a peer with newer routes")
+def newer_heartbeat_received(context):
     harness = context.harness
     harness.run_to(harness.now + 0.05, TimerFired())
     harness.commands.clear()
     heartbeat = Heartbeat(9, 0, False, ("10.1.0.9",))
     harness.handle(PeerMessageReceived("10.1.0.2", heartbeat))
-    context.heard_at = harness.now
+    context.received_at = harness.now
 
 
-@then("forwarding asks that peer for it within a fifth of a second")
-def asks_peer(context):
+@then("forwarding requests the routes from that peer within a fifth of a second")
+def requests_from_peer(context):
     harness = context.harness
-    harness.run_to(context.heard_at + 0.2, TimerFired())
-    asked = [command for command in harness.all(SendToPeer) if isinstance(command.message, ChangesRequest)]
-    assert [command.ip for command in asked] == ["10.1.0.2"]
-    assert asked[0].message.routes_version == 7
+    harness.run_to(context.received_at + 0.2, TimerFired())
+    requests = [command for command in harness.all(SendToPeer) if isinstance(command.message, ChangesRequest)]
+    assert [command.ip for command in requests] == ["10.1.0.2"]
+    assert requests[0].message.routes_version == 7
 
 
-@then("forwarding reads the routes within a second where no peer answers")
+@then("forwarding reads the routes from the store within a second if no peer answers")
 def reads_routes(context):
     harness = context.harness
     assert harness.reads(Subject.ROUTES) == []
-    harness.run_to(context.heard_at + 1.0, TimerFired())
+    harness.run_to(context.received_at + 1.0, TimerFired())
     assert len(harness.reads(Subject.ROUTES)) == 1
     assert harness.reads(Subject.BACKENDS) == []
 
@@ -222,21 +222,21 @@
 @when("the store refuses the first reads of forwarding")
 def refuses_first(context):
     harness = context.harness
-    context.begun = harness.now
+    context.began_at = harness.now
     harness.now += ANSWER_S
     for subject in SUBJECTS:
         assert len(harness.reads(subject)) == 1
         harness.handle(StoreCallFailed(subject, StoreFailure.REFUSED, False))
 
 
-@then("forwarding asks the peer for all it knows within {span:f} seconds")
-def asks_for_all(context, span):
-    context.harness.run_to(context.begun + span, TimerFired())
+@then("forwarding requests a snapshot from the peer within {span:f} seconds")
+def requests_snapshot(context, span):
+    context.harness.run_to(context.began_at + span, TimerFired())
     assert [fetch.ip for fetch in context.harness.all(FetchSnapshot)][:1] == ["10.1.0.2"]
 
 
-@when("forwarding is told all a peer knows")
-def told_all(context):
+@when("forwarding receives a snapshot from a peer")
+def snapshot_received(context):
     harness = context.harness
     assert len(harness.all(FetchSnapshot)) == 1
     departed = record(30, state=BackendState.DEPARTED)
@@ -252,7 +252,7 @@
     assert node.decide(segment(STREAM, opening=True), now).backend.number in range(1, 6)
 
 
-@then("forwarding asks for a stale list first and reads it again within three seconds")
+@then("forwarding accepts a stale list first and reads it again within three seconds")
 def stale_list_first(context):
     harness = context.harness
     assert [read.may_be_stale for read in harness.reads(Subject.BACKENDS)] == [True]
@@ -266,39 +266,39 @@
     assert harness.node.backends.by_name(records()[-1].name).state is BackendState.DEPARTED
 
 
-@given("a fresh forwarding node whose store is silent and whose peers stand in other zones")
+@given("a fresh forwarding node whose store is silent and whose peers are in other zones")
 def peers_elsewhere(context):
     context.harness = Harness()
     for number in (2, 3, 4):
         context.harness.handle(PeerMessageReceived(f"10.1.0.{number}", Heartbeat(7, 1, False, (), "south")))
 
 
-@then("forwarding asks nobody for all it knows within a second")
-def asks_nobody(context):
+@then("forwarding requests no snapshot within a second")
+def requests_no_snapshot(context):
     context.harness.run_to(context.harness.now + 1.0, TimerFired())
     assert context.harness.all(FetchSnapshot) == []
 
 
-@then("forwarding asks a peer in another zone soon after")
-def asks_elsewhere(context):
+@then("forwarding requests a snapshot from a peer in another zone soon after")
+def requests_from_other_zone(context):
     context.harness.run_to(context.harness.now + 0.5, TimerFired())
     assert context.harness.all(FetchSnapshot) != []
 
 
-@when("forwarding hears a peer in its own zone")
-def hears_own_zone(context):
+@when("forwarding receives a heartbeat of a peer in its own zone")
+def own_zone_heartbeat_received(context):
     context.harness.handle(PeerMessageReceived("10.1.0.9", Heartbeat(7, 1, False, (), "north")))
 
 
-@then("forwarding asks only that peer from then on")
-def asks_own_zone(context):
+@then("forwarding sends further requests only to that peer")
+def requests_from_own_zone(context):
     context.harness.run_to(context.harness.now + 0.9, TimerFired())
-    asked = context.harness.all(FetchSnapshot)
-    assert asked and {command.ip for command in asked} == {"10.1.0.9"}
+    requests = context.harness.all(FetchSnapshot)
+    assert requests and {command.ip for command in requests} == {"10.1.0.9"}
 
 
-@when("forwarding hears a part of an answer of the store each tenth of a second for {seconds:f} seconds")
-def hears_parts(context, seconds):
+@when("forwarding receives a page of an answer of the store each tenth of a second for {seconds:f} seconds")
+def pages_received(context, seconds):
     harness = context.harness
     harness.all(FetchSnapshot)
     for _ in range(round(seconds * 10)):
@@ -306,50 +306,50 @@
         harness.run_to(harness.now + 0.1, TimerFired())
 
 
-@then("forwarding has asked nobody meanwhile and asks a peer 0.3 seconds after the last part")
-def asked_nobody(context):
+@then("forwarding has requested no snapshot, and requests one 0.3 seconds after the last page")
+def has_requested_nothing(context):
     harness = context.harness
     assert harness.all(FetchSnapshot) == []
     harness.run_to(harness.now + 0.21, TimerFired())
     assert len(harness.all(FetchSnapshot)) == 1
 
 
-@then("forwarding has asked a peer meanwhile")
-def asked_meanwhile(context):
+@then("forwarding has requested a snapshot from a peer")
+def has_requested_snapshot(context):
     assert context.harness.all(FetchSnapshot) != []
 
 
-@when("forwarding hears of 3 changed back ends before it has read the list")
+@when("forwarding receives 3 changed back ends from a peer before it has read the list")
 def changes_before_list(context):
-    told = tuple(KnownBackend(record(number, revision=20 + number), 0.0) for number in (1, 2, 3))
-    changes = Changes(7, None, 19, 23, 23, told)
+    received = tuple(KnownBackend(record(number, revision=20 + number), 0.0) for number in (1, 2, 3))
+    changes = Changes(7, None, 19, 23, 23, received)
     confirmation = Confirmation(11, 1.0, 1, False, 0.0, changes)
     context.harness.handle(PeerMessageReceived("10.1.0.3", confirmation))
     assert not context.harness.node.can_forward
 
 
-@then("forwarding forwards nothing yet, and knows all changes since the list once it is read")
-def knows_since_list(context):
+@then("forwarding forwards nothing yet, and holds all changes since the list once it has read it")
+def holds_changes_since_list(context):
     harness = context.harness
     harness.configure(revision=23)
     assert harness.node.can_forward and harness.node.is_ready
     check_changes_since(harness, 23)
 
 
-@when("forwarding is told the list and the routes by a peer")
-def told_list(context):
+@when("forwarding receives the list and the routes from a peer")
+def list_received(context):
     known = tuple(KnownBackend(each, 0.0) for each in records())
     context.harness.handle(SnapshotReceived("10.1.0.3", Snapshot(ROUTES, 0.0, known, 0.0, 23)))
 
 
-@then("forwarding is ready and knows all changes since the list")
+@then("forwarding is ready and holds all changes since the list")
 def ready_since_list(context):
     assert context.harness.node.is_ready
     check_changes_since(context.harness, 23)
 
 
 def check_changes_since(harness, revision):
-    """Check that changes are known from a revision on, and that none before is passed off as all."""
+    """Check that the change history starts at a revision, and that earlier changes are not claimed."""
     known = harness.node.backends.changes
     assert known.since(revision) is not None
     assert known.since(0) is None
@@ -359,11 +359,11 @@
 REFUSED_S = 10.0
 ANSWER_S = 0.004
 READS_EACH = 2
-"""Reads of each subject that a refusing store may see: the first one, and one that was under way."""
+"""Reads of each subject that a refusing store may receive: the first one, and one that was in flight."""
 
 
 class RefusingStore:
-    """Answers what a node asks; refuses everything until it is told to serve.
+    """Store that refuses every call until `serve_until`.
 
     :ivar reads: reads and watches refused.
     :ivar probes: probes refused.
@@ -375,7 +375,7 @@
         self.reads = self.probes = 0
 
     def refuse_until(self, end):
-        """Refuse every call up to a moment."""
+        """Refuse every call until a time."""
         while self.harness.now < end:
             for call in self.calls():
                 if isinstance(call, ProbeStore):
@@ -388,7 +388,7 @@
             self.step()
 
     def serve_until(self, end):
-        """Answer every read and probe up to a moment."""
+        """Answer every read and probe until a time."""
         while self.harness.now < end:
             for call in self.calls():
                 if isinstance(call, ProbeStore):
@@ -399,15 +399,15 @@
             self.step()
 
     def calls(self):
-        """Return the calls asked for since the last look."""
+        """Return the calls issued since the last call of this method."""
         return self.harness.all(ProbeStore | ReadSubject | WatchSubject)
 
     def step(self):
-        """Let the time of an answer pass."""
+        """Advance the clock by the time of one answer."""
         self.harness.run_to(self.harness.now + ANSWER_S, TimerFired())
 
 
-@then("forwarding property: while calls are refused few are reads, and once they are served all is read soon")
+@then("forwarding property: few refused calls are reads, and all is read soon after the store recovers")
 def probes_a_refusing_store(context):
     @settings(derandomize=True, deadline=None, database=None, max_examples=20)
     @for_all(REFUSALS, st.booleans(), st.integers(0, 99))
@@ -416,9 +416,9 @@
         if is_reader:
             harness.become_reader()
         store = RefusingStore(harness, failure)
-        begun = harness.now
+        began_at = harness.now
         harness.handle(StoreProbed(failure))
-        store.refuse_until(begun + REFUSED_S)
+        store.refuse_until(began_at + REFUSED_S)
         elections = harness.node.counters.role_changes
         assert store.reads <= 2 * READS_EACH + 2 * elections, (store.reads, store.probes)
         assert 10 <= store.probes <= 40, store.probes
@@ -429,7 +429,7 @@
     check()
 
 
-@then("forwarding property: a reader whose probes fail sends at most four a second")
+@then("forwarding property: a reader whose probes fail sends at most four per second")
 def few_probes(context):
     for failure in StoreFailure:
         harness = Harness().become_reader()
