--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -248,7 +248,7 @@
     def holds(kill_after_s, course):
         stop, now, last_packet = PlannedStop(kill_after_s), 50.0, 0.0
         stop.request(now)
-        longest_s = max(MINIMUM_FORWARD_S, kill_after_s - STOP_MARGIN_S)
+        maximum_s = max(MINIMUM_FORWARD_S, kill_after_s - STOP_MARGIN_S)
         for pause_s, has_packet, zone in course:
             now = min(now + pause_s, stop.next_deadline()) if pause_s > 0.3 else now + pause_s
             if has_packet:
@@ -259,13 +259,13 @@
             reason = stop.review(zone, now)
             elapsed_s = now - 50.0
             if reason is StopReason.TIME_LIMIT:
-                assert elapsed_s >= longest_s - 1e-9
+                assert elapsed_s >= maximum_s - 1e-9
             elif reason is StopReason.QUIET:
                 assert elapsed_s >= MINIMUM_FORWARD_S - 1e-9 and now - last_packet >= QUIET_S - 1e-9
                 assert not zone.all_are_used
             else:
-                assert elapsed_s < longest_s + 1e-9
-                assert stop.next_deadline() <= 50.0 + longest_s + 1e-9
+                assert elapsed_s < maximum_s + 1e-9
+                assert stop.next_deadline() <= 50.0 + maximum_s + 1e-9
             if reason is not None:
                 return
 
--- a/sloepond/core/forwarding/lifecycle/__init__.py
+++ b/sloepond/core/forwarding/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start, planned stop, and waking after a stall."""
+"""Start of a balancer, planned stop, and recovery after a stall."""
--- a/sloepond/core/forwarding/lifecycle/stall_guard.py
+++ b/sloepond/core/forwarding/lifecycle/stall_guard.py
@@ -1,10 +1,9 @@
-"""Keeps a process that has slept from placing new flows by outdated routes and back ends.
+"""Keeps a stalled process from placing new flows by outdated routes and back ends.
 
-A timer that fires much too late shows that the process did not run.  Until the store has confirmed what
-is known, no new flow is placed; for a short while at most, since open flows and most back ends outlast a
-sleep.
+A timer that fires much too late shows that the process did not run.  Then no new flow is placed until
+everything was read from the store again, or a short time has passed: most back ends outlast a stall.
 
-Owns: whether new flows may be placed.  Relies on: the watchers, which it has read everything again.
+Owns: whether new flows may be placed.  Relies on: the watchers to read everything again.
 """
 
 from __future__ import annotations
@@ -15,17 +14,17 @@
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 STALL_THRESHOLD_S = 0.6
-"""Seconds by which a timer must be late for the process to count as having slept.  Not measured: longer than
-any step of a process on a small machine may take, see docs/adr/0011."""
+"""Seconds by which a timer must be late for the process to count as stalled; longer than any step of a
+process on a small machine may take, see docs/adr/0011."""
 STALL_HOLD_S = 1.0
-"""Seconds after a stall for which new flows wait for a read of the store to be answered.  Not measured: a
-third of the shortest time within which a change must be in force (3.0 s)."""
+"""Maximum seconds after a stall for which no new flows are placed until the store is read; a third of the
+time within which a change must be in force (3.0 s)."""
 
 
 class StallGuard:
-    """Whether new flows may be placed by what is known.
+    """Blocks the placement of new flows after a stall.
 
-    :param watchers: are made to read everything again.
+    :param watchers: all of them read everything again after a stall.
     :ivar may_place: whether new flows may be placed.
     """
 
@@ -40,7 +39,7 @@
         return self._resume_at
 
     def stalled(self, now: float) -> None:
-        """Note that the process has slept until now."""
+        """Block new flows and read everything again: the process was stalled until now."""
         self.may_place = False
         self._stalled_at = now
         self._resume_at = now + STALL_HOLD_S
@@ -48,12 +47,12 @@
             watcher.process_stalled(now)
 
     def on_timer(self, now: float) -> None:
-        """Place flows again where reading everything takes too long."""
+        """Place flows again if reading everything takes too long."""
         if now >= self._resume_at:
             self._resume()
 
     def store_answered(self) -> None:
-        """Place flows again once everything was read by calls issued after the stall."""
+        """Place flows again if everything was read by calls issued after the stall."""
         if all(watcher.confirmed_at >= self._stalled_at for watcher in self._watchers):
             self._resume()
 
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -1,7 +1,7 @@
-"""Carries out a planned stop: tells peers, counts the balancers of the hall, ends the process.
+"""Carries out a planned stop: notifies peers, counts the balancers of the hall, ends the process.
 
-Owns: nothing but its commands.  Relies on: `PlannedStop`, which decides when to end; `PeerExchange` to tell
-peers; `PeerTable` to count the balancers of the hall.
+Owns: only its commands.  Relies on: `PlannedStop`, which decides when to end; `PeerExchange` to notify peers;
+`PeerTable` to count the balancers of the hall.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
     @property
     def is_requested(self) -> bool:
-        """Whether the balancer stops."""
+        """Whether a stop was requested."""
         return self._stop.is_requested
 
     def hall_balancers(self, is_configured: bool, now: float) -> HallBalancers:
         """Return how many balancers of the hall are ready, this one included.
 
-        :param is_configured: whether this one knows routes and back ends.
+        :param is_configured: whether this balancer has routes and back ends.
         """
         peers = self._peers.count_hall_peers(now)
         is_ready = is_configured and not self.is_requested
@@ -48,11 +48,11 @@
         )
 
     def drain_commands(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         return self._outbox.drain()
 
     def packet_seen(self, now: float) -> None:
-        """Note a caller's packet."""
+        """Record a caller's packet; counted only after the request to stop."""
         if self.is_requested:
             self._stop.packet_seen(now)
             self._counters.packets_while_stopping += 1
@@ -62,7 +62,7 @@
         return self._stop.next_deadline()
 
     def request(self, is_configured: bool, now: float) -> None:
-        """Begin; a second request changes nothing."""
+        """Begin the stop and notify peers; a second request has no effect."""
         if self.is_requested:
             return
         self._stop.request(now)
@@ -72,7 +72,7 @@
         self._outbox.log(LogKind.STOPPING, "process", detail)
 
     def on_timer(self, is_configured: bool, now: float) -> None:
-        """End where routers send no packets here any more, or too little time is left."""
+        """End the process if routers no longer send packets here, or too little time is left."""
         hall = self.hall_balancers(is_configured, now)
         reason = self._stop.review(hall, now)
         if reason is None:
