--- a/features/forwarding/bootstrap.feature
+++ b/features/forwarding/bootstrap.feature
@@ -1,38 +1,38 @@
-Feature: A fresh balancer learns from a peer in its zone, else from the store
+Feature: A fresh balancer gets routes and back ends from a peer in its zone, else from the store
 
-  Scenario: A restart in a fleet that goes on asks the store for nothing
-    Given a simulated fleet of 30 balancers at rest
+  Scenario: A balancer restarted in a running fleet makes no call to the store
+    Given a simulated fleet of 30 balancers in steady state
     When 5 of its balancers that do not read the store are restarted one after the other
     Then each of them was ready within 0.1 seconds without a call to the store
 
-  Scenario: Any number restarted at once are ready soon, however few peers are left
-    Then bootstrap property: of fleets of any size, any part may restart and is ready within half a second
+  Scenario: Any number of balancers restarted at once are ready soon, however few peers are left
+    Then bootstrap property: in a fleet of any size, any restarted balancers are ready within half a second
 
-  Scenario: All of a fleet restarted at once wait for peers hardly longer than for the store
-    Given a simulated fleet of 60 balancers at rest
+  Scenario: A whole fleet restarted at once is delayed only briefly by the search for peers
+    Given a simulated fleet of 60 balancers in steady state
     When all of its balancers are restarted at once
     Then each of them was ready within 0.25 seconds
 
-  Scenario: Balancers that the store turns away are ready all the same
-    Given a simulated fleet of 30 balancers at rest
-    And the store turns a third of the fleet away
+  Scenario: Balancers that the store refuses become ready from peers
+    Given a simulated fleet of 30 balancers in steady state
+    And the store refuses the calls of a third of the fleet
     When a third of its balancers, all seeds among them, are restarted at once
     Then each of them was ready within 0.9 seconds
 
-  Scenario: A peer that has not heard of the store for long is not taken at its word
+  Scenario: A stale snapshot from a peer is applied, and the store is read too
     Given a fresh forwarding node that has found a peer in its zone
-    When that peer tells all it knew of the store 4 seconds ago
+    When that peer sends a snapshot that the store confirmed 4 seconds ago
     Then forwarding is ready and reads the store at once
 
-  Scenario: A peer that is busy costs no time
+  Scenario: A busy peer does not delay the read of the store
     Given a fresh forwarding node that has found a peer in its zone
-    When that peer turns forwarding away
+    When that peer refuses the snapshot request
     Then forwarding reads the store at once
 
-  Scenario: Fresh balancers speak to few peers
-    Then bootstrap property: a fresh balancer speaks to six peers at most before it reads the store
+  Scenario: A fresh balancer contacts few peers
+    Then bootstrap property: a fresh balancer contacts at most six peers before it reads the store
 
-  Scenario: After a loss of all, open flows wait for one read only
-    Given a forwarding node that has just started and hears no peer
+  Scenario: After a restart of all processes, open flows wait for one read only
+    Given a forwarding node that has just started and receives no heartbeat
     Then forwarding reads back ends within 0.02 seconds and routes within 0.05 seconds
-    And forwarding passes on open flows as soon as the back ends are known
+    And forwarding forwards open flows as soon as the back ends are known
--- a/features/steps/forwarding_lifecycle_steps.py
+++ b/features/steps/forwarding_lifecycle_steps.py
@@ -1,4 +1,4 @@
-"""Steps on starts, planned stops and processes that have slept."""
+"""Steps on starts, planned stops and stalled processes."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 @when("forwarding is asked to stop")
-def asked_to_stop(context):
+def stop_requested(context):
     harness = context.harness
     harness.run_to(harness.now + 2.0, TimerFired())
     context.stopped_at = harness.now
     harness.handle(StopRequested())
 
 
-@then("forwarding is not ready at once, forwards on, and completes the stop in less than the grace time")
+@then("forwarding is not ready at once, keeps forwarding, and completes the stop within the grace time")
 def stops(context):
     harness = context.harness
     assert not harness.node.is_ready
@@ -56,23 +56,23 @@
     assert harness.now - context.stopped_at < GRACE_S
 
 
-@when("forwarding has slept for three seconds")
-def slept(context):
+@when("forwarding was stalled for three seconds")
+def process_stalled(context):
     harness = context.harness
-    sleep(harness)
+    stall_reader(harness)
     harness.handle(TimerFired())
 
 
-def sleep(harness):
-    """Let a reader sleep for three seconds."""
+def stall_reader(harness):
+    """Let a reader stall for three seconds."""
     harness.become_reader()
     harness.run_to(harness.now + 0.5, TimerFired())
     harness.commands.clear()
     harness.now += 3.0
 
 
-@when("forwarding has slept for three seconds as a listener")
-def slept_listening(context):
+@when("forwarding was stalled for three seconds as a follower")
+def follower_stalled(context):
     harness = context.harness
     hear_readers(harness)
     harness.run_to(harness.now + 0.5, TimerFired())
@@ -82,16 +82,16 @@
     harness.handle(TimerFired())
 
 
-@when("forwarding sleeps for three seconds and reads a packet before its timers fire")
-def slept_then_packet(context):
+@when("forwarding is stalled for three seconds and reads a packet before its timers fire")
+def packet_before_timers(context):
     harness = context.harness
-    sleep(harness)
+    stall_reader(harness)
     decision = harness.node.decide(segment(STREAM, opening=True), harness.now)
     assert decision.refusal is Refusal.STALE_KNOWLEDGE
     harness.handle(TimerFired())
 
 
-@then("forwarding forwards open flows, places none, and places again once everything was read")
+@then("forwarding forwards open flows, and places new flows only after everything was read")
 def places_after_reads(context):
     harness = context.harness
     assert harness.node.counters.stalls_detected == 1
@@ -106,14 +106,14 @@
     assert harness.node.decide(opening, harness.now).backend is not None
 
 
-@then("forwarding places again after a second without the store")
+@then("forwarding places new flows after a second without the store")
 def places_without_store(context):
     harness = context.harness
     harness.run_to(harness.now + STALL_HOLD_S + 0.01, TimerFired())
     assert harness.node.decide(segment(STREAM, opening=True), harness.now).backend is not None
 
 
-@then("forwarding is not ready and places nothing")
+@then("forwarding is not ready and places no flow")
 def not_ready(context):
     harness = context.harness
     assert not harness.node.is_ready
@@ -134,8 +134,8 @@
     assert node.decide(segment(token=1, length=5), context.harness.now).backend.number == 1
 
 
-def let_wait(harness, count):
-    """Let new flows come before the routes are known."""
+def queue_flows(harness, count):
+    """Let new flows arrive before the routes are known."""
     for port in range(count):
         opening = segment(STREAM, 6000 + port, opening=True)
         decision = harness.node.decide(opening, harness.now)
@@ -143,10 +143,10 @@
         harness.handle(OpeningQueued(opening, bytes([port])))
 
 
-@then("forwarding holds 3 new flows and places them once the routes are read")
-def holds_new(context):
+@then("forwarding queues 3 new flows and places them once the routes are read")
+def queues_new_flows(context):
     harness = context.harness
-    let_wait(harness, 3)
+    queue_flows(harness, 3)
     harness.now += 0.4
     assert harness.all(ReprocessPackets) == []
     harness.handle(RoutesRead(9, ROUTES))
@@ -154,9 +154,9 @@
     assert harness.node.decide(segment(STREAM, 6000, opening=True), harness.now).backend is not None
 
 
-@when("forwarding lets 3 new flows wait for more than a second")
-def wait_long(context):
-    let_wait(context.harness, 3)
+@when("forwarding queues 3 new flows for more than a second")
+def queue_too_long(context):
+    queue_flows(context.harness, 3)
     context.harness.now += 1.1
 
 
@@ -166,8 +166,8 @@
     assert context.harness.all(ReprocessPackets) == []
 
 
-@when("forwarding sleeps for three seconds while its reads are answered")
-def slept_on_answers(context):
+@when("forwarding is stalled for three seconds while its reads are answered")
+def stalled_while_reads_answered(context):
     harness = context.harness
     harness.become_reader()
     harness.handle(StoreProbed(StoreFailure.TIMED_OUT))
@@ -181,7 +181,7 @@
     harness.handle(BackendsRead(20, records()))
 
 
-@then("forwarding still places no flow, reads everything again, and places once that is answered")
+@then("forwarding still places no flow, reads everything again, and places flows once that is answered")
 def places_after_second_reads(context):
     harness = context.harness
     opening = segment(STREAM, opening=True)
--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -1,4 +1,4 @@
-"""Builders for the features of forwarding."""
+"""Builders and a node harness for the features of forwarding."""
 
 from __future__ import annotations
 
@@ -101,19 +101,19 @@
         self.node = node or fresh_node()
         self.now = 100.0
         self.commands = []
-        self.take(self.node.start(self.now))
+        self.store_commands(self.node.start(self.now))
         self.handle(PeersReachable())
 
-    def take(self, commands):
-        """Keep commands."""
+    def store_commands(self, commands):
+        """Store the commands that the node has returned."""
         self.commands.extend(commands)
 
     def handle(self, event):
-        """Give the node an event at the present time."""
-        self.take(self.node.handle(event, self.now))
+        """Pass the node an event at the current time."""
+        self.store_commands(self.node.handle(event, self.now))
 
     def all(self, kind):
-        """Return and forget the commands of a kind."""
+        """Return and remove the commands of a kind."""
         found = [command for command in self.commands if isinstance(command, kind)]
         self.commands = [command for command in self.commands if not isinstance(command, kind)]
         return found
@@ -132,21 +132,21 @@
         return self
 
     def become_reader(self, revision=10, routes=ROUTES, backends=None):
-        """Hear no reader until the node becomes one; answer what it reads then."""
-        longest_s = START_DELAY_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * CHECK_INTERVAL_S
-        self.run_to(self.now + longest_s, TimerFired())
+        """Let the node become a reader, since it receives no confirmation, and answer its reads."""
+        maximum_s = START_DELAY_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * CHECK_INTERVAL_S
+        self.run_to(self.now + maximum_s, TimerFired())
         assert self.node.role is Role.READER
         self.commands.clear()
         return self.configure(routes, backends, revision)
 
     def reads(self, subject):
-        """Return and forget the reads of a subject."""
+        """Return and remove the reads of a subject."""
         found = [c for c in self.commands if isinstance(c, ReadSubject) and c.subject is subject]
         self.commands = [c for c in self.commands if c not in found]
         return found
 
     def watches(self, subject):
-        """Return and forget the watches of a subject."""
+        """Return and remove the watches of a subject."""
         found = [c for c in self.commands if isinstance(c, WatchSubject) and c.subject is subject]
         self.commands = [c for c in self.commands if c not in found]
         return found
@@ -156,7 +156,7 @@
 
 
 def hear_readers(harness):
-    """Let three readers confirm what the node knows, so that it stays a follower."""
+    """Let three readers confirm the node's content, so that it stays a follower."""
     changes = Changes(7, None, 10, 10, 0)
     for identity in (11, 12, 13):
         confirmation = Confirmation(identity, 1.0, 1, False, 0.0, changes)
--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on planned stops, seen by routers that ask whether balancers are ready."""
+"""Steps on planned stops, with routers that check whether balancers are ready."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=200)
 GRACE_S = 6.0
-ASK_S = 0.5
-"""Time between two questions of a router whether a balancer is ready."""
-FORGET_S = 1.0
-"""Time after which routers no longer know a balancer that has ended."""
+READINESS_INTERVAL_S = 0.5
+"""Time between two readiness checks of a router."""
+DELIST_AFTER_S = 1.0
+"""Time after which routers no longer list a balancer that has ended."""
 STEP_S = 0.05
 """Time between two packets to each balancer that routers use."""
 SETTLED_S = 6.0
 
 
 class RoutedFleet(Fleet):
-    """A fleet whose balancers end when they are told to, behind the routers of one zone.
+    """A fleet whose balancers end on request, behind the routers of one zone.
 
-    :ivar ended: when each balancer ended.
+    :ivar ended: time at which each balancer ended.
     :ivar lost: packets that routers have sent to balancers that had ended.
-    :cvar seed: of the fleets made from now on.
+    :cvar seed: seed of fleets created from now on.
     """
 
     seed = 1
 
     def __init__(self, count, kill_after_s=GRACE_S):
         self.ended = {}
-        self.sent_at = {}
+        self.last_packet_at = {}
         self.misses = {}
         self.lost = 0
         self.sent = 0
@@ -52,8 +52,8 @@
         self.run(SETTLED_S)
         assert not self.behind()
         self.hall = [ip for ip, node in self.nodes.items() if node.is_ready and self.zone_of(ip) == 0]
-        self.asked = {}
-        self.next_question = self.now
+        self.requested_at = {}
+        self.next_check_at = self.now
 
     @staticmethod
     def zone_of(ip):
@@ -68,42 +68,42 @@
             self.kill(ip)
 
     def kill(self, ip):
-        """End a process without a word."""
+        """End a process without notice to its peers."""
         super().kill(ip)
         self.ended.setdefault(ip, self.now)
 
     def stop(self, ip):
         """Ask a balancer to stop."""
-        self.asked[ip] = self.now
+        self.requested_at[ip] = self.now
         self.carry_out(ip, self.nodes[ip], self.nodes[ip].handle(StopRequested(), self.now))
 
-    def ask_all(self):
-        """Ask all balancers of the zone whether they are ready."""
+    def check_readiness(self):
+        """Check the readiness of all balancers of the zone."""
         for ip in self.hall:
             node = self.nodes.get(ip)
             is_ready = node is not None and node.reports_ready(self.now)
             self.misses[ip] = 0 if is_ready else self.misses.get(ip, 0) + 1
 
     def used(self):
-        """Return the balancers routers send to."""
-        listed = [ip for ip in self.hall if self.now - self.ended.get(ip, self.now) < FORGET_S]
+        """Return the balancers that routers send packets to."""
+        listed = [ip for ip in self.hall if self.now - self.ended.get(ip, self.now) < DELIST_AFTER_S]
         ready = [ip for ip in listed if self.misses.get(ip, 0) < 2]
         return ready if 2 * len(ready) >= len(listed) else listed
 
     def route(self, seconds):
-        """Let time pass while callers' packets come."""
+        """Let time pass while callers' packets arrive."""
         end = self.now + seconds
         while self.now < end - 1e-9:
-            if self.now >= self.next_question:
-                self.next_question += ASK_S
-                self.ask_all()
+            if self.now >= self.next_check_at:
+                self.next_check_at += READINESS_INTERVAL_S
+                self.check_readiness()
             for ip in self.used():
                 self.sent += 1
                 node = self.nodes.get(ip)
                 if node is None:
                     self.lost += 1
                 else:
-                    self.sent_at[ip] = self.now
+                    self.last_packet_at[ip] = self.now
                     node.decide(segment(token=1), self.now)
             self.run(STEP_S)
 
@@ -127,7 +127,7 @@
 def more_stop(context, count, seconds):
     fleet = context.fleet
     fleet.route(seconds)
-    context.last = [ip for ip in fleet.hall if ip not in fleet.asked][:count]
+    context.last = [ip for ip in fleet.hall if ip not in fleet.requested_at][:count]
     for ip in context.last:
         fleet.stop(ip)
     context.were_ready = [fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last]
@@ -139,7 +139,7 @@
         context.fleet.kill(ip)
 
 
-@then("it is never called ready again, and ends between {least:g} and {most:g} seconds later")
+@then("it never reports ready again, and ends between {least:g} and {most:g} seconds later")
 def ends_soon(context, least, most):
     fleet = context.fleet
     (ip,) = context.last
@@ -147,7 +147,7 @@
     while ip in fleet.nodes and fleet.now < ends_at:
         assert not fleet.nodes[ip].reports_ready(fleet.now)
         fleet.route(STEP_S)
-    assert least <= fleet.ended[ip] - fleet.asked[ip] <= most, fleet.ended[ip] - fleet.asked[ip]
+    assert least <= fleet.ended[ip] - fleet.requested_at[ip] <= most, fleet.ended[ip] - fleet.requested_at[ip]
 
 
 @then("no packet of the zone was lost")
@@ -156,7 +156,7 @@
     assert context.fleet.sent > 0 and context.fleet.lost == 0
 
 
-@then("the last {count:d} say that they are ready for {seconds:g} seconds at most")
+@then("the last {count:d} report ready for {seconds:g} seconds at most")
 def ready_for(context, count, seconds):
     fleet = context.fleet
     assert context.were_ready == [True] * count
@@ -164,30 +164,30 @@
     assert not any(fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last if ip in fleet.nodes)
 
 
-@then("none of the zone is called ready after {seconds:g} seconds")
+@then("no balancer of the zone reports ready after {seconds:g} seconds")
 def none_ready(context, seconds):
     fleet = context.fleet
     fleet.route(seconds)
     assert not any(fleet.nodes[ip].reports_ready(fleet.now) for ip in fleet.hall if ip in fleet.nodes)
 
 
-@then("all that were asked have ended within {seconds:g} seconds of that")
+@then("all stopping balancers have ended within {seconds:g} seconds of the request")
 def all_ended(context, seconds):
     fleet = context.fleet
     fleet.route(seconds)
-    took = {ip: fleet.ended[ip] - at for ip, at in fleet.asked.items()}
+    took = {ip: fleet.ended[ip] - at for ip, at in fleet.requested_at.items()}
     assert all(MINIMUM_FORWARD_S <= took_s <= seconds for took_s in took.values()), took
 
 
-@then("none has ended while routers sent packets to it, but at the end of its time")
+@then("none has ended while routers sent packets to it, except at its time limit")
 def none_early(context):
     fleet = context.fleet
-    for ip, at in fleet.asked.items():
+    for ip, at in fleet.requested_at.items():
         is_late = fleet.ended[ip] - at >= GRACE_S - STOP_MARGIN_S
-        assert is_late or fleet.ended[ip] - fleet.sent_at[ip] >= QUIET_S - STEP_S
+        assert is_late or fleet.ended[ip] - fleet.last_packet_at[ip] >= QUIET_S - STEP_S
 
 
-@when("{count:d} balancers of a zone are taken away, two each second")
+@when("{count:d} balancers of a zone are removed, two each second")
 def taken_away(context, count):
     context.lost = []
     for kill_after_s in (GRACE_S, 0.0):
@@ -200,10 +200,10 @@
         context.lost.append(fleet.lost)
 
 
-@then("at most half as many packets are lost as where each forwards on for 1.8 seconds only")
+@then("at most half as many packets are lost as with a fixed end after 1.8 seconds")
 def fewer_lost(context):
-    by_evidence, by_time = context.lost
-    assert by_evidence <= by_time / 2, context.lost
+    by_packets, by_time = context.lost
+    assert by_packets <= by_time / 2, context.lost
 
 
 @when("forwarding is asked to stop with {kill_after_s:g} seconds of grace")
@@ -214,7 +214,7 @@
     context.harness.handle(StopRequested())
 
 
-@then("forwarding never says that it is ready and ends before the grace time")
+@then("forwarding never reports ready and ends before the grace time")
 def never_ready(context):
     harness = context.harness
     while not harness.all(CompleteStop) and harness.now < context.stopped_at + GRACE_S:
@@ -223,7 +223,7 @@
     assert harness.now - context.stopped_at <= GRACE_S - STOP_MARGIN_S + STEP_S
 
 
-@when("forwarding is asked to stop and packets go on coming")
+@when("forwarding is asked to stop and packets keep arriving")
 def stops_under_load(context):
     context.stopped_at = context.harness.now
     context.harness.handle(StopRequested())
@@ -238,7 +238,7 @@
     assert abs(harness.now - context.stopped_at - seconds) <= 2 * STEP_S
 
 
-@then("a planned stop ends in time, never while packets come or all of the zone are used, for any course")
+@then("a planned stop ends in time, and not early while packets arrive or routers use the whole zone")
 def ends_for_any_course(context):
     zones = st.builds(HallBalancers, st.integers(0, 10), st.integers(0, 10))
     steps = st.lists(st.tuples(st.floats(0.01, 0.6), st.booleans(), zones), min_size=20, max_size=120)
