--- a/sloepond/core/forwarding/assembly.py
+++ b/sloepond/core/forwarding/assembly.py
@@ -1,8 +1,8 @@
 """Builds the parts of a forwarding node and connects them.
 
-Owns: the order in which the parts are built.  Two of them draw from the shared random source while
-they are built (the peer table where there are more seeds than it keeps, then the reader election), so
-the order is part of a node's behaviour.  Relies on: all parts; only `node.py` uses this module.
+Owns: the order in which the parts are built.  Two constructors draw from the shared random source (the peer
+table if there are more seeds than it keeps, then the reader election), so the order is part of a node's
+behaviour.  Relies on: all parts; only `node.py` uses this module.
 """
 
 from __future__ import annotations
@@ -40,21 +40,21 @@
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
 IDENTITY_BITS = 63
-"""Bits of the identity that a process draws at its start.  Not measured: it fits a signed 64-bit integer,
-and any two processes of a fleet of 10,000 draw the same one with a probability of 5e-12."""
+"""Bits of the identity that a process draws at its start.  It fits a signed 64-bit integer, and the
+probability that any two processes of a fleet of 10,000 draw the same one is 5e-12."""
 
 
 class NodeOptions(msgspec.Struct, frozen=True):
-    """What the settings say about one balancer.
+    """Settings of one balancer that the parts use.
 
     :ivar ip: address at which peers reach this balancer.
     :ivar seeds: addresses of balancers that may be up.
-    :ivar places: where flows may go.
+    :ivar places: halls to which flows of each service may go.
     :ivar capacity: share of a core that the process may use.
-    :ivar slow_start_limit: bounds new flows of back ends that are slow after their start.
-    :ivar kill_after_s: time in seconds from the request to stop until the process is killed.
-    :ivar change_limit_s: time in seconds within which a change must be in force; 0 where the settings
-        name none, `CHANGE_LIMIT_S` is used then.
+    :ivar slow_start_limit: limit of new flows to back ends that are slow after their start.
+    :ivar kill_after_s: seconds from the request to stop until the process is killed.
+    :ivar change_limit_s: seconds within which a change must be in force; 0 if the settings name no
+        limit, then `CHANGE_LIMIT_S` applies.
     """
 
     ip: str = ""
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -1,7 +1,7 @@
-"""Commands of the forwarding node: what the runtime does for it.
+"""Commands of the forwarding node: actions that the runtime carries out for it.
 
 Owns: the commands, the kinds of log line, and the outbox in which a part collects its commands.  Relies on:
-the node to collect the outboxes after each event, the runtime to carry the commands out in order.
+the node to drain the outboxes after each event, the runtime to carry out the commands in order.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class ReadSubject(msgspec.Struct, frozen=True):
     """Read everything of a subject from the store.
 
-    :ivar may_be_stale: whether the answer may be some seconds old; it costs less, and the watch that
-        follows brings what has changed since.
+    :ivar may_be_stale: whether the answer may be some seconds old; such a read costs less, and a later
+        watch, read or confirmation brings what has changed since.
     """
 
     subject: Subject
@@ -30,10 +30,10 @@
 
 
 class WatchSubject(msgspec.Struct, frozen=True):
-    """Wait for changes of a subject after a revision.
+    """Watch a subject for changes after a revision.
 
     :ivar after: revision of the store up to which changes are known.
-    :ivar wait_s: seconds for which the store may hold the call.
+    :ivar wait_s: seconds for which the store may hold the call open.
     """
 
     subject: Subject
@@ -42,14 +42,14 @@
 
 
 class ProbeStore(msgspec.Struct, frozen=True):
-    """Read next to nothing from the store, to know whether it answers and at which revision it is."""
+    """Make a minimal read, to find out whether the store answers, and its current revision."""
 
 
 class CheckBackend(msgspec.Struct, frozen=True):
-    """Try to open connections to a back end.
+    """Check whether connections to a back end can be opened.
 
-    :ivar control: another back end to connect to meanwhile, which shows whether this balancer's own link
-        works; None where there is none.
+    :ivar control: another back end to connect to at the same time, which shows whether this balancer's own
+        link works; None if there is none.
     """
 
     name: str
@@ -65,20 +65,20 @@
 
 
 class FetchSnapshot(msgspec.Struct, frozen=True):
-    """Request a snapshot from a peer, by stream."""
+    """Request a snapshot from a peer over a stream."""
 
     ip: str
 
 
 class FetchRoutes(msgspec.Struct, frozen=True):
-    """Request the differences since a version of the routes from a peer, by stream, however large."""
+    """Request the differences since a version of the routes from a peer over a stream, of any size."""
 
     ip: str
     version: int
 
 
 class ReprocessPackets(msgspec.Struct, frozen=True):
-    """Decide again on packets that waited for a token, for routes or for room."""
+    """Decide again on packets that were buffered for a token lookup, or queued for routes or capacity."""
 
     datagrams: tuple[bytes, ...]
 
@@ -86,7 +86,7 @@
 class ResetFlows(msgspec.Struct, frozen=True):
     """Reset flows whose back end is gone.
 
-    :ivar segments: an empty packet of each flow, as its caller would send it.
+    :ivar segments: head of an empty packet of each flow, as its caller would send it.
     """
 
     segments: tuple[Segment, ...]
@@ -97,7 +97,7 @@
 
 
 class LogKind(enum.Enum):
-    """Kinds of change that are logged; see docs/OPERATIONS.md."""
+    """Kinds of log line; see docs/OPERATIONS.md."""
 
     STARTED = "started"
     READY = "ready"
@@ -136,9 +136,9 @@
 
 
 class WriteLog(msgspec.Struct, frozen=True):
-    """Write one line.
+    """Write one log line.
 
-    :ivar subject: what it is about.
+    :ivar subject: the item that the line is about.
     :ivar detail: the inputs of the decision as `name=value`, with age or version.
     """
 
@@ -165,7 +165,7 @@
 class Outbox:
     """Commands of one part in the order in which they were issued.
 
-    Each part has its own, because the node collects them in a fixed order.
+    Each part has its own outbox, because the node drains them in a fixed order.
     """
 
     def __init__(self, counters: ForwardingCounters) -> None:
@@ -177,7 +177,7 @@
         self._commands.append(command)
 
     def send(self, ips: Sequence[str], message: PeerMessage) -> None:
-        """Send one datagram to each of some peers, and count them."""
+        """Send a message to each of some peers, and count the datagrams."""
         self._counters.peer_messages_sent += len(ips)
         self._commands.extend(SendToPeer(ip, message) for ip in ips)
 
@@ -186,6 +186,6 @@
         self._commands.append(WriteLog(kind, subject, detail))
 
     def drain(self) -> list[Command]:
-        """Return the commands issued since the last call, and forget them."""
+        """Return and clear the commands issued since the last call."""
         commands, self._commands = self._commands, []
         return commands
--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -14,38 +14,38 @@
 
     Callers' packets and flows:
 
-    :ivar packets_received: packets of callers that came.
-    :ivar packets_forwarded: packets sent on to a back end.
+    :ivar packets_received: packets received from callers.
+    :ivar packets_forwarded: packets forwarded to a back end.
     :ivar packets_malformed: packets that could not be decoded, dropped.
-    :ivar packets_waited_too_long: packets dropped because they had waited too long in the socket's buffer.
-    :ivar packets_while_stopping: packets that came after the request to stop.
+    :ivar packets_waited_too_long: packets dropped because they were too long in the socket's buffer.
+    :ivar packets_while_stopping: packets received after the request to stop.
     :ivar sends_failed: datagrams of any kind that the system refused to send.
-    :ivar flows_placed: new flows given a back end.
+    :ivar flows_placed: new flows assigned to a back end.
     :ivar flows_placed_unconfirmed: those of them placed while routes or back ends were stale
         (`STALE_AFTER_S`).
-    :ivar second_choices: opening packets that came again and were given another back end.
-    :ivar flows_held: opening packets that waited for room.
-    :ivar flows_diverted: flows given another service of their route, for lack of room.
+    :ivar second_choices: retransmitted opening packets that were assigned to another back end.
+    :ivar flows_held: opening packets queued for spare capacity.
+    :ivar flows_diverted: flows assigned to another service of their route for lack of spare capacity.
     :ivar resets_sent: resets sent to callers.
-    :ivar flows_reset_resting: resets of flows that rested on a back end that is gone.
-    :ivar openings_unanswered: opening packets after which nothing came from the caller.
-    :ivar requests_unanswered: requests that a back end left unanswered for too long.
+    :ivar flows_reset_resting: resets of idle flows whose back end is gone.
+    :ivar openings_unanswered: opening packets that no other packet of the caller followed.
+    :ivar requests_unanswered: requests that a back end did not answer in time.
 
     Packets not forwarded, by `Refusal`: `refused_*`.
 
     Health of back ends:
 
     :ivar backends_checked: checks whether a back end can be reached.
-    :ivar backends_unreachable: checks that found it gone.
-    :ivar failure_reports_sent: reports of unanswered requests sent to the balancers that judge a back end.
-    :ivar failure_reports_received: reports received as a judge.
-    :ivar backends_judged_failing: verdicts of this balancer as a judge.
+    :ivar backends_unreachable: checks that found it unreachable.
+    :ivar failure_reports_sent: reports of unanswered requests sent to the evaluators of a back end.
+    :ivar failure_reports_received: reports received by this balancer as an evaluator.
+    :ivar backends_judged_failing: back ends that this balancer, as an evaluator, found failing.
 
     Tokens:
 
-    :ivar tokens_looked_up: unknown tokens that peers were asked for.
-    :ivar tokens_found_by_peers: back ends learned from the replies.
-    :ivar held_packets_dropped: packets whose token no peer had replied about in time.
+    :ivar tokens_looked_up: unknown tokens that were requested from peers.
+    :ivar tokens_found_by_peers: back ends received in replies.
+    :ivar held_packets_dropped: buffered packets dropped because no peer resolved their token in time.
 
     Store and dissemination:
 
@@ -54,33 +54,33 @@
     :ivar store_probes: probes.
     :ivar store_failures: reads and watches that failed.
     :ivar store_bytes_received: bytes of the store's answers.
-    :ivar own_reads: reads by a follower that no reader confirmed anything to.
+    :ivar own_reads: reads by a follower that receives no confirmations.
     :ivar configurations_taken: versions of the routes that came into force.
-    :ivar backend_changes: changes of back ends taken, from the store or a peer.
-    :ivar backends_unreadable: entries of the list, as they are taken, that name no back end to use.
-    :ivar knowledge_taken: snapshots taken from a peer.
+    :ivar backend_changes: changes of back ends applied, from the store or a peer.
+    :ivar backends_unreadable: entries of the list that describe no usable back end, counted when applied.
+    :ivar knowledge_taken: snapshots applied from a peer.
     :ivar knowledge_old: times that routes or back ends became stale (`STALE_AFTER_S`).
-    :ivar behind_peers: reads of the store because no peer sent what another one knows.
-    :ivar lists_differing: reads because the readers hold another list of back ends.
+    :ivar behind_peers: reads of the store because no peer sent newer content that another peer holds.
+    :ivar lists_differing: reads because the readers hold a different list of back ends.
     :ivar changes_missed: reads because a probe showed a change that no watch had brought.
     :ivar role_changes: changes of the role in the reader election.
     :ivar stalls_detected: times that the process had not run for longer than `STALL_THRESHOLD_S`.
 
     Peers:
 
-    :ivar peer_messages_received: datagrams of peers.
+    :ivar peer_messages_received: datagrams from peers.
     :ivar peer_messages_sent: datagrams to peers.
     :ivar peer_messages_malformed: datagrams that could not be decoded, dropped.
     :ivar heartbeat_bytes_sent: bytes of heartbeats; other `*_bytes_sent` count the other kinds of message.
-    :ivar stream_bytes_sent: bytes of snapshots and routes sent by stream.
-    :ivar stream_bytes_received: bytes of snapshots and routes fetched by stream.
-    :ivar fetches_failed: requests by stream that failed, or that a peer could not answer.
+    :ivar stream_bytes_sent: bytes of snapshots and routes sent over streams.
+    :ivar stream_bytes_received: bytes of snapshots and routes received over streams.
+    :ivar fetches_failed: requests over streams that failed, or that a peer could not answer.
 
     The process:
 
-    :ivar receives_failed: errors of the system on receiving a datagram.
-    :ivar accepts_failed: errors of the system on accepting a connection.
-    :ivar check_connections_failed: errors of the system on opening a connection for a check.
+    :ivar receives_failed: system errors on receiving a datagram.
+    :ivar accepts_failed: system errors on accepting a connection.
+    :ivar check_connections_failed: system errors on opening a connection for a check.
     :ivar connections_turned_away: connections closed at once because too many were open.
     :ivar connections_broken: connections that ended in an error.
     :ivar requests_malformed: requests to the metrics page that could not be read.
--- a/sloepond/core/forwarding/events.py
+++ b/sloepond/core/forwarding/events.py
@@ -1,7 +1,7 @@
-"""Events of the forwarding node: what the runtime reports to it.
+"""Events of the forwarding node, which the runtime reports to it.
 
-Owns: the events and the unions that group them by where they come from.  Relies on: `state` and `peers`
-for the records and messages that events carry.
+Owns: the events and the unions that group them by their source.  Relies on: `state` and `peers` for the
+records and messages that events carry.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Subject(enum.IntEnum):
-    """What is watched in the store."""
+    """Kinds of content that are read and watched in the store."""
 
     ROUTES = 0
     BACKENDS = 1
@@ -30,25 +30,25 @@
     """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
-    """No connection, or one that broke."""
+    """The connection could not be opened, or it broke."""
     TIMED_OUT = "timed_out"
     """No answer in time."""
     REFUSED = "refused"
-    """The store answered with an error that is none of the others."""
+    """The store answered with an error other than those below."""
     THROTTLED = "throttled"
     """The store answered that there are too many calls."""
     HISTORY_LOST = "history_lost"
-    """The store no longer knows the changes since the revision of a watch."""
+    """The store no longer holds the changes since the revision of a watch."""
     MALFORMED = "malformed"
     """The answer could not be decoded."""
 
 
 class RoutesRead(msgspec.Struct, frozen=True):
-    """The routes and the evacuated halls were read whole.
+    """All routes and evacuated halls were read.
 
     :ivar revision: the store's revision at the read.
     :ivar configuration: the routes, None if operators have written none yet.
-    :ivar evacuated: the halls that are evacuated.
+    :ivar evacuated: names of the evacuated halls.
     """
 
     revision: int
@@ -57,10 +57,10 @@
 
 
 class UnreadableBackend(msgspec.Struct, frozen=True):
-    """An entry of the list that names no back end to use; other programs may write there too.
+    """An entry of the list that describes no usable back end; other programs may write there too.
 
-    :ivar name: what the entry would be called, shortened if it is very long.
-    :ivar revision: at which it was written.
+    :ivar name: name of the entry, truncated if it is very long.
+    :ivar revision: revision at which it was written.
     :ivar reason: why it cannot be used, for a log line.
     """
 
@@ -73,7 +73,7 @@
     """The whole list of back ends was read.
 
     :ivar revision: the store's revision at the read.
-    :ivar unreadable: entries that name no back end to use.
+    :ivar unreadable: entries that describe no usable back end.
     """
 
     revision: int
@@ -82,7 +82,7 @@
 
 
 def backends_read(revision: int, entries: Iterable[BackendRecord | UnreadableBackend]) -> BackendsRead:
-    """Return the event of a list that holds these entries."""
+    """Return the event for a list with these entries."""
     records: list[BackendRecord] = []
     unreadable: list[UnreadableBackend] = []
     for entry in entries:
@@ -98,7 +98,7 @@
 
     :ivar revision: the store's revision up to which these are all changes.
     :ivar configurations: the routes as they were written, oldest first.
-    :ivar halls: evacuated halls and such taken back, oldest first.
+    :ivar halls: evacuations and withdrawals of evacuations, oldest first.
     """
 
     revision: int
@@ -107,7 +107,7 @@
 
 
 class DepartedBackend(msgspec.Struct, frozen=True):
-    """A back end's entry is gone from the list as of a revision."""
+    """A back end's entry was removed from the list at a revision."""
 
     name: str
     revision: int
@@ -117,7 +117,7 @@
     """A watch of the back ends was answered.
 
     :ivar revision: the store's revision up to which these are all changes.
-    :ivar changes: in the order in which they were written.
+    :ivar changes: changes in the order in which they were written.
     """
 
     revision: int
@@ -128,7 +128,7 @@
     """A read or a watch failed.
 
     :ivar was_watch: whether it was a watch, not a read.
-    :ivar detail: what is wrong with an answer that cannot be decoded, for a log line; else empty.
+    :ivar detail: why the answer cannot be decoded, for a log line; else empty.
     """
 
     subject: Subject
@@ -138,14 +138,14 @@
 
 
 class StorePageReceived(msgspec.Struct, frozen=True):
-    """A page of a list has come from the store, and is not the last one."""
+    """A page of a list was received from the store, and is not the last one."""
 
 
 class StoreProbed(msgspec.Struct, frozen=True):
     """A probe of the store has ended.
 
-    :ivar failure: why there was no answer, None where there was one.
-    :ivar revision: the store's revision at the answer, 0 where it named none.
+    :ivar failure: why there was no answer, None if there was one.
+    :ivar revision: the store's revision at the answer, 0 if the answer has none.
     """
 
     failure: StoreFailure | None
@@ -153,7 +153,7 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """The time of `next_deadline` has come, or is past."""
+    """The time of `next_deadline` was reached."""
 
 
 class SettingsChanged(msgspec.Struct, frozen=True):
@@ -176,9 +176,9 @@
 
 
 class PeerMessageReceived(msgspec.Struct, frozen=True):
-    """A datagram came from another balancer.
+    """A datagram was received from another balancer.
 
-    :ivar ip: address it came from.
+    :ivar ip: address of the sender.
     """
 
     ip: str
@@ -186,22 +186,22 @@
 
 
 class SnapshotReceived(msgspec.Struct, frozen=True):
-    """A requested snapshot has come from a peer."""
+    """A requested snapshot was received from a peer."""
 
     ip: str
     snapshot: Snapshot
 
 
 class FetchFailed(msgspec.Struct, frozen=True):
-    """A request to a peer by stream has failed, or the peer knows nothing."""
+    """A request to a peer over a stream has failed, or the peer has no content."""
 
     ip: str
 
 
 class RoutesReceived(msgspec.Struct, frozen=True):
-    """Requested differences that lead to a peer's version of the routes have come.
+    """Requested differences that lead to a peer's version of the routes were received.
 
-    :ivar deltas: each applies to the version that the one before leads to.
+    :ivar deltas: differences in order; each applies to the version that the one before it leads to.
     """
 
     ip: str
@@ -209,32 +209,32 @@
 
 
 class OpeningQueued(msgspec.Struct, frozen=True):
-    """There is no room for a new flow: its opening packet waits."""
+    """A new flow cannot be placed yet: its opening packet is queued."""
 
     segment: Segment
     datagram: bytes
 
 
 class UnknownTokenReceived(msgspec.Struct, frozen=True):
-    """A packet carries a token that is unknown here."""
+    """A packet with a token that is unknown here was received."""
 
     token: int
     datagram: bytes
 
 
 class BackendSuspected(msgspec.Struct, frozen=True):
-    """Packets hint that a back end may be gone."""
+    """Packets indicate that a back end may be gone."""
 
     name: str
 
 
 class CheckResult(enum.Enum):
-    """What a check of a back end has shown."""
+    """Result of a check of a back end."""
 
     REACHABLE = "reachable"
     UNREACHABLE = "unreachable"
     UNKNOWN = "unknown"
-    """Another back end was not reached either: it may be this balancer's own link."""
+    """Another back end could not be reached either, so this balancer's own link may be down."""
 
 
 class BackendChecked(msgspec.Struct, frozen=True):
--- a/sloepond/core/forwarding/housekeeping.py
+++ b/sloepond/core/forwarding/housekeeping.py
@@ -1,37 +1,37 @@
-"""Forgets what has expired, at regular intervals.
+"""Removes expired state of all parts at regular intervals.
 
-Owns: the time of the next round.  Relies on: each part to know what of its own has expired.
+Owns: the time of the next round.  Relies on: each part to decide which of its own entries have expired.
 """
 
 from __future__ import annotations
 
 from sloepond.core.forwarding.assembly import NodeParts
 
-HOUSEKEEPING_S = 0.5
-"""Seconds between rounds.  Not measured: well below the shortest time after which something is forgotten
-(1.0 s), so that nothing is kept for twice as long."""
+HOUSEKEEPING_INTERVAL_S = 0.5
+"""Seconds between rounds; well below the shortest expiry time (1.0 s), so that nothing is kept for twice as
+long."""
 
 
 class Housekeeping:
-    """Calls every part that keeps something for a limited time."""
+    """Calls every part that keeps entries for a limited time."""
 
     def __init__(self, parts: NodeParts) -> None:
         self._parts = parts
-        self._due_at = 0.0
+        self._next_round_at = 0.0
 
     def start(self, now: float) -> None:
         """Schedule the first round."""
-        self._due_at = now + HOUSEKEEPING_S
+        self._next_round_at = now + HOUSEKEEPING_INTERVAL_S
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
-        return self._due_at
+        return self._next_round_at
 
     def on_timer(self, now: float) -> None:
-        """Forget what has expired, if a round is due."""
-        if now < self._due_at:
+        """Remove expired entries if a round is due."""
+        if now < self._next_round_at:
             return
-        self._due_at = now + HOUSEKEEPING_S
+        self._next_round_at = now + HOUSEKEEPING_INTERVAL_S
         parts = self._parts
         parts.local.backends.forget_departed(now)
         parts.forwarder.observer.forget_idle(now)
--- a/sloepond/core/forwarding/local_state.py
+++ b/sloepond/core/forwarding/local_state.py
@@ -1,8 +1,8 @@
-"""What the parts of one node share.
+"""Objects that the parts of one node share.
 
-Owns: nothing; it groups the objects that most parts read or update, so that a part takes one
-argument for them.  Relies on: `state` (the copy of the store), `store` (the watchers that keep the
-copy current), `peers` (the other balancers).
+Owns: nothing; it groups the objects that most parts read or update, so that a part takes one argument for
+them.  Relies on: `state` (the local copy of the store's content), `store` (the watchers that keep it
+current), `peers` (the other balancers).
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     :ivar hall: hall of this balancer.
     :ivar ip: address at which peers reach this balancer.
     :ivar routes: routes in force.
-    :ivar backends: back ends known, also leaving and departed ones.
-    :ivar evacuations: halls that get no new flow.
+    :ivar backends: known back ends, including leaving and departed ones.
+    :ivar evacuations: halls that get no new flows.
     :ivar watchers: schedule of the calls to the store, one for each subject.
     :ivar peers: other balancers known.
-    :ivar random_source: shared by all parts.  The order of draws is part of a node's behaviour: a run
-        with the same seed and the same events repeats to the last digit.
+    :ivar random_source: shared by all parts.  The order of draws is part of a node's behaviour: the same
+        seed and the same events give exactly the same run.
     """
 
     hall: str
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -1,10 +1,10 @@
 """The forwarding node: one balancer's decisions by routing token, without any I/O.
 
-Owns: the time of the next timer, and the order in which the parts see an event and in which their
+Owns: the time of the next timer, the order in which the parts handle an event, and the order in which their
 commands are collected.  Relies on: `assembly` (builds and connects the parts), the runtime to carry out
 the commands and to call back at `next_deadline`.
 
-`decide` is the data path.  `handle` takes everything else that happens and returns commands.
+`decide` is the data path.  `handle` processes all other events and returns commands.
 """
 
 from __future__ import annotations
@@ -54,8 +54,8 @@
     :param random_source: seeded by the caller.
     :ivar counters: counts since the start of the process.
     :ivar routes: routes in force.
-    :ivar backends: back ends known.
-    :ivar evacuations: halls that get no new flow.
+    :ivar backends: known back ends.
+    :ivar evacuations: halls that get no new flows.
     """
 
     def __init__(self, hall: str, random_source: random.Random, options: NodeOptions = DEFAULTS) -> None:
@@ -81,12 +81,12 @@
 
     @property
     def is_configured(self) -> bool:
-        """Whether routes and back ends are known."""
+        """Whether routes and the list of back ends are known."""
         return self.routes.version > 0 and self.backends.has_backends
 
     @property
     def can_forward(self) -> bool:
-        """Whether packets of open flows can be forwarded; new flows wait for the routes."""
+        """Whether packets of open flows can be forwarded; new flows are queued until the routes are known."""
         return self.backends.has_backends
 
     @property
@@ -114,34 +114,34 @@
 
     @property
     def flows_observed(self) -> int:
-        """Flows seen lately."""
+        """Number of flows whose packets were seen recently."""
         return len(self._forwarder.observer)
 
     @property
     def latencies(self) -> dict[str, LatencyHistogram]:
-        """Latencies seen in callers' packets, by the name of the metric."""
+        """Latencies observed in callers' packets, by the name of the metric."""
         observer = self._forwarder.observer
         return {"opening_seconds": observer.opening_latency, "request_seconds": observer.request_latency}
 
     @property
     def backends_ejected(self) -> int:
-        """Back ends that are given no or few new flows for requests they have left unanswered."""
+        """Number of back ends that get no or few new flows because requests to them were unanswered."""
         return self._ejection.ejected_count(self._now)
 
     def routes_age(self, now: float) -> float:
-        """Return seconds since the store or a reader of it confirmed the routes."""
+        """Return the seconds since the store or a reader of it confirmed the routes."""
         return self._dissemination.staleness.of(Subject.ROUTES, now)
 
     def backends_age(self, now: float) -> float:
-        """Return seconds since the store or a reader of it confirmed the back ends."""
+        """Return the seconds since the store or a reader of it confirmed the back ends."""
         return self._dissemination.staleness.of(Subject.BACKENDS, now)
 
     def describe_state(self, now: float) -> str:
-        """Return versions and ages of routes and back ends, for a log line."""
+        """Return the versions and ages of routes and back ends, for a log line."""
         return self._dissemination.describe(now)
 
     def snapshot_for_peer(self, now: float) -> Snapshot | None:
-        """Return routes and back ends for a peer that has just started, None before they are known."""
+        """Return the routes and back ends for a peer that has just started, None before they are known."""
         return self._exchange.snapshot(now) if self.is_configured else None
 
     def routes_since(self, version: int) -> tuple[RouteDelta, ...]:
@@ -149,7 +149,7 @@
         return self.routes.history.chain(version, self.routes.version)
 
     def start(self, now: float) -> list[Command]:
-        """Start; `now` in seconds of a monotonic clock."""
+        """Start the node; `now` is in seconds of a monotonic clock."""
         self._now = now
         self._housekeeping.start(now)
         self._openings.admission.start(now)
@@ -158,9 +158,9 @@
         return self._finish()
 
     def decide(self, segment: Segment, now: float) -> Decision:
-        """Return what becomes of a caller's packet."""
+        """Decide what to do with a caller's packet."""
         if now - self._deadline > STALL_THRESHOLD_S:
-            self._notice_stall(now)
+            self._record_stall(now)
         self._stop.packet_seen(now)
         decision = self._forwarder.decide(segment, now)
         if segment.is_opening:
@@ -172,7 +172,7 @@
         return decision
 
     def reply_seen(self, head: ReplyHead, now: float) -> None:
-        """Note a back end's reply that passes this balancer; never called where replies go past it."""
+        """Record a back end's reply; never called if replies do not pass through this balancer."""
         self._forwarder.observer.observe_reply(head, now)
 
     def next_deadline(self) -> float:
@@ -180,24 +180,24 @@
         return self._deadline
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event; `now` never goes back."""
+        """Handle one event and return the resulting commands; `now` never goes back."""
         if now - self._deadline > STALL_THRESHOLD_S:
-            self._notice_stall(now)
+            self._record_stall(now)
         self._now = now
         if isinstance(event, TimerFired):
-            self._on_time()
+            self._on_timer()
         elif isinstance(event, PeerEvent):
-            self._take_from_peer(event)
+            self._handle_peer_event(event)
         elif isinstance(event, PacketEvent):
-            self._take_from_data_path(event)
+            self._handle_packet_event(event)
         elif isinstance(event, StoreEvent):
-            self._take_from_store(event)
+            self._handle_store_event(event)
         else:
-            self._take_from_process(event)
+            self._handle_process_event(event)
         return self._finish()
 
-    def _take_from_peer(self, event: PeerEvent) -> None:
-        """Take a message, or what was requested by stream."""
+    def _handle_peer_event(self, event: PeerEvent) -> None:
+        """Handle a message, or the reply to a request over a stream."""
         if isinstance(event, PeerMessageReceived):
             self._exchange.message_received(event, self._now)
             self._checks.check_suspected_by_peers(self._now)
@@ -208,8 +208,8 @@
         else:
             self._exchange.bootstrap.fetch_failed(event.ip, self._now)
 
-    def _take_from_data_path(self, event: PacketEvent) -> None:
-        """Take what `decide` has asked the runtime to report, and what a check has shown."""
+    def _handle_packet_event(self, event: PacketEvent) -> None:
+        """Handle the events that `decide` has the runtime report, and results of checks."""
         if isinstance(event, OpeningQueued):
             self._openings.hold(event.segment, event.datagram, self._now)
         elif isinstance(event, UnknownTokenReceived):
@@ -219,8 +219,8 @@
         else:
             self._checks.check_finished(event, self._now)
 
-    def _take_from_store(self, event: StoreEvent) -> None:
-        """Take an answer, a part of one, or the failure of a call."""
+    def _handle_store_event(self, event: StoreEvent) -> None:
+        """Handle an answer of the store, a page of one, or the failure of a call."""
         if isinstance(event, StoreProbed):
             self._dissemination.probe_ended(event, self._now)
         elif isinstance(event, StorePageReceived):
@@ -231,8 +231,8 @@
             if isinstance(event, StoreCallFailed):
                 self._exchange.bootstrap.store_failed(event.reason, self._now)
 
-    def _take_from_process(self, event: ProcessEvent) -> None:
-        """Take a change of the process: its channel to peers, its settings, its end."""
+    def _handle_process_event(self, event: ProcessEvent) -> None:
+        """Handle a change of the process: its channel to peers, its settings, or a request to stop."""
         if isinstance(event, PeersReachable):
             self._exchange.start(self._now)
             self._dissemination.start(self._now)
@@ -241,8 +241,8 @@
         else:
             self._stop.request(self.is_configured, self._now)
 
-    def _on_time(self) -> None:
-        """Let each part do what is due."""
+    def _on_timer(self) -> None:
+        """Run the timers of all parts that are due."""
         now = self._now
         if now >= self._stop.next_deadline():
             self._stop.on_timer(self.is_configured, now)
@@ -257,14 +257,14 @@
         self._housekeeping.on_timer(now)
 
     def _finish(self) -> list[Command]:
-        """Call the store if it is time, set the next deadline, and return the commands of all parts."""
+        """Issue the store calls that are due, set the next deadline, and return the commands of all parts."""
         self._commands.extend(self._dissemination.store_calls(self._now))
-        self._collect()
+        self._collect_commands()
         self._deadline = self._earliest_deadline()
         commands, self._commands = self._commands, []
         return commands
 
-    def _collect(self) -> None:
+    def _collect_commands(self) -> None:
         """Append the parts' commands in a fixed order."""
         self._commands.extend(self._dissemination.intake.drain_change_logs())
         released = self._openings.release_early(self._now)
@@ -289,8 +289,8 @@
             self._ejection.next_deadline(),
         )
 
-    def _notice_stall(self, now: float) -> None:
-        """Note that the process has slept since its deadline."""
+    def _record_stall(self, now: float) -> None:
+        """Record that the process was stalled since its deadline."""
         late_s = now - self._deadline
         self._deadline = now
         self.counters.stalls_detected += 1
--- a/sloepond/core/forwarding/packets.py
+++ b/sloepond/core/forwarding/packets.py
@@ -1,6 +1,6 @@
-"""The heads of callers' packets and of replies, and the reasons for which a packet is not forwarded.
+"""Heads of callers' packets and of replies, and the reasons for which a packet is not forwarded.
 
-Owns: the form of all three.  Relies on: the codec of the runtime to fill a segment.
+Owns: these types.  Relies on: the codec of the runtime to fill a segment.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import msgspec
 
 PORT_BITS = 16
-"""Bits of a port, below the 32 bits of the address in the key of an endpoint."""
+"""Bits of the port in an endpoint key, below the 32 bits of the address."""
 ENDPOINT_BITS = 48
-"""Bits of the key of an endpoint."""
+"""Bits of an endpoint key."""
 
 
 class Segment(msgspec.Struct, gc=False):
@@ -22,7 +22,7 @@
 
     :ivar token: routing token the packet carries, 0 for none.
     :ivar acknowledgement: next byte expected from the other end; for an opening
-        packet, how many copies of it went before.
+        packet, the number of its retransmission, 0 for the first transmission.
     :ivar sequence: sequence number of the first byte of data.
     :ivar length: bytes of data.
     """
@@ -41,23 +41,23 @@
 
     @property
     def route_key(self) -> int:
-        """Key of the endpoint the caller sent to."""
+        """Key of the endpoint that the caller sent to."""
         return self.destination << PORT_BITS | self.destination_port
 
     @property
     def flow_key(self) -> int:
-        """Key of the flow: both endpoints."""
+        """Key of the flow: the caller's endpoint and the one it sent to."""
         caller = self.source << PORT_BITS | self.source_port
         return caller << ENDPOINT_BITS | self.route_key
 
 
 class ReplyHead(msgspec.Struct, frozen=True, gc=False):
-    """Head of a back end's reply to a request, where replies pass the balancer.
+    """Head of a back end's reply to a request, if replies pass through the balancer.
 
     :ivar flow_key: key of the flow; see `Segment.flow_key`.
     :ivar acknowledgement: `Segment.acknowledgement` of the request that is replied to.
     :ivar token: routing token of the back end.
-    :ivar is_answer: whether it holds the answer or a part of it, rather than a refusal.
+    :ivar is_answer: whether it holds the answer or a part of it, not a refusal.
     """
 
     flow_key: int
@@ -94,14 +94,14 @@
     NO_ROUTE = "no_route"
     """No route for the endpoint that the caller sent to."""
     NO_BACKEND = "no_backend"
-    """No back end of the route's services takes the new flow."""
+    """No back end of the route's services accepts the new flow."""
     UNKNOWN_TOKEN = "unknown_token"
-    """The token is unknown here; peers are asked for it."""
+    """The token is unknown here; it is looked up at peers."""
     NO_TOKEN = "no_token"
     """A packet of an open flow that carries no token."""
     NOT_CONFIGURED = "not_configured"
-    """This balancer knows no back ends yet."""
+    """This balancer has no back ends yet."""
     STALE_KNOWLEDGE = "stale_knowledge"
-    """The process has slept, and nothing was read from the store since."""
+    """The process was stalled, and has not read the store since."""
     UNREACHABLE = "unreachable"
     """The back end of the flow is gone."""
--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -1,8 +1,8 @@
-"""What forwarding is given of sloepond's own packets and configuration.
+"""Converts sloepond's own packets and configuration to the input of `core.forwarding`.
 
-`core.forwarding` knows packets by the numbers in their heads, and back ends by records as a
-store lists them.  This module makes both from `core.packets` and from a compiled
-configuration.  It holds no state and relies on neither a clock nor the node.
+`core.forwarding` handles packets as heads of numbers, and back ends as records of a store.  This module
+makes both from `core.packets` and from a compiled configuration.  It holds no state and relies on neither a
+clock nor the node.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from sloepond.resources.model import BackendState as DeclaredState
 
 HOST_KEY_BYTES = 4
-"""Bytes of a host in the key of an endpoint."""
+"""Bytes of the host in an endpoint key."""
 NUMBER_BYTES = 8
 """Bytes of a back end's number, from which its routing token is made."""
 _REFUSALS = (BackendReplyKind.REFUSED, BackendReplyKind.CANCELLED, BackendReplyKind.FLOW_UNKNOWN)
-"""Replies that say a request was not run: the back end works, so none of them is silence."""
+"""Replies that a request was not run; they show that the back end works."""
 
 
 def segment_of(packet: CallerPacket) -> Segment:
     """Return the head of a caller's packet.
 
-    An opening packet carries how many copies went before, other packets of a flow a number
-    that grows with its requests.
+    The acknowledgement of an opening packet is the number of its retransmission; that of other packets
+    grows with the requests of the flow.
     """
     destination = _endpoint_key(packet.flow.service_address)
     source = _endpoint_key(packet.flow.caller_address)
@@ -59,7 +59,7 @@
 def reply_head_of(reply: BackendReply) -> ReplyHead | None:
     """Return the head of a back end's reply to a request, None for other replies.
 
-    :raises ValueError: an address of the flow is none; no caller's packet of such a flow is forwarded.
+    :raises ValueError: an address of the flow is invalid; packets of such a flow are not forwarded.
     """
     is_answer = reply.kind is BackendReplyKind.ANSWER
     if not reply.request_id or not (is_answer or reply.kind in _REFUSALS):
@@ -68,14 +68,14 @@
 
 
 def route_of(service: CompiledService) -> Route:
-    """Return the route of a service's address: to this service alone."""
+    """Return the route of a service's address, to this service alone."""
     return Route(service.name, _endpoint_key(service.address), (Share(service.name, 1.0),))
 
 
 def place_rules_of(services: tuple[CompiledService, ...]) -> PlaceRules:
-    """Return the halls in which each service's back ends may be given new flows.
+    """Return the halls whose back ends may get new flows of each service.
 
-    A hall whose zone is drained is none; its back ends keep their open flows.
+    Halls of an evacuated zone are left out; their back ends keep their open flows.
     """
     return PlaceRules(
         {
@@ -90,16 +90,16 @@
 
 
 def record_of(backend: CompiledBackend, revision: int) -> BackendRecord:
-    """Return a declared back end as forwarding has it listed.
+    """Return a declared back end as a record of forwarding.
 
-    Forwarding takes neither another address nor another service of a back end that it knows by
-    name.  An operator may declare both, so they are part of the name: what is declared anew is
-    another back end, and the former one has left.
+    Forwarding never changes the address or the service of a back end that it knows by name.  An operator
+    may change both, so they are part of the name: a changed declaration is a new back end, and the former
+    one has departed.
 
     :param revision: generation that declares it.
     """
     host, _, port = backend.address.rpartition(":")
-    takes_flows = backend.state is DeclaredState.ACTIVE and backend.weight > 0
+    accepts_flows = backend.state is DeclaredState.ACTIVE and backend.weight > 0
     return BackendRecord(
         name=f"{backend.service}/{backend.name}@{backend.address}",
         number=_number_of(backend),
@@ -108,19 +108,19 @@
         port=int(port),
         hall=backend.location.hall,
         slots=backend.slots,
-        state=BackendState.READY if takes_flows else BackendState.LEAVING,
+        state=BackendState.READY if accepts_flows else BackendState.LEAVING,
         revision=revision,
     )
 
 
 def _number_of(backend: CompiledBackend) -> int:
-    """Return the same number on every balancer, another one where the address is another."""
+    """Return a number that is the same on every balancer and depends on the name and the address."""
     text = f"{backend.name} {backend.address}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=NUMBER_BYTES).digest(), "big")
 
 
 def _acknowledgement(request_id: int) -> int:
-    """Return the number that packets of a flow carry once it has sent a request."""
+    """Return the acknowledgement that packets of a flow carry once it has sent a request."""
     return request_id + 1
 
 
@@ -137,8 +137,8 @@
 def _host_key(host: str) -> int:
     """Return 32 bits for a host: its IPv4 address, or a hash of its IPv6 address.
 
-    Two hosts with one hash and one port would be taken for each other: of n services with IPv6
-    addresses, two are with a chance of n^2 / 2^33.
+    Two hosts with the same hash and port cannot be told apart; among n services with IPv6 addresses the
+    probability of this is n^2 / 2^33.
     """
     if not host.startswith("["):
         return int(ipaddress.IPv4Address(host))
