--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -15,16 +15,16 @@
 
 from sloepond.core.commands import TransitionKind
 from sloepond.core.configuration.assembly import TransferHeader
-from sloepond.core.configuration.delta import ConfigurationDelta, composed, difference
+from sloepond.core.configuration.delta import ConfigurationDelta, compose, difference
 from sloepond.core.configuration.encoding import (
     MAXIMUM_DECODED_BYTES,
     decode_delta,
     encode_delta,
     encode_slices,
-    framed,
+    frame_block,
 )
 from sloepond.core.configuration.fetcher import FetchedTransfer
-from sloepond.core.configuration.judgement import judge_snapshot, judge_transfer
+from sloepond.core.configuration.judgement import check_snapshot, check_transfer
 from sloepond.core.configuration.sliced_work import SLICE_UNITS
 from sloepond.core.configuration.validation import findings_after
 from sloepond.core.messages import ConfigurationPart, ConfigurationRequested, Member
@@ -166,7 +166,7 @@
     def check(sets):
         snapshots = [make_snapshot(number, items).resources for number, items in enumerate(sets, 1)]
         deltas = [difference(*pair) for pair in zip(snapshots, snapshots[1:], strict=False)]
-        sent = decode_delta(encode_delta(composed(deltas)))
+        sent = decode_delta(encode_delta(compose(deltas)))
         assert not {resource_key(item) for item in sent.changed} & set(sent.removed)
         base = CompiledConfiguration(make_snapshot(1, sets[0]))
         last = CompiledConfiguration(make_snapshot(len(sets), sets[-1]))
@@ -177,7 +177,7 @@
 
 @then("for any valid set and any change the limited and typed configuration checks agree with the whole one")
 def step_limited_check(context):
-    verdicts = Counter()
+    outcomes = Counter()
 
     @settings(PROPERTY, max_examples=600)
     @for_all(st.integers(4, 6), resource_sets())
@@ -190,10 +190,10 @@
             found = findings_after(start, delta, changed)
             assert bool(found) == bool(whole), (found, whole)
             assert places(found) <= places(whole), (found, whole)
-        verdicts[bool(whole)] += 1
+        outcomes[bool(whole)] += 1
 
     check()
-    assert min(verdicts[True], verdicts[False]) > 10, verdicts
+    assert min(outcomes[True], outcomes[False]) > 10, outcomes
     assert_last_back_end_needed()
 
 
@@ -204,10 +204,10 @@
     owned = [item for item in declared if isinstance(item, Backend) and item.spec.service == SERVICES[0]]
     kept = [item for item in declared if item not in owned]
     spare = [msgspec.structs.replace(item, spec=idle(item.spec)) for item in owned]
-    for after, is_right in ((kept, False), ([*kept, *spare], False), ([*kept, spare[0], owned[1]], True)):
+    for after, is_valid in ((kept, False), ([*kept, *spare], False), ([*kept, spare[0], owned[1]], True)):
         changed = make_snapshot(2, after).resources
         delta = difference(base.content.resources, changed)
-        assert is_right == (not findings_after(base, delta, changed)), after
+        assert is_valid == (not findings_after(base, delta, changed)), after
 
 
 def idle(spec):
@@ -235,8 +235,8 @@
 
 @then("the configuration decoder refuses bytes that decompress to more than its limit")
 def step_bomb(context):
-    bomb = framed(zlib.compress(b"\0" * (MAXIMUM_DECODED_BYTES + 1)))
-    large = framed(zlib.compress(msgspec.msgpack.encode(with_label(MAXIMUM_DECODED_BYTES // 2))))
+    bomb = frame_block(zlib.compress(b"\0" * (MAXIMUM_DECODED_BYTES + 1)))
+    large = frame_block(zlib.compress(msgspec.msgpack.encode(with_label(MAXIMUM_DECODED_BYTES // 2))))
     assert decode_delta(bomb) is None
     assert decode_delta(large) is not None
     assert decode_delta(large * 2) is None
@@ -317,15 +317,15 @@
     moved = make_snapshot(3, [*kept, zone, *(hall(name, "zone-b") for name in HALLS)])
     header = TransferHeader(2, whole.digest, 0, 1)
     works = (
-        judge_snapshot(EMPTY_CONFIGURATION, whole),
-        judge_snapshot(CompiledConfiguration(whole), moved),
-        judge_transfer(EMPTY_CONFIGURATION, FetchedTransfer("", header, encode_delta(delta))),
+        check_snapshot(EMPTY_CONFIGURATION, whole),
+        check_snapshot(CompiledConfiguration(whole), moved),
+        check_transfer(EMPTY_CONFIGURATION, FetchedTransfer("", header, encode_delta(delta))),
         encode_slices(delta),
     )
     for units in map(list, works):
         assert len(units) > count / BLOCK_ITEMS, units
         assert max(units) <= BLOCK_ITEMS, units
-    taken = run_to_completion(judge_snapshot(CompiledConfiguration(whole), moved)).configuration
+    taken = run_to_completion(check_snapshot(CompiledConfiguration(whole), moved)).configuration
     assert_equal(taken, CompiledConfiguration(moved))
 
 
--- a/sloepond/core/configuration/__init__.py
+++ b/sloepond/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration in force and how it spreads between balancers."""
+"""The configuration in force, and its distribution between balancers."""
--- a/sloepond/core/configuration/announcer.py
+++ b/sloepond/core/configuration/announcer.py
@@ -1,8 +1,8 @@
-"""Tells other balancers which generation is in force here.
+"""Announces to other balancers which generation is in force here.
 
-Each balancer that puts a generation in force offers it to a few others of the platform's
-list of machines, chosen at random; a slow exchange with one of them at a time reaches those
-that heard of none.
+Each balancer that puts a generation in force offers it to a few others of the platform's list of machines,
+chosen at random.  In addition, each balancer regularly sends an offer to one random other, which reaches
+those that have received none.
 
 Owns the list of machines and the times of offers.  Relies on `ConfigurationStore` for the
 generation in force.
@@ -16,18 +16,18 @@
 from sloepond.core.token_bucket import TokenBucket
 from sloepond.resources.compiled import EMPTY_CONFIGURATION, CompiledConfiguration
 
-OFFERS = 3
-"""Balancers told of each new generation, and asked until one is in force; not measured."""
+OFFERS_PER_ROUND = 3
+"""Balancers that are sent an offer of each new generation, and of generation 0 until one is in force."""
 OFFER_INTERVAL_S = 1.0
-"""Least time between two rounds of offers, seconds; not measured."""
+"""Minimum time between two rounds of offers, seconds."""
 EXCHANGE_INTERVAL_S = 4.0
-"""Time between offers to one balancer while nothing changes, seconds; not measured."""
+"""Time between the regular offers to one random balancer, seconds."""
 ANSWERS_PER_S = 5.0
-"""Most offers a second in answer to others' older ones, so that many that start at once
-cannot make one balancer send without bound; not measured."""
+"""Maximum offers per second in answer to offers of older generations, so that many balancers that start at
+the same time cannot make one balancer send without bound."""
 _JITTER = 0.25
-"""Share by which the time to the next exchange is lengthened at random, so that balancers
-do not send in step; not measured."""
+"""Share by which the time to the next regular offer is lengthened at random, so that balancers do not send at
+the same time."""
 
 
 class ConfigurationAnnouncer:
@@ -38,28 +38,28 @@
         self._in_force = EMPTY_CONFIGURATION
         self._machines: tuple[Member, ...] = ()
         self._round_at = -NEVER
-        self._round_due = NEVER
-        self._exchange_due: float | None = None
+        self._round_due_at = NEVER
+        self._exchange_due_at: float | None = None
         self._answers = TokenBucket(ANSWERS_PER_S, ANSWERS_PER_S)
 
     def machine_list_received(self, members: tuple[Member, ...]) -> None:
-        """Take the platform's list of machines; a hint that may lag."""
+        """Store the platform's list of machines, which may be out of date."""
         self._machines = members
 
     def generation_applied(self, in_force: CompiledConfiguration) -> None:
-        """Offer a generation just put in force."""
+        """Offer a generation that was just put in force."""
         self._in_force = in_force
         due = max(self._context.now, self._round_at + OFFER_INTERVAL_S)
-        self._round_due = min(self._round_due, due)
+        self._round_due_at = min(self._round_due_at, due)
         self._offer_if_due()
 
     def _offer_if_due(self) -> None:
         now = self._context.now
-        if now < self._round_due:
+        if now < self._round_due_at:
             return
         self._round_at = now
-        self._round_due = NEVER
-        self._offer_to_some(OFFERS)
+        self._round_due_at = NEVER
+        self._offer_to_some(OFFERS_PER_ROUND)
 
     def _offer_to_some(self, count: int) -> None:
         own_name = self._context.identity.name
@@ -72,22 +72,22 @@
         self._context.send_to_peer(address, ConfigurationOffered(self._in_force.generation, digest))
 
     def older_offer_received(self, address: str) -> None:
-        """Answer a balancer that offers less than what is in force here."""
+        """Answer a balancer that offers an older generation than the one in force here."""
         if self._in_force.generation > 0 and self._answers.take(self._context.now, 1.0):
             self._offer(address)
 
     def next_deadline(self) -> float:
-        """Return when to send offers next; at once at first."""
-        if self._exchange_due is None:
+        """Return when to send offers next; immediately at first."""
+        if self._exchange_due_at is None:
             return self._context.now
-        return min(self._round_due, self._exchange_due)
+        return min(self._round_due_at, self._exchange_due_at)
 
     def on_timer(self) -> None:
         """Send the offers that are due."""
         self._offer_if_due()
         now = self._context.now
-        if self._exchange_due is not None and now < self._exchange_due:
+        if self._exchange_due_at is not None and now < self._exchange_due_at:
             return
         interval_s = EXCHANGE_INTERVAL_S if self._in_force.generation else OFFER_INTERVAL_S
-        self._exchange_due = now + interval_s * (1.0 + _JITTER * self._context.random.random())
-        self._offer_to_some(1 if self._in_force.generation else OFFERS)
+        self._exchange_due_at = now + interval_s * (1.0 + _JITTER * self._context.random.random())
+        self._offer_to_some(1 if self._in_force.generation else OFFERS_PER_ROUND)
--- a/sloepond/core/configuration/assembly.py
+++ b/sloepond/core/configuration/assembly.py
@@ -15,7 +15,7 @@
 
 
 class TransferHeader(msgspec.Struct, frozen=True):
-    """What all parts of one transfer have in common."""
+    """Fields that all parts of one transfer share."""
 
     generation: int
     digest: str
@@ -29,14 +29,14 @@
 
 
 def is_well_formed(part: ConfigurationPart) -> bool:
-    """Return whether the numbers and the size of a part are possible."""
+    """Return whether the numbers and the size of a part are within their limits."""
     if not 0 < part.parts <= MAXIMUM_PARTS or not 0 <= part.part < part.parts:
         return False
     return part.generation > part.base_generation >= 0 and len(part.data) <= MAXIMUM_PART_BYTES
 
 
 class PartAssembly:
-    """Parts received so far of one transfer; the total size is bounded."""
+    """Parts of one transfer received so far; the total size is bounded."""
 
     def __init__(self, header: TransferHeader) -> None:
         self.header = header
@@ -65,5 +65,5 @@
         return True
 
     def data(self) -> bytes:
-        """Return the whole; only when complete."""
+        """Return the reassembled bytes; only when complete."""
         return b"".join(self._parts[index] for index in range(self.header.parts))
--- a/sloepond/core/configuration/delta.py
+++ b/sloepond/core/configuration/delta.py
@@ -1,6 +1,6 @@
 """Differences between generations, and a bounded history of them.
 
-Owns the deltas of the last generations.  Relies on resources sorted by key.
+Owns the deltas of the latest generations.  Relies on resources sorted by key.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from sloepond.resources.slices import BLOCK_ITEMS, Slices, blocks, run_to_completion
 
 HISTORY_RESOURCES = 10_000
-"""Resources kept in all deltas of the history together."""
+"""Maximum number of resources in all deltas of the history together."""
 COMPARED_PER_UNIT = 16
-"""Equal resources compared for about the cost of compiling one."""
+"""Equal resources that can be compared at about the cost of compiling one."""
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True, array_like=True):
-    """What leads from one set of resources to another.
+    """Difference between two sets of resources.
 
-    :ivar changed: resources that are new or differ; at most one of a key.
-    :ivar removed: keys of resources that are gone.
+    :ivar changed: resources that are new or differ; at most one of each key.
+    :ivar removed: keys of removed resources.
     """
 
     changed: tuple[Resource, ...]
@@ -37,7 +37,7 @@
 
 
 def difference(before: Sequence[Resource], after: Sequence[Resource]) -> ConfigurationDelta:
-    """Return what leads from `before` to `after`, both sorted by key, each key once.
+    """Return the delta from `before` to `after`, both sorted by key, each key once.
 
     :raises ValueError: if `after` is not sorted.
     """
@@ -54,17 +54,17 @@
     comparison = _Comparison(before)
     for start in range(0, len(after), BLOCK_ITEMS):
         block = tuple(after[start : start + BLOCK_ITEMS])
-        if comparison.skips(block):
+        if comparison.skip_equal(block):
             yield len(block) // COMPARED_PER_UNIT
             continue
-        if not comparison.takes(block):
+        if not comparison.compare(block):
             return None
         yield len(block)
     return (yield from comparison.result())
 
 
 class _Comparison:
-    """Compares a sorted sequence with another one that comes block by block."""
+    """Compares a sorted sequence with another one that is passed block by block."""
 
     def __init__(self, before: Sequence[Resource]) -> None:
         self._before = before
@@ -73,10 +73,10 @@
         self._changed: list[Resource] = []
         self._removed: list[ResourceKey] = []
 
-    def skips(self, block: tuple[Resource, ...]) -> bool:
-        """Pass over a block that is the same in both; return whether it is.
+    def skip_equal(self, block: tuple[Resource, ...]) -> bool:
+        """Skip a block that is equal in both sequences; return whether it is.
 
-        Such a block is in order: what comes next in `before` follows the last key.
+        Such a block is in order, since `before` is sorted and its next resource follows the last key.
         """
         if self._before[self._position : self._position + len(block)] != block:
             return False
@@ -87,41 +87,41 @@
     def _follows(self, key: ResourceKey) -> bool:
         return self._last_key is None or self._last_key < key
 
-    def takes(self, block: tuple[Resource, ...]) -> bool:
-        """Compare a block one by one; return False if it is not in order."""
+    def compare(self, block: tuple[Resource, ...]) -> bool:
+        """Compare a block resource by resource; return False if it is not in order."""
         for resource in block:
             key = resource_key(resource)
             if not self._follows(key):
                 return False
             self._last_key = key
-            self._take(resource, key)
+            self._compare_resource(resource, key)
         return True
 
-    def _take(self, resource: Resource, key: ResourceKey) -> None:
-        present = self._present()
-        while present is not None and resource_key(present) < key:
-            self._removed.append(resource_key(present))
+    def _compare_resource(self, resource: Resource, key: ResourceKey) -> None:
+        current = self._current()
+        while current is not None and resource_key(current) < key:
+            self._removed.append(resource_key(current))
             self._position += 1
-            present = self._present()
-        is_known = present is not None and resource_key(present) == key
-        if not is_known or present != resource:
+            current = self._current()
+        is_known = current is not None and resource_key(current) == key
+        if not is_known or current != resource:
             self._changed.append(resource)
         if is_known:
             self._position += 1
 
-    def _present(self) -> Resource | None:
+    def _current(self) -> Resource | None:
         return self._before[self._position] if self._position < len(self._before) else None
 
     def result(self) -> Slices[ConfigurationDelta]:
-        """Return the difference, after the last block."""
+        """Return the delta, after the last block."""
         for block in blocks(self._before[self._position :]):
             self._removed.extend(map(resource_key, block))
             yield len(block)
         return ConfigurationDelta(tuple(self._changed), tuple(self._removed))
 
 
-def composed(deltas: Iterable[ConfigurationDelta]) -> ConfigurationDelta:
-    """Return one delta with the effect of several, one after the other."""
+def compose(deltas: Iterable[ConfigurationDelta]) -> ConfigurationDelta:
+    """Return one delta with the effect of several deltas applied in order."""
     changed: dict[ResourceKey, Resource] = {}
     removed: dict[ResourceKey, None] = {}
     for delta in deltas:
@@ -138,24 +138,24 @@
 class DeltaHistory:
     """The latest deltas, each leading from one generation in force to the next.
 
-    :param length: deltas kept.
+    :param length: maximum number of deltas.
     """
 
     def __init__(self, length: int) -> None:
         self._entries: deque[_Entry] = deque(maxlen=max(length, 1))
 
     def add(self, base_generation: int, generation: int, delta: ConfigurationDelta) -> None:
-        """Add the delta that led to the generation now in force."""
+        """Add the delta from the previous generation to the one now in force."""
         self._entries.append(_Entry(base_generation, generation, delta))
         while self._entries and sum(entry.delta.size for entry in self._entries) > HISTORY_RESOURCES:
             self._entries.popleft()
 
     def since(self, generation: int) -> ConfigurationDelta | None:
-        """Return what leads from `generation` to the present one; None if not known."""
+        """Return the delta from `generation` to the one in force; None if it is not in the history."""
         entries = list(self._entries)
         for position, entry in enumerate(entries):
             if entry.base_generation == generation:
-                return composed(later.delta for later in entries[position:])
+                return compose(later.delta for later in entries[position:])
         return None
 
 
--- a/sloepond/core/configuration/encoding.py
+++ b/sloepond/core/configuration/encoding.py
@@ -1,9 +1,8 @@
-"""Deltas as bytes, cut into parts that fit a datagram.
+"""Encoding of deltas, and division of the bytes into parts that fit a datagram.
 
-A delta is encoded as blocks of a few hundred resources.  Each block is a length
-of 4 bytes, most significant first, and that many bytes of a compressed delta;
-the effect is that of all blocks together.  So a snapshot of any size is encoded
-and decoded in slices.
+A delta is encoded as blocks of a few hundred resources.  Each block is a length of 4 bytes in big-endian
+order, followed by that many bytes of a compressed delta; the encoded delta is the union of all blocks.  So a
+snapshot of any size can be encoded and decoded in slices.
 """
 
 from __future__ import annotations
@@ -19,11 +18,11 @@
 from sloepond.resources.slices import Slices, blocks, run_to_completion
 
 MAXIMUM_ENCODED_BYTES = 16_000_000
-"""Largest encoded delta or snapshot that is taken, in bytes."""
+"""Maximum size of an encoded delta or snapshot that is accepted, in bytes."""
 MAXIMUM_DECODED_BYTES = 64_000_000
-"""Largest delta or snapshot after decompression, in bytes."""
+"""Maximum size of a delta or snapshot after decompression, in bytes."""
 DECODED_PER_UNIT = 2
-"""Resources decoded for about the cost of compiling one."""
+"""Resources that can be decoded at about the cost of compiling one."""
 _LENGTH_BYTES = 4
 _COMPRESSION_LEVEL = 6
 
@@ -40,7 +39,7 @@
     """Do the work of `encode_delta` in slices."""
     encoded = bytearray()
     for block in _blocks_of(delta):
-        encoded += framed(zlib.compress(_ENCODER.encode(block), _COMPRESSION_LEVEL))
+        encoded += frame_block(zlib.compress(_ENCODER.encode(block), _COMPRESSION_LEVEL))
         yield block.size
     return bytes(encoded)
 
@@ -54,13 +53,13 @@
         yield ConfigurationDelta((), tuple(removed))
 
 
-def framed(data: bytes) -> bytes:
-    """Return the compressed bytes of a block with their length."""
+def frame_block(data: bytes) -> bytes:
+    """Return the compressed bytes of a block, preceded by their length."""
     return len(data).to_bytes(_LENGTH_BYTES, "big") + data
 
 
 def decode_delta(data: bytes) -> ConfigurationDelta | None:
-    """Return the delta, or None if the bytes are malformed or too many."""
+    """Return the delta, or None if the bytes are malformed or exceed a limit."""
     return run_to_completion(decode_slices(data))
 
 
@@ -69,15 +68,15 @@
     changed: list[Resource] = []
     removed: list[ResourceKey] = []
     position = 0
-    left = MAXIMUM_DECODED_BYTES
+    remaining_bytes = MAXIMUM_DECODED_BYTES
     while position < len(data):
         start = position + _LENGTH_BYTES
         position = start + int.from_bytes(data[position:start], "big")
-        decoded = _decompressed(data[start:position], left) if position <= len(data) else None
+        decoded = _decompressed(data[start:position], remaining_bytes) if position <= len(data) else None
         block = _decoded(decoded) if decoded is not None else None
         if decoded is None or block is None:
             return None
-        left -= len(decoded)
+        remaining_bytes -= len(decoded)
         changed.extend(block.changed)
         removed.extend(block.removed)
         yield block.size // DECODED_PER_UNIT
@@ -109,5 +108,5 @@
 
 
 def part_of(data: bytes, part_bytes: int, part: int) -> bytes:
-    """Return part `part`, counted from 0."""
+    """Return the bytes of part `part`, counted from 0."""
     return data[part * part_bytes : (part + 1) * part_bytes]
--- a/sloepond/core/configuration/fetcher.py
+++ b/sloepond/core/configuration/fetcher.py
@@ -1,7 +1,7 @@
 """Fetches a newer generation from a balancer that has it in force.
 
-Owns the one fetch under way and the balancers known to have more.  Relies on
-`ConfigurationStore` to judge what it has fetched.
+Owns the one fetch in progress and the balancers known to have a newer generation.  Relies on
+`ConfigurationStore` to check fetched generations.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from sloepond.core.settings import ConfigurationSettings
 
 TIMEOUT_JITTER = 0.25
-"""Share by which timeouts vary, so that balancers do not ask in step."""
-FRUITLESS_REQUESTS = 2
-"""Requests without any new part after which another source is asked."""
+"""Share by which timeouts are lengthened at random, so that balancers do not send at the same time."""
+MAXIMUM_REQUESTS_WITHOUT_PARTS = 2
+"""Requests in a row without any new part after which another source is tried."""
 
 
 class FetchedTransfer(msgspec.Struct, frozen=True):
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    """A fetch under way from one source.
+    """A fetch in progress from one source.
 
-    :ivar have_generation: generation the delta is asked for.
-    :ivar window_end: first part after those asked for.
+    :ivar have_generation: base generation of the requested delta, 0 for a snapshot.
+    :ivar window_end: index of the first part after the requested ones.
     """
 
     source: Source
@@ -50,11 +50,11 @@
     deadline: float = NEVER
     assembly: PartAssembly | None = None
     window_end: int = WINDOW_PARTS
-    fruitless: int = 0
+    requests_without_parts: int = 0
 
 
 class ConfigurationFetcher:
-    """Asks one source at a time; another one if it does not answer.
+    """Requests parts from one source at a time, and from another one if it does not answer.
 
     :param in_force: returns the generation in force.
     """
@@ -66,11 +66,11 @@
         self._timeout_s = settings.request_timeout_s
         self._in_force = in_force
         self._attempt: _Attempt | None = None
-        self._snapshot_wanted = False
+        self._needs_snapshot = False
         self.sources = Sources()
 
     def source_announced(self, source: Source) -> None:
-        """Note a balancer with a newer generation and fetch it."""
+        """Record a balancer with a newer generation, and fetch it if no fetch is in progress."""
         self.sources.note(source)
         if self._attempt is None:
             self._start()
@@ -80,7 +80,7 @@
         if source is None:
             self._attempt = None
             return
-        have = 0 if self._snapshot_wanted else self._in_force()
+        have = 0 if self._needs_snapshot else self._in_force()
         self._attempt = _Attempt(source, have)
         self._request(self._attempt)
 
@@ -95,54 +95,53 @@
         self._context.send_to_peer(attempt.source.address, message)
 
     def part_received(self, address: str, part: ConfigurationPart) -> FetchedTransfer | None:
-        """Take a part; return the whole transfer once it is complete."""
+        """Add a part to the transfer; return the transfer once it is complete."""
         attempt = self._attempt
         if not is_well_formed(part):
             self._context.counters.input_malformed += 1
             return None
-        if attempt is None or address != attempt.source.address or not self._is_wanted(attempt, part):
+        if attempt is None or address != attempt.source.address or not self._is_expected(attempt, part):
             return None
         assembly = self._assembly_for(attempt, header_of(part))
         if assembly is None or not assembly.add(part):
             return None
-        attempt.fruitless = 0
+        attempt.requests_without_parts = 0
         if assembly.is_complete:
             return FetchedTransfer(address, assembly.header, assembly.data())
         if assembly.first_missing >= attempt.window_end:
             self._request(attempt)
         return None
 
-    def _is_wanted(self, attempt: _Attempt, part: ConfigurationPart) -> bool:
+    def _is_expected(self, attempt: _Attempt, part: ConfigurationPart) -> bool:
         if part.generation <= self._in_force():
             return False
         return part.base_generation in (0, attempt.have_generation)
 
     def _assembly_for(self, attempt: _Attempt, header: TransferHeader) -> PartAssembly | None:
-        """Return the assembly of a transfer; an older one under way gives way to it."""
-        present = attempt.assembly
-        if present is not None and present.header == header:
-            return present
-        if present is not None and header.generation <= present.header.generation:
+        """Return the assembly of a transfer; a newer transfer replaces an older one in progress."""
+        current = attempt.assembly
+        if current is not None and current.header == header:
+            return current
+        if current is not None and header.generation <= current.header.generation:
             return None
         attempt.assembly = PartAssembly(header)
         return attempt.assembly
 
     def generation_changed(self) -> None:
-        """Drop what is under way and fetch what is newer than the generation in force."""
-        self._snapshot_wanted = False
+        """Drop the fetch in progress, and fetch a generation newer than the one in force if there is one."""
+        self._needs_snapshot = False
         self.sources.drop_up_to(self._in_force())
         self._start()
 
     def transfer_failed(self, transfer: FetchedTransfer) -> None:
-        """Ask again after a transfer that did not lead to the promised digest.
+        """Fetch again after a transfer that did not lead to the announced digest.
 
-        A delta may fail because this balancer holds other content under the base
-        generation; then the whole snapshot is asked for.  A snapshot that fails
-        means another source.
+        A delta may fail because this balancer holds other content under the base generation; then the whole
+        snapshot is requested.  After a failed snapshot another source is tried.
         """
         if transfer.header.base_generation == 0:
             self.sources.drop(transfer.address)
-        self._snapshot_wanted = True
+        self._needs_snapshot = True
         self._start()
 
     def version_rejected(self, generation: int, digest: str) -> None:
@@ -154,16 +153,16 @@
         self._start()
 
     def next_deadline(self) -> float:
-        """Return when the present request times out."""
+        """Return when the request in progress times out."""
         return self._attempt.deadline if self._attempt else NEVER
 
     def on_timer(self) -> None:
-        """Repeat a request that timed out, or ask another source."""
+        """Repeat a request that timed out, or try another source."""
         attempt = self._attempt
         if attempt is None or self._context.now < attempt.deadline:
             return
-        attempt.fruitless += 1
-        if attempt.fruitless <= FRUITLESS_REQUESTS:
+        attempt.requests_without_parts += 1
+        if attempt.requests_without_parts <= MAXIMUM_REQUESTS_WITHOUT_PARTS:
             self._request(attempt)
             return
         self.sources.drop(attempt.source.address)
--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -1,8 +1,8 @@
-"""Judges whether a generation may be put in force, in slices.
+"""Checks whether a generation may be put in force, in slices.
 
-A generation is taken as a change of the present one: it is compared or decoded,
-hashed, checked as a whole and compiled.  Nothing is changed on the way; the
-result is a configuration that may be put in force, or the reason why not.
+A generation is handled as a change of the one in force: it is compared or decoded, hashed, validated as a
+whole and compiled.  Nothing is changed meanwhile; the result is a configuration that may be put in force, or
+the reason why it may not.
 
 Holds no state.  Relies on `validation` for the rules and on `resources.compiled` for the result.
 """
@@ -25,28 +25,28 @@
 from sloepond.resources.slices import Slices, blocks
 
 REPORTED_FINDINGS = 3
-"""Findings named in the report of a rejected generation."""
+"""Maximum number of findings in the report of a rejected generation."""
 DIGEST_MISMATCH = "the digest does not match the resources"
 
 
 class Outcome(enum.Enum):
-    """What was found about a generation."""
+    """Outcome of the check of a generation."""
 
     ACCEPTED = enum.auto()
     REJECTED = enum.auto()
-    """The content under the promised digest is not valid."""
+    """The content matches its digest, but is not valid."""
     MISMATCH = enum.auto()
-    """The content is not what the digest promised."""
+    """The content does not match the announced digest."""
     MALFORMED = enum.auto()
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """The result of judging a generation.
+class CheckResult(msgspec.Struct, frozen=True):
+    """Result of the check of a generation.
 
     :ivar reason: why it is not accepted, as one line of text.
-    :ivar digest: digest of the content found; empty where there is none.
-    :ivar configuration: set where it is accepted.
-    :ivar delta: what led from the base to it, where it is accepted.
+    :ivar digest: digest of the actual content; empty if there is none.
+    :ivar configuration: the compiled configuration if accepted, else None.
+    :ivar delta: delta from the base if accepted, else None.
     """
 
     outcome: Outcome
@@ -56,34 +56,34 @@
     delta: ConfigurationDelta | None = None
 
 
-def judge_snapshot(base: CompiledConfiguration, snapshot: ConfigurationSnapshot) -> Slices[Verdict]:
-    """Judge a snapshot read from the platform, whose resources may be in any order."""
+def check_snapshot(base: CompiledConfiguration, snapshot: ConfigurationSnapshot) -> Slices[CheckResult]:
+    """Check a snapshot read from the platform, whose resources may be in any order."""
     delta = yield from _difference(base, snapshot.resources)
     if delta is None:
-        reason = f"declared more than once: {', '.join(_repeated(snapshot.resources))}"
-        return Verdict(Outcome.REJECTED, reason, snapshot.digest)
-    return (yield from _judge(base, snapshot.generation, snapshot.digest, delta))
+        reason = f"declared more than once: {', '.join(_duplicates(snapshot.resources))}"
+        return CheckResult(Outcome.REJECTED, reason, snapshot.digest)
+    return (yield from _check(base, snapshot.generation, snapshot.digest, delta))
 
 
-def judge_transfer(base: CompiledConfiguration, transfer: FetchedTransfer) -> Slices[Verdict]:
-    """Judge a transfer from another balancer: a delta from the base, or a snapshot."""
+def check_transfer(base: CompiledConfiguration, transfer: FetchedTransfer) -> Slices[CheckResult]:
+    """Check a transfer from another balancer: a delta from the base, or a snapshot."""
     header = transfer.header
     delta = yield from decode_slices(transfer.data)
     if delta is None:
-        return Verdict(Outcome.MALFORMED, "cannot be decoded")
+        return CheckResult(Outcome.MALFORMED, "cannot be decoded")
     if header.base_generation == 0:
         delta = yield from _difference(base, delta.changed)
     elif header.base_generation != base.generation or not _has_unique_keys(delta):
         delta = None
     if delta is None:
-        return Verdict(Outcome.MISMATCH, "does not apply to the generation in force")
-    return (yield from _judge(base, header.generation, header.digest, delta))
+        return CheckResult(Outcome.MISMATCH, "does not apply to the generation in force")
+    return (yield from _check(base, header.generation, header.digest, delta))
 
 
 def _difference(
     base: CompiledConfiguration, resources: Sequence[Resource]
 ) -> Slices[ConfigurationDelta | None]:
-    """Return what leads from the base to resources in any order; None if one is repeated."""
+    """Return the delta from the base to resources in any order; None if a resource occurs twice."""
     before = base.content.resources
     delta = yield from difference_slices(before, resources)
     if delta is None:
@@ -93,7 +93,7 @@
 
 
 def _sorted(resources: Sequence[Resource]) -> Slices[list[Resource]]:
-    """Sort by kind first, then the names of each kind, which are compared faster than keys."""
+    """Sort by kind, then by name within each kind, which is faster than sorting by key."""
     by_kind: dict[str, list[Resource]] = {}
     for block in blocks(resources):
         for resource in block:
@@ -111,15 +111,15 @@
     return resource.metadata.name
 
 
-def _repeated(resources: Sequence[Resource]) -> list[str]:
-    """Return the first resources that occur again, as `kind/name`."""
+def _duplicates(resources: Sequence[Resource]) -> list[str]:
+    """Return the first resources that occur more than once, as `kind/name`."""
     seen: set[ResourceKey] = set()
-    repeated: list[str] = []
+    duplicates: list[str] = []
     for key in map(resource_key, resources):
         if key in seen:
-            repeated.append(f"{key.kind}/{key.name[:100]!r}")
+            duplicates.append(f"{key.kind}/{key.name[:100]!r}")
         seen.add(key)
-    return repeated[:REPORTED_FINDINGS]
+    return duplicates[:REPORTED_FINDINGS]
 
 
 def _has_unique_keys(delta: ConfigurationDelta) -> bool:
@@ -127,16 +127,16 @@
     return len(keys) == delta.size
 
 
-def _judge(
+def _check(
     base: CompiledConfiguration, generation: int, digest: str, delta: ConfigurationDelta
-) -> Slices[Verdict]:
+) -> Slices[CheckResult]:
     yield from intern_values_slices(delta.changed)
     content = yield from updated_content_slices(base.content, generation, delta.changed, delta.removed)
     if content.digest != digest:
-        return Verdict(Outcome.MISMATCH, DIGEST_MISMATCH, content.digest)
+        return CheckResult(Outcome.MISMATCH, DIGEST_MISMATCH, content.digest)
     findings = yield from findings_after_slices(base, delta, content.resources)
     if findings:
         shown = "; ".join(str(finding) for finding in findings[:REPORTED_FINDINGS])
-        return Verdict(Outcome.REJECTED, f"{len(findings)} findings: {shown}", digest)
+        return CheckResult(Outcome.REJECTED, f"{len(findings)} findings: {shown}", digest)
     compiled = yield from base.updated_to_slices(content, delta.changed, delta.removed)
-    return Verdict(Outcome.ACCEPTED, "", digest, compiled, delta)
+    return CheckResult(Outcome.ACCEPTED, "", digest, compiled, delta)
--- a/sloepond/core/configuration/read_schedule.py
+++ b/sloepond/core/configuration/read_schedule.py
@@ -1,7 +1,6 @@
-"""When this balancer reads the platform's configuration.
+"""Schedules this balancer's reads of the platform's configuration.
 
-Owns the time of the last read.  Relies on `ConfigurationStore` to call `on_timer` and to take
-what the read gave.
+Owns the time of the last read.  Relies on `ConfigurationStore` to call `on_timer` and to handle the answers.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 from sloepond.core.settings import ConfigurationSettings
 
 _JITTER = 0.2
-"""Share by which the time to the next read is shortened at random, so that balancers which
-start together do not read together; not measured."""
+"""Share by which the time to the next read is shortened at random, so that balancers that start at the same
+time do not read at the same time."""
 _CHECKS_PER_INTERVAL = 2.0
-"""Checks in one read interval; not measured."""
+"""Checks per read interval whether a read is due."""
 
 
 class ReadSchedule:
-    """Asks for a read of the platform's configuration once in each interval."""
+    """Requests a read of the platform's configuration once per interval."""
 
     def __init__(self, context: NodeContext, settings: ConfigurationSettings) -> None:
         self._context = context
@@ -28,11 +27,11 @@
         self._next_check: float | None = None
 
     def next_deadline(self) -> float:
-        """Return when to check next whether a read is due; at once at first."""
+        """Return when to check next whether a read is due; immediately at first."""
         return self._context.now if self._next_check is None else self._next_check
 
     def on_timer(self, known_generation: int) -> None:
-        """Ask for a read if one is due.
+        """Request a read if one is due.
 
         :param known_generation: highest generation read or in force here.
         """
--- a/sloepond/core/configuration/rejections.py
+++ b/sloepond/core/configuration/rejections.py
@@ -1,6 +1,6 @@
-"""Versions of the configuration that were rejected, each reported once.
+"""Rejected versions of the configuration, each reported once.
 
-Owns which versions were rejected, a bounded number of them.
+Owns a bounded list of rejected versions.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from sloepond.core.configuration.sources import DIGEST_PREFIX
 from sloepond.core.context import NodeContext
 
-REMEMBERED = 64
-"""Rejected versions remembered."""
+MAXIMUM_REMEMBERED = 64
+"""Maximum number of rejected versions remembered."""
 
 
 class Rejections:
-    """Remembers rejected versions, so that each is reported and fetched once."""
+    """Remembers rejected versions, so that each is reported and fetched only once."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -30,12 +30,12 @@
         return (generation, digest[:DIGEST_PREFIX]) in self._known
 
     def add(self, generation: int, digest: str, reason: str) -> None:
-        """Remember a rejected version; count and report it the first time."""
+        """Remember a rejected version; count and report it only the first time."""
         version = (generation, digest[:DIGEST_PREFIX])
         if version in self._known:
             return
         self._known[version] = None
-        if len(self._known) > REMEMBERED:
+        if len(self._known) > MAXIMUM_REMEMBERED:
             self._known.popitem(last=False)
         self._context.counters.configuration_rejected += 1
         self._context.record_transition(
--- a/sloepond/core/configuration/sender.py
+++ b/sloepond/core/configuration/sender.py
@@ -1,6 +1,6 @@
-"""Sends deltas and snapshots to balancers that ask for them.
+"""Sends deltas and snapshots to balancers that request them.
 
-Owns encoded transfers, those who wait for one and the rate limit of all.  Relies on
+Owns encoded transfers, the balancers that wait for one, and the rate limit of all sends.  Relies on
 `ConfigurationStore` for the generation in force.
 """
 
@@ -20,12 +20,12 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 WINDOW_PARTS = 32
-"""Parts sent for one request; the receiver asks again for the next ones."""
+"""Parts sent for one request; the receiver requests the next ones."""
 CACHED_TRANSFERS = 4
-"""Encoded transfers kept, so that one under way can end though a newer
-generation is in force."""
-MAXIMUM_WAITING = 16
-"""Balancers that may wait for one transfer to be encoded; others ask again."""
+"""Encoded transfers kept, so that a transfer in progress can be completed after a newer generation has come
+into force."""
+MAXIMUM_WAITING_PEERS = 16
+"""Maximum number of balancers that wait for a transfer to be encoded; others must repeat their request."""
 
 
 class Transfer(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
 class ConfigurationSender:
     """Answers requests from the generation in force, at a bounded rate.
 
-    A whole snapshot is encoded in slices; those who ask for it meanwhile wait.
+    A whole snapshot is encoded in slices; balancers that request it meanwhile wait.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
             settings.bytes_per_second, max(settings.bytes_per_second, WINDOW_PARTS * settings.part_bytes)
         )
 
-    def generation_applied(self, former: int, present: int, delta: ConfigurationDelta) -> None:
-        """Remember the delta that led to the generation now in force."""
-        self._history.add(former, present, delta)
+    def generation_applied(self, previous: int, current: int, delta: ConfigurationDelta) -> None:
+        """Add the delta from the previous generation to the history."""
+        self._history.add(previous, current, delta)
 
     def request_received(
         self, address: str, request: ConfigurationRequested, in_force: CompiledConfiguration
     ) -> None:
-        """Send the parts asked for, as far as the rate limit allows."""
+        """Send the requested parts, as far as the rate limit allows."""
         if in_force.generation <= request.have_generation or request.part < 0:
             return
         if in_force.generation < request.want_generation:
@@ -74,7 +74,7 @@
         transfer = self._transfer_for(request, in_force)
         if transfer is not None:
             self._send_window(address, request, transfer)
-        elif len(self._waiting) < MAXIMUM_WAITING:
+        elif len(self._waiting) < MAXIMUM_WAITING_PEERS:
             self._waiting[address] = request
 
     def _send_window(self, address: str, request: ConfigurationRequested, transfer: Transfer) -> None:
@@ -88,7 +88,7 @@
     def _transfer_for(
         self, request: ConfigurationRequested, in_force: CompiledConfiguration
     ) -> Transfer | None:
-        """Return what answers a request; None while it is being encoded."""
+        """Return the transfer that answers a request; None while it is being encoded."""
         for base in (request.have_generation, 0):
             started = self._transfers.get((base, request.want_generation))
             if started is not None and request.part > 0:
@@ -99,17 +99,17 @@
         if cached is not None:
             return cached
         if delta is None:
-            return self._encoded_whole(in_force)
+            return self._start_snapshot(in_force)
         return self._remember(Transfer(in_force.generation, in_force.digest, base, encode_delta(delta)))
 
-    def _encoded_whole(self, in_force: CompiledConfiguration) -> Transfer | None:
-        """Begin to encode the generation in force; return it if it is small."""
+    def _start_snapshot(self, in_force: CompiledConfiguration) -> Transfer | None:
+        """Start to encode the generation in force; return the transfer if it is complete after one slice."""
         if not self._encoding.is_busy:
-            whole = ConfigurationDelta(tuple(in_force.content.resources), ())
-            self._encoding.start(encode_slices(whole), lambda data: self._whole_ready(in_force, data))
+            snapshot = ConfigurationDelta(tuple(in_force.content.resources), ())
+            self._encoding.start(encode_slices(snapshot), lambda data: self._snapshot_encoded(in_force, data))
         return self._transfers.get((0, in_force.generation))
 
-    def _whole_ready(self, in_force: CompiledConfiguration, data: bytes) -> None:
+    def _snapshot_encoded(self, in_force: CompiledConfiguration, data: bytes) -> None:
         transfer = self._remember(Transfer(in_force.generation, in_force.digest, 0, data))
         waiting = self._waiting
         self._waiting = {}
@@ -118,11 +118,11 @@
                 self._send_window(address, request, transfer)
 
     def next_deadline(self) -> float:
-        """Return when the encoding under way is to go on."""
+        """Return when the next slice of the encoding is due."""
         return self._encoding.next_deadline()
 
     def on_timer(self) -> None:
-        """Go on with the encoding under way."""
+        """Continue the encoding in progress."""
         self._encoding.on_timer()
 
     def _remember(self, transfer: Transfer) -> Transfer:
--- a/sloepond/core/configuration/sliced_work.py
+++ b/sloepond/core/configuration/sliced_work.py
@@ -1,9 +1,8 @@
-"""Runs long work a slice at a time, with pauses in which others may go on.
+"""Runs long work in slices, with pauses in which other events are handled.
 
-A balancer that is busy for long with one call forwards no packets meanwhile.  Short work
-ends within the call that starts it.
+A balancer forwards no packets during a long call.  Short work ends within the call that starts it.
 
-Owns the piece of work under way.  Relies on `ConfigurationStore` to call `on_timer`.
+Owns the work in progress.  Relies on `ConfigurationStore` to call `on_timer`.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 Result = TypeVar("Result")
 
 SLICE_UNITS = 6_000
-"""Units of work (see `resources.slices`) done in one call; some 20 to 40 ms."""
+"""Units of work (see `resources.slices`) done in one call; about 20 to 40 ms."""
 PAUSE_S = 0.01
-"""Time between two slices."""
+"""Time between two slices, seconds."""
 
 
 class SlicedWork(Generic[Result]):
@@ -37,17 +36,17 @@
 
     @property
     def is_busy(self) -> bool:
-        """Return whether work is under way."""
+        """Return whether work is in progress."""
         return self._work is not None
 
     def start(self, work: Slices[Result], done: Callable[[Result], None]) -> None:
-        """Begin work while none is under way, and do its first slice.
+        """Start work and do its first slice; no other work may be in progress.
 
-        :param done: called with the result, after which other work may be started.
-        :raises RuntimeError: if other work is under way.
+        :param done: called with the result; it may start other work.
+        :raises RuntimeError: if other work is in progress.
         """
         if self._work is not None:
-            raise RuntimeError("other work is under way")
+            raise RuntimeError("other work is in progress")
         self._work = work
         self._done = done
         self._run_slice(work, done)
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -1,12 +1,11 @@
 """The configuration in force on one balancer.
 
-A generation is put in force if it is higher than the present one, valid as a
-whole and matches its digest.  A lower one never replaces it, wherever it comes
-from.  Two contents under one generation are a fault of the platform: the first
-one stays and the other is reported.
+A generation is put in force if it is higher than the one in force, valid as a whole, and matches its digest.
+A lower one never replaces a higher one, whatever its source.  Two contents under one generation are a fault
+of the platform: the first one stays in force and the other is reported.
 
-Owns the generation in force and the one that is judged.  Relies on the other modules of
-this package, each for one job, and on the node for time and messages.
+Owns the generation in force and the candidate that is being checked.  Relies on the other modules of this
+package, each for one task, and on the node for time and messages.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 from sloepond.core.configuration.announcer import ConfigurationAnnouncer
 from sloepond.core.configuration.delta import ConfigurationDelta
 from sloepond.core.configuration.fetcher import ConfigurationFetcher, FetchedTransfer
-from sloepond.core.configuration.judgement import Outcome, Verdict, judge_snapshot, judge_transfer
+from sloepond.core.configuration.judgement import CheckResult, Outcome, check_snapshot, check_transfer
 from sloepond.core.configuration.read_schedule import ReadSchedule
 from sloepond.core.configuration.rejections import Rejections
 from sloepond.core.configuration.sender import ConfigurationSender
@@ -41,11 +40,11 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A generation that is judged, as a change of the one in force.
+    """A generation that is being checked, as a change of the one in force.
 
-    :ivar base: what was in force when the judgement began.
-    :ivar digest: digest promised by whoever it came from.
-    :ivar transfer: what a balancer sent, None for the platform.
+    :ivar base: configuration in force when the check began.
+    :ivar digest: digest announced by the source.
+    :ivar transfer: transfer from a balancer, None for the platform.
     """
 
     base: CompiledConfiguration
@@ -60,12 +59,12 @@
 
 
 class ConfigurationStore:
-    """Reads, checks, keeps and spreads the configuration.
+    """Reads, checks, keeps and distributes the configuration.
 
-    One generation is judged at a time; a large one takes many calls of `on_timer`.
+    One generation is checked at a time; a large one takes many calls of `on_timer`.
 
-    :ivar in_force: what is in force; generation 0 at first.
-    :param slice_units: work done in one call (see `resources.slices`).
+    :ivar in_force: configuration in force; generation 0 at first.
+    :param slice_units: units of work done in one call (see `resources.slices`).
     """
 
     def __init__(
@@ -77,9 +76,9 @@
         self._context = context
         self.in_force: CompiledConfiguration = EMPTY_CONFIGURATION
         self._service_up = True
-        self._work: SlicedWork[Verdict] = SlicedWork(context, slice_units)
+        self._work: SlicedWork[CheckResult] = SlicedWork(context, slice_units)
         self._candidate: Candidate | None = None
-        self._waiting: ConfigurationSnapshot | None = None
+        self._pending_snapshot: ConfigurationSnapshot | None = None
         self._rejections = Rejections(context)
         self._hold = StartupHold(context, settings.startup_wait_s)
         self._schedule = ReadSchedule(context, settings)
@@ -93,27 +92,27 @@
         return self.in_force.generation > 0
 
     def machine_list_received(self, members: tuple[Member, ...]) -> None:
-        """Take the platform's list of machines; a hint that may lag."""
+        """Store the platform's list of machines, which may be out of date."""
         self._announcer.machine_list_received(members)
 
     def snapshot_read(self, snapshot: ConfigurationSnapshot) -> None:
-        """Take what the platform's service answered; may be old."""
+        """Handle a snapshot from the platform's service, which may be stale."""
         self._hold.start()
         self._context.counters.configuration_reads += 1
         self._note_service(is_up=True, detail="answers")
         if self.is_ready:
-            self._judge_snapshot(snapshot)
+            self._check_snapshot(snapshot)
             return
         self._hold.hold(snapshot)
-        self._judge_held()
+        self._check_held()
 
     def read_unchanged(self) -> None:
-        """Note that the platform's service answered that nothing is new."""
+        """Record that the platform's service answered that there is no newer generation."""
         self._context.counters.configuration_reads += 1
         self._note_service(is_up=True, detail="answers")
 
     def read_failed(self, reason: str) -> None:
-        """Note that the platform's service is down or its answer is invalid."""
+        """Record that the platform's service is down or its answer is invalid."""
         self._context.counters.configuration_read_failures += 1
         self._note_service(is_up=False, detail=reason)
 
@@ -126,72 +125,72 @@
             kind = TransitionKind.CONFIGURATION_SERVICE_UP
         self._context.record_transition(kind, "configuration service", detail)
 
-    def _judge_held(self) -> None:
-        snapshot = self._hold.take_released()
+    def _check_held(self) -> None:
+        snapshot = self._hold.release_snapshot()
         if snapshot is not None:
-            self._judge_snapshot(snapshot)
+            self._check_snapshot(snapshot)
 
-    def _judge_snapshot(self, snapshot: ConfigurationSnapshot) -> None:
-        """Judge a snapshot now, or after what is judged at present; the newest one waits."""
+    def _check_snapshot(self, snapshot: ConfigurationSnapshot) -> None:
+        """Check a snapshot now, or after the check in progress; only the newest one waits."""
         if not self._is_newer(snapshot.generation, snapshot.digest):
             return
         if not self._work.is_busy:
             candidate = Candidate(self.in_force, snapshot.generation, snapshot.digest, None)
-            self._judge(candidate, judge_snapshot(self.in_force, snapshot))
-        elif self._waiting is None or snapshot.generation > self._waiting.generation:
-            self._waiting = snapshot
+            self._start_check(candidate, check_snapshot(self.in_force, snapshot))
+        elif self._pending_snapshot is None or snapshot.generation > self._pending_snapshot.generation:
+            self._pending_snapshot = snapshot
 
     def _is_newer(self, generation: int, digest: str) -> bool:
-        """Return whether a version is to be considered; report a conflict."""
-        present = self.in_force
-        if generation < present.generation:
+        """Return whether a version is a candidate; report conflicting content."""
+        current = self.in_force
+        if generation < current.generation:
             self._context.counters.configuration_older_ignored += 1
             return False
-        if generation == present.generation:
-            if digest[:DIGEST_PREFIX] != present.digest[:DIGEST_PREFIX]:
+        if generation == current.generation:
+            if digest[:DIGEST_PREFIX] != current.digest[:DIGEST_PREFIX]:
                 self._rejections.add(generation, digest, CONTENT_CONFLICT)
             return False
         return not self._rejections.includes(generation, digest)
 
-    def _judge(self, candidate: Candidate, work: Slices[Verdict]) -> None:
+    def _start_check(self, candidate: Candidate, work: Slices[CheckResult]) -> None:
         self._candidate = candidate
-        self._work.start(work, lambda verdict: self._judged(candidate, verdict))
+        self._work.start(work, lambda result: self._check_finished(candidate, result))
 
-    def _judged(self, candidate: Candidate, verdict: Verdict) -> None:
+    def _check_finished(self, candidate: Candidate, result: CheckResult) -> None:
         self._candidate = None
-        is_right = self._act_on(candidate, verdict)
-        if not is_right and candidate.transfer is not None:
+        is_consistent = self._apply_result(candidate, result)
+        if not is_consistent and candidate.transfer is not None:
             self._fetcher.transfer_failed(candidate.transfer)
-        waiting = self._waiting
-        self._waiting = None
-        if waiting is not None:
-            self._judge_snapshot(waiting)
+        pending = self._pending_snapshot
+        self._pending_snapshot = None
+        if pending is not None:
+            self._check_snapshot(pending)
 
-    def _act_on(self, candidate: Candidate, verdict: Verdict) -> bool:
-        """Put an accepted candidate in force, or report why it is not.
+    def _apply_result(self, candidate: Candidate, result: CheckResult) -> bool:
+        """Put an accepted candidate in force, or report why it was rejected.
 
-        :returns: whether it was what it promised.
+        :returns: whether the content matched its announcement.
         """
-        if verdict.outcome is Outcome.MALFORMED:
+        if result.outcome is Outcome.MALFORMED:
             self._context.counters.input_malformed += 1
             return False
         if self.in_force is not candidate.base:
             return False
-        if verdict.outcome is Outcome.MISMATCH:
+        if result.outcome is Outcome.MISMATCH:
             if candidate.transfer is None:
-                self._rejections.add(candidate.generation, verdict.digest, verdict.reason)
+                self._rejections.add(candidate.generation, result.digest, result.reason)
             return False
-        if verdict.configuration is not None and verdict.delta is not None:
-            self._put_in_force(candidate, verdict.configuration, verdict.delta)
+        if result.configuration is not None and result.delta is not None:
+            self._put_in_force(candidate, result.configuration, result.delta)
         else:
-            self._rejections.add(candidate.generation, candidate.digest, verdict.reason)
+            self._rejections.add(candidate.generation, candidate.digest, result.reason)
             self._fetcher.version_rejected(candidate.generation, candidate.digest[:DIGEST_PREFIX])
         return True
 
     def _put_in_force(
         self, candidate: Candidate, configuration: CompiledConfiguration, delta: ConfigurationDelta
     ) -> None:
-        former = self.in_force
+        previous = self.in_force
         self.in_force = configuration
         self._context.counters.configuration_changes += 1
         source = candidate.source_address or "the platform"
@@ -200,12 +199,12 @@
             f"generation {configuration.generation}",
             f"digest {configuration.digest[:DIGEST_PREFIX]}, from {source}",
         )
-        self._sender.generation_applied(former.generation, configuration.generation, delta)
+        self._sender.generation_applied(previous.generation, configuration.generation, delta)
         self._announcer.generation_applied(configuration)
         self._fetcher.generation_changed()
 
     def generation_announced(self, address: str, generation: int, digest: str) -> None:
-        """Take what a peer said it has in force.
+        """Handle a peer's announcement of the generation it has in force.
 
         :param address: peer address `ip:port`.
         :param digest: first 8 hexadecimal digits of the digest.
@@ -216,21 +215,21 @@
         if not self._is_newer(generation, digest):
             return
         if not self.is_ready:
-            self._hold.peer_heard(generation)
-            self._judge_held()
+            self._hold.peer_announced(generation)
+            self._check_held()
         if generation > self.in_force.generation:
             source = Source(address, generation, digest[:DIGEST_PREFIX], self._context.now)
             self._source_heard(source)
 
     def _source_heard(self, source: Source) -> None:
-        """Fetch what a peer has, but not while something is judged; it may be the same."""
+        """Fetch a peer's generation, but not during a check: it may be the same generation."""
         if self._work.is_busy:
             self._fetcher.sources.note(source)
         else:
             self._fetcher.source_announced(source)
 
     def handle(self, sender_address: str, message: PeerMessage) -> None:
-        """Take a message about the configuration from another balancer."""
+        """Handle a message about the configuration from another balancer."""
         if isinstance(message, ConfigurationRequested):
             self._sender.request_received(sender_address, message, self.in_force)
         elif isinstance(message, ConfigurationPart):
@@ -252,10 +251,10 @@
             self._fetcher.transfer_failed(transfer)
             return
         candidate = Candidate(self.in_force, header.generation, header.digest, transfer)
-        self._judge(candidate, judge_transfer(self.in_force, transfer))
+        self._start_check(candidate, check_transfer(self.in_force, transfer))
 
     def next_deadline(self) -> float:
-        """Return when `on_timer` is to be called next."""
+        """Return when to call `on_timer` next."""
         fetcher_deadline = NEVER if self._work.is_busy else self._fetcher.next_deadline()
         return min(
             self._work.next_deadline(),
@@ -267,10 +266,10 @@
         )
 
     def on_timer(self) -> None:
-        """Do what is due: reads, requests, offers, and a slice of work under way."""
+        """Do what is due: reads, requests, offers, and a slice of the work in progress."""
         self._hold.start()
         self._schedule.on_timer(self._known_generation())
-        self._judge_held()
+        self._check_held()
         self._work.on_timer()
         if not self._work.is_busy:
             self._fetcher.on_timer()
@@ -278,6 +277,6 @@
         self._announcer.on_timer()
 
     def _known_generation(self) -> int:
-        """Return the highest generation read, judged or in force here."""
-        known = (self._hold.held, self._waiting, self._candidate)
+        """Return the highest generation that is held, waiting, being checked or in force here."""
+        known = (self._hold.held, self._pending_snapshot, self._candidate)
         return max([self.in_force.generation, *(item.generation for item in known if item is not None)])
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -1,9 +1,8 @@
-"""Checks a generation as a whole before it may be put in force.
+"""Validates a generation as a whole before it may be put in force.
 
-`validate_snapshot` reports all faults of a set, at some 70 microseconds a
-resource.  Here the back ends in which it cannot find anything are told apart
-first, at a few microseconds each; it is asked about all the others, together
-with one back end of each service that shows that the service is reachable.
+`validate_snapshot` reports all faults of a set, at about 70 microseconds per resource.  This module first
+finds the back ends that cannot have a finding, at a few microseconds each.  `validate_snapshot` then checks
+only the other resources, together with one back end of each service that shows that the service is reachable.
 
 Holds no state.  Relies on `resources.validation` for the findings themselves.
 """
@@ -35,21 +34,21 @@
 from sloepond.resources.validation import validate_snapshot
 
 MAXIMUM_REPORTED = 20
-"""Back ends looked at closely for one kind of fault."""
+"""Maximum number of back ends checked in full for one kind of fault."""
 SCANNED_PER_UNIT = 2
-"""Back ends checked against the others for about the cost of compiling one."""
+"""Back ends that can be checked against the others at about the cost of compiling one."""
 _BACKEND_KIND = Kind.BACKEND.value
 
 
 def findings_after(
     base: CompiledConfiguration, delta: ConfigurationDelta, resources: Sequence[Resource]
 ) -> tuple[Finding, ...]:
-    """Return what is wrong with the resources that a delta leads to.
+    """Return the findings in the resources after a delta.
 
-    There is a finding if and only if a check of all resources has one; of many
-    faults of one kind only the first ones are reported.
+    There is a finding if and only if a check of all resources has one; of many faults of one kind only the
+    first ones are reported.
 
-    :param base: configuration the delta applies to, valid as a whole.
+    :param base: configuration that the delta applies to, valid as a whole.
     :param resources: all resources after the change, sorted by key, each once.
     """
     return run_to_completion(findings_after_slices(base, delta, resources))
@@ -60,33 +59,33 @@
 ) -> Slices[tuple[Finding, ...]]:
     """Do the work of `findings_after` in slices."""
     is_small = base.generation > 0 and changes_only_backends(delta.changed, delta.removed)
-    if is_small and (yield from _BackendChange(base, delta).is_right()):
+    if is_small and (yield from _BackendChange(base, delta).is_valid()):
         return ()
     others = without_backends(resources)
     yield len(others)
     if base.generation > 0 and _only_known_services(base, delta):
-        names = yield from _suspects_of_services(base, delta)
+        names = yield from _names_to_check_by_service(base, delta)
     else:
         scan = _Scan(others)
-        yield from scan.check_alone(delta.changed)
+        yield from scan.check_individually(delta.changed)
         yield from scan.check_together(resources[: len(resources) - len(others)])
-        names = scan.suspects()
+        names = scan.names_to_check()
     found = (find_resource(resources, ResourceKey(_BACKEND_KIND, name)) for name in sorted(names))
     return validate_snapshot((*(resource for resource in found if resource is not None), *others))
 
 
 def _only_known_services(base: CompiledConfiguration, delta: ConfigurationDelta) -> bool:
-    """Return whether a change concerns nothing but services that were there before."""
+    """Return whether a delta changes only services that already exist."""
     if delta.removed or not all(isinstance(resource, Service) for resource in delta.changed):
         return False
     return all(resource.metadata.name in base.services_by_name for resource in delta.changed)
 
 
-def _suspects_of_services(base: CompiledConfiguration, delta: ConfigurationDelta) -> Slices[set[str]]:
-    """Return the back ends to check in full after a change of services alone.
+def _names_to_check_by_service(base: CompiledConfiguration, delta: ConfigurationDelta) -> Slices[set[str]]:
+    """Return the names of the back ends to check in full after a change of services only.
 
-    These are the ones that hold an address of a changed service, and one of each
-    service that shows whether it is reachable.
+    These are the back ends with the address of a changed service, and one back end of each service that
+    shows whether it is reachable.
     """
     specs = {item.metadata.name: item.spec for item in delta.changed if isinstance(item, Service)}
     holders = (base.backends_by_address.get(spec.address) for spec in specs.values())
@@ -98,14 +97,14 @@
         witnesses = _ServiceWitnesses()
         for block in blocks(service.backends):
             for backend in block:
-                witnesses.note(specs[service.name], backend)
+                witnesses.consider(specs[service.name], backend)
             yield len(block) // SCANNED_PER_UNIT
         names.update(witnesses.names())
     return names
 
 
 class _BackendChange:
-    """A change of back ends alone, checked against the indexes of a valid base."""
+    """A change of back ends only, checked against the indexes of a valid base."""
 
     def __init__(self, base: CompiledConfiguration, delta: ConfigurationDelta) -> None:
         self._base = base
@@ -113,8 +112,8 @@
         self._replaced = {backend.metadata.name for backend in self._changed}
         self._replaced.update(key.name for key in delta.removed)
 
-    def is_right(self) -> Slices[bool]:
-        """Return whether the set after the change is valid as a whole."""
+    def is_valid(self) -> Slices[bool]:
+        """Return whether all resources after the change are valid as a whole."""
         addresses: set[str] = set()
         for block in blocks(self._changed):
             if not all(self._fits(backend) for backend in block):
@@ -135,7 +134,7 @@
         )
 
     def _all_reachable(self) -> bool:
-        """Return whether each service that lost a back end still has one that takes flows."""
+        """Return whether each service that lost a back end still has one that accepts flows."""
         former = (self._base.backends_by_name.get(name) for name in self._replaced)
         owners = {backend.service for backend in former if backend is not None}
         return all(self._is_reachable(owner) for owner in owners)
@@ -147,46 +146,46 @@
         locations = self._base.locations
         return any(
             backend.spec.service == name
-            and _takes_flows(service.spec, backend.spec, locations[backend.spec.hall])
+            and _accepts_flows(service.spec, backend.spec, locations[backend.spec.hall])
             for backend in self._changed
         )
 
 
 class _ServiceWitnesses(msgspec.Struct):
-    """Back ends of one service that decide whether it is reachable.
+    """Names of back ends of one service that show whether it is reachable.
 
-    :ivar taking: one that takes new flows; empty if there is none.
-    :ivar permitted: one in a permitted place.
-    :ivar any: one at all.
+    :ivar accepting: a back end that accepts new flows; empty if there is none.
+    :ivar permitted: a back end in a permitted place; empty if there is none.
+    :ivar any: any back end; empty if there is none.
     """
 
-    taking: str = ""
+    accepting: str = ""
     permitted: str = ""
     any: str = ""
 
-    def note(self, service: ServiceSpec, backend: CompiledBackend) -> None:
-        """Look at another back end, unless one that takes new flows was found."""
-        if not self.taking:
-            self.note_at(service, backend.location, backend.name, backend.state, backend.weight)
+    def consider(self, service: ServiceSpec, backend: CompiledBackend) -> None:
+        """Consider another back end, unless one that accepts new flows was found."""
+        if not self.accepting:
+            self.consider_at(service, backend.location, backend.name, backend.state, backend.weight)
 
-    def note_at(
+    def consider_at(
         self, service: ServiceSpec, location: Location, name: str, state: BackendState, weight: int
     ) -> None:
-        """Look at a back end of the service at a location."""
+        """Consider a back end of the service at a location."""
         self.any = name
         if not is_place_permitted(service, location):
             return
         self.permitted = name
         if state is BackendState.ACTIVE and weight > 0:
-            self.taking = name
+            self.accepting = name
 
     def names(self) -> set[str]:
-        """Return the one back end that shows best whether the service is reachable."""
-        return {self.taking or self.permitted or self.any} - {""}
+        """Return the name of the back end that best shows whether the service is reachable, if any."""
+        return {self.accepting or self.permitted or self.any} - {""}
 
 
 class _Scan:
-    """Looks at every back end; finds those that the full check is to be asked about.
+    """Scans all back ends for those that must be checked in full.
 
     :param others: all resources of other kinds.
     """
@@ -197,16 +196,16 @@
         self._locations: Mapping[str, Location] = resolve_locations(tuple(others))
         self._addresses = {service.spec.address: "" for service in services}
         self._witnesses = {service.metadata.name: _ServiceWitnesses() for service in services}
-        self._wrong: list[str] = []
+        self._invalid: list[str] = []
         self._dangling: list[str] = []
-        self._sharing: list[str] = []
+        self._conflicting: list[str] = []
 
-    def check_alone(self, resources: Iterable[Resource]) -> Slices[None]:
-        """Check the back ends among some resources by themselves."""
+    def check_individually(self, resources: Iterable[Resource]) -> Slices[None]:
+        """Check each back end among some resources by itself."""
         for block in blocks(resources):
             for resource in block:
                 if isinstance(resource, Backend) and not has_valid_fields(resource):
-                    self._wrong.append(resource.metadata.name)
+                    self._invalid.append(resource.metadata.name)
             yield len(block)
 
     def check_together(self, backends: Iterable[Resource]) -> Slices[None]:
@@ -225,22 +224,22 @@
             self._dangling.append(name)
             return
         witnesses = self._witnesses[backend.service]
-        if not witnesses.taking:
-            witnesses.note_at(service, location, name, backend.state, backend.weight)
+        if not witnesses.accepting:
+            witnesses.consider_at(service, location, name, backend.state, backend.weight)
 
     def _check_address(self, name: str, address: str) -> None:
         holder = self._addresses.setdefault(address, name)
         if holder != name:
-            self._sharing.extend((holder, name) if len(self._sharing) < MAXIMUM_REPORTED else ())
+            self._conflicting.extend((holder, name) if len(self._conflicting) < MAXIMUM_REPORTED else ())
 
-    def suspects(self) -> set[str]:
-        """Return the names of back ends to check in full; no other has a finding of its own kind."""
-        names = {*self._wrong[:MAXIMUM_REPORTED], *self._dangling[:MAXIMUM_REPORTED], *self._sharing}
+    def names_to_check(self) -> set[str]:
+        """Return the names of back ends to check in full; no other back end has a fault of its own."""
+        names = {*self._invalid[:MAXIMUM_REPORTED], *self._dangling[:MAXIMUM_REPORTED], *self._conflicting}
         for item in self._witnesses.values():
             names.update(item.names())
         return names - {""}
 
 
-def _takes_flows(service: ServiceSpec, backend: BackendSpec, location: Location) -> bool:
-    takes_any = backend.state is BackendState.ACTIVE and backend.weight > 0
-    return takes_any and is_place_permitted(service, location)
+def _accepts_flows(service: ServiceSpec, backend: BackendSpec, location: Location) -> bool:
+    accepts_any = backend.state is BackendState.ACTIVE and backend.weight > 0
+    return accepts_any and is_place_permitted(service, location)
