--- a/features/steps/configuration_network.py
+++ b/features/steps/configuration_network.py
@@ -1,4 +1,4 @@
-"""Configuration stores on a simulated clock and network, with a stand-in service."""
+"""Configuration stores on a simulated clock and network, with a stand-in for the platform's service."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def content(generation, count=6):
-    """Return the resources of a generation; each differs from the one before."""
+    """Return the resources of a generation; each generation differs from the one before it."""
     declared = resources(count)
     changed = generation % count
     declared[-1 - changed] = backend(count - 1 - changed, weight=100 + generation)
@@ -36,20 +36,20 @@
 
 
 class Process:
-    """One store; `generations` holds what it had in force, with the time."""
+    """One store; `generations` holds the generations it had in force, with the times."""
 
     def __init__(self, member, seed, slice_units=SLICE_UNITS):
         self.context = context_of(member, random.Random(seed))
         self.store = ConfigurationStore(self.context, ConfigurationSettings(), slice_units)
         self.generations = []
         self.transitions = []
-        self.asked = []
+        self.requested_from = []
         self.bytes_sent = 0
         self.may_read = True
 
 
 class Network:
-    """Carries messages between the stores; loses a share of them."""
+    """Delivers messages between the stores; a share of them is lost."""
 
     def __init__(self, seed=1, count=6, slice_units=SLICE_UNITS):
         self.random = random.Random(seed)
@@ -60,7 +60,7 @@
         self.generation = 0
         self.reads = 0
         self.processes = {}
-        self.flight = []
+        self.in_flight = []
 
     def add_all(self, names):
         """Start a store of each name; all are in the platform's list of machines."""
@@ -76,13 +76,13 @@
         return process
 
     def settle(self, generation):
-        """Let all stores take a generation from the service."""
+        """Let all stores put a generation of the service in force."""
         self.generation = generation
         self.run(3.0)
         self.reads = 0
-        self.forget_bytes()
+        self.reset_byte_counts()
 
-    def forget_bytes(self):
+    def reset_byte_counts(self):
         for process in self.processes.values():
             process.bytes_sent = 0
 
@@ -92,25 +92,25 @@
             self.now += STEP_S
             self._deliver()
             for address in list(self.processes):
-                self._wake(address)
+                self._fire_timer(address)
 
     def _deliver(self):
-        due = [item for item in self.flight if item[0] <= self.now]
-        self.flight = [item for item in self.flight if item[0] > self.now]
+        due = [item for item in self.in_flight if item[0] <= self.now]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now]
         for _, address, action in due:
             if address in self.processes:
                 self.act(address, action)
 
-    def _wake(self, address):
+    def _fire_timer(self, address):
         if self.processes[address].store.next_deadline() <= self.now:
             self.act(address, lambda store: store.on_timer())
 
     def _send(self, address, action, delay=LATENCY_S):
         if self.random.random() >= self.loss:
-            self.flight.append((self.now + delay, address, action))
+            self.in_flight.append((self.now + delay, address, action))
 
     def act(self, address, action):
-        """Let a store act and carry out its commands."""
+        """Call a store and carry out its commands."""
         process = self.processes[address]
         process.context.now = self.now
         action(process.store)
@@ -124,11 +124,11 @@
         if isinstance(command, SendToPeer):
             process.bytes_sent += len(encode_message(command.message)) + DATAGRAM_BYTES
             if isinstance(command.message, ConfigurationRequested):
-                process.asked.append(command.address)
+                process.requested_from.append(command.address)
             self._send(command.address, received(address, command.message))
         elif isinstance(command, ReadConfiguration):
             self.reads += 1
-            self.flight.append((self.now + READ_S, address, self._read(process)))
+            self.in_flight.append((self.now + READ_S, address, self._read(process)))
         elif isinstance(command, RecordTransition):
             process.transitions.append(command)
 
--- a/features/steps/configuration_resources.py
+++ b/features/steps/configuration_resources.py
@@ -1,4 +1,4 @@
-"""Resources for steps on configuration."""
+"""Builders of resources for steps on the configuration."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def resources(count, **changes):
-    """Return a valid set in which the back ends alternate between the services."""
+    """Return a valid set whose back ends alternate between the services."""
     backends = [backend(number, SERVICES[number % 2], **changes) for number in range(count)]
     return [*places(), *(service(name) for name in SERVICES), *backends]
 
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the configuration store: what is in force, and how it spreads."""
+"""Steps on the configuration store: the generation in force, and its distribution."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 INDEXES = ("backends_by_name", "backends_by_address", "services_by_name", "services_by_address")
 ADDRESSES = ("10.0.0.3:8000", "10.0.0.4:8000", "10.255.0.1:7000")
-"""Addresses that other resources of the sets use as well."""
+"""Addresses that other resources of the sets use too."""
 
 
 def only(context):
@@ -87,7 +87,7 @@
 
 
 def changed_places():
-    """Halls that move to another zone, which may be missing."""
+    """Return a strategy for halls that move to another zone, which may be missing."""
     halls = st.builds(hall, st.sampled_from(HALLS), st.sampled_from(("zone-a", "zone-b")))
     return st.just(Zone(API_VERSION, Metadata("zone-b"), ZoneSpec("accra"))) | halls
 
@@ -98,7 +98,7 @@
 
 @st.composite
 def resource_sets(draw):
-    """A valid set after a few changes, each of which may bring a fault."""
+    """Draw a valid set after a few changes, each of which may introduce a fault."""
     declared = {resource_key(item): item for item in resources(draw(st.integers(4, 6)))}
     for item in draw(
         st.lists(st.one_of(changed_backends(), changed_services(), changed_places()), max_size=4)
@@ -110,7 +110,7 @@
 
 
 def compilable(declared):
-    """Leave out back ends whose hall has no location, and all but one of each address."""
+    """Return the resources without back ends whose hall has no location, and with one per address."""
     locations = resolve_locations(tuple(declared))
     backends = {item.spec.address: item for item in declared if isinstance(item, Backend)}
     placed = [item for item in backends.values() if item.spec.hall in locations]
@@ -132,7 +132,7 @@
 
 
 def assert_shared(base, updated, delta):
-    """Back ends that a change leaves equal stay the same objects, unless all is compiled anew."""
+    """Check that unchanged back ends stay the same objects, unless everything is compiled again."""
     declared = sum(isinstance(item, Backend) for item in base.content.resources)
     is_indexed = declared == len(base.backends_by_name)
     if not is_indexed and not changes_only_backends(delta.changed, delta.removed):
@@ -159,7 +159,7 @@
     check()
 
 
-@then("for any sets of resources the composed configuration delta leads from the first to the last")
+@then("for any sets of resources the composed configuration deltas lead from the first to the last")
 def step_composed(context):
     @PROPERTY
     @for_all(st.lists(resource_sets().map(compilable), min_size=2, max_size=5))
@@ -175,7 +175,7 @@
     check()
 
 
-@then("for any valid set and any change the limited and typed configuration checks agree with the whole one")
+@then("for any valid set and any change the limited and typed configuration checks agree with the full one")
 def step_limited_check(context):
     outcomes = Counter()
 
@@ -184,13 +184,13 @@
     def check(count, after):
         base = CompiledConfiguration(make_snapshot(1, resources(count)))
         changed = make_snapshot(2, after).resources
-        whole = validate_snapshot(changed)
+        full = validate_snapshot(changed)
         for start in (base, EMPTY_CONFIGURATION):
             delta = difference(start.content.resources, changed)
             found = findings_after(start, delta, changed)
-            assert bool(found) == bool(whole), (found, whole)
-            assert places(found) <= places(whole), (found, whole)
-        outcomes[bool(whole)] += 1
+            assert bool(found) == bool(full), (found, full)
+            assert places(found) <= places(full), (found, full)
+        outcomes[bool(full)] += 1
 
     check()
     assert min(outcomes[True], outcomes[False]) > 10, outcomes
@@ -198,7 +198,7 @@
 
 
 def assert_last_back_end_needed():
-    """A change that leaves a service without any back end to take flows has a finding."""
+    """Check that a change that leaves a service without a back end that accepts flows has a finding."""
     declared = resources(4)
     base = CompiledConfiguration(make_snapshot(1, declared))
     owned = [item for item in declared if isinstance(item, Backend) and item.spec.service == SERVICES[0]]
@@ -218,7 +218,7 @@
     return {(finding.resource, finding.field) for finding in findings}
 
 
-@then("for any bytes the configuration decoder returns a delta or nothing and never fails")
+@then("for any bytes the configuration decoder returns a delta or None and never raises")
 def step_any_bytes(context):
     valid = encode_delta(difference((), snapshot(1).resources))
 
@@ -233,7 +233,7 @@
     assert decode_delta(valid[:-1]) is None
 
 
-@then("the configuration decoder refuses bytes that decompress to more than its limit")
+@then("the configuration decoder rejects bytes that decompress to more than its limit")
 def step_bomb(context):
     bomb = frame_block(zlib.compress(b"\0" * (MAXIMUM_DECODED_BYTES + 1)))
     large = frame_block(zlib.compress(msgspec.msgpack.encode(with_label(MAXIMUM_DECODED_BYTES // 2))))
@@ -248,7 +248,7 @@
     return ConfigurationDelta((msgspec.structs.replace(item, metadata=metadata),), ())
 
 
-@then("for any reads, losses, repeats and orders no configuration store reverts and all end equal")
+@then("for any reads, losses, repeats and orders no configuration store reverts and all become equal")
 def step_never_reverts(context):
     actions = st.one_of(
         st.tuples(st.just("read"), st.integers(0, 2), st.integers(1, 6)),
@@ -283,11 +283,11 @@
         network.act(address, lambda store: store.snapshot_read(snapshot(argument)))
     elif kind == "run":
         network.run(number * 0.1)
-    elif network.flight:
-        index = number % len(network.flight)
-        _, address, action = network.flight[index]
+    elif network.in_flight:
+        index = number % len(network.in_flight)
+        _, address, action = network.in_flight[index]
         if kind == "lose" or not argument:
-            del network.flight[index]
+            del network.in_flight[index]
         if kind == "deliver":
             network.act(address, action)
 
@@ -308,24 +308,24 @@
     only(context).may_read = False
 
 
-@then("no step of judging or encoding a configuration of {count:d} back ends is longer than a block")
+@then("no step of checking or encoding a configuration of {count:d} back ends is longer than a block")
 def step_short_steps(context, count):
-    whole = make_snapshot(2, resources(count))
-    delta = ConfigurationDelta(whole.resources, ())
+    full = make_snapshot(2, resources(count))
+    delta = ConfigurationDelta(full.resources, ())
     zone = Zone(API_VERSION, Metadata("zone-b"), ZoneSpec("accra"))
     kept = [item for item in resources(count) if not isinstance(item, Hall)]
     moved = make_snapshot(3, [*kept, zone, *(hall(name, "zone-b") for name in HALLS)])
-    header = TransferHeader(2, whole.digest, 0, 1)
+    header = TransferHeader(2, full.digest, 0, 1)
     works = (
-        check_snapshot(EMPTY_CONFIGURATION, whole),
-        check_snapshot(CompiledConfiguration(whole), moved),
+        check_snapshot(EMPTY_CONFIGURATION, full),
+        check_snapshot(CompiledConfiguration(full), moved),
         check_transfer(EMPTY_CONFIGURATION, FetchedTransfer("", header, encode_delta(delta))),
         encode_slices(delta),
     )
     for units in map(list, works):
         assert len(units) > count / BLOCK_ITEMS, units
         assert max(units) <= BLOCK_ITEMS, units
-    taken = run_to_completion(check_snapshot(CompiledConfiguration(whole), moved)).configuration
+    taken = run_to_completion(check_snapshot(CompiledConfiguration(full), moved)).configuration
     assert_equal(taken, CompiledConfiguration(moved))
 
 
@@ -341,10 +341,10 @@
 def step_read_at_once(context, generations):
     for generation in generations.split(", "):
         act(context, lambda store, number=int(generation): store.snapshot_read(snapshot(number)))
-    assert only(context).store.in_force.generation == 1, "the first was judged within one call"
+    assert only(context).store.in_force.generation == 1, "the first was checked within one call"
 
 
-@when("a newer generation comes to the configuration store while it judges generation {generation:d}")
+@when("the configuration store receives a newer generation while it checks generation {generation:d}")
 def step_part_while_busy(context, generation):
     newer = snapshot(9)
     data = encode_delta(ConfigurationDelta(newer.resources, ()))
@@ -437,22 +437,22 @@
         act(context, lambda store: store.snapshot_read(context.other))
 
 
-@when("the configuration store hears of generation {generation:d} with that other content")
-def step_hear_other(context, generation):
+@when("a peer announces generation {generation:d} with that other content to the configuration store")
+def step_other_content_announced(context, generation):
     digest = context.other.digest[:8]
     act(context, lambda store: store.generation_announced("10.1.0.9:1", generation, digest))
 
 
-@when("the configuration store hears of generation {generation:d} from a silent balancer")
-def step_hear_silent(context, generation):
+@when("a silent balancer announces generation {generation:d} to the configuration store")
+def step_silent_announces(context, generation):
     for address in list(context.network.processes):
         context.network.act(address, offered("10.1.0.9:1", CompiledConfiguration(snapshot(generation))))
 
 
-@when("the configuration store hears of generation {generation:d} for {seconds:d} seconds")
-def step_hear_for(context, generation, seconds):
+@when("a silent balancer announces generation {generation:d} to the store for {seconds:d} seconds")
+def step_silent_announces_for(context, generation, seconds):
     for _ in range(seconds):
-        step_hear_silent(context, generation)
+        step_silent_announces(context, generation)
         context.network.run(1.0)
 
 
@@ -472,7 +472,7 @@
         act(context, lambda store: store.read_unchanged())
 
 
-@when("malformed configuration parts come to the configuration store")
+@when("the configuration store receives malformed configuration parts")
 def step_malformed(context):
     good = ConfigurationPart(9, "00", 0, 0, 1, b"")
     changes = ({"part": 1}, {"part": -1}, {"parts": 2**40}, {"base_generation": 9}, {})
@@ -481,18 +481,18 @@
         act(context, received("10.1.0.9:1", part))
 
 
-@when("the configuration service goes back to generation {generation:d}")
-@when("the configuration service goes on to generation {generation:d}")
+@when("the configuration service reverts to generation {generation:d}")
+@when("the configuration service publishes generation {generation:d}")
 def step_service_generation(context, generation):
     context.network.generation = generation
 
 
-@when("a configuration store starts anew")
+@when("a new configuration store starts")
 def step_starts(context):
     context.new = context.network.add(Member("new", 1, "10.1.0.99:1", HALL))
 
 
-@when("a configuration store starts anew that cannot read the service")
+@when("a new configuration store starts that cannot read the service")
 def step_starts_cut_off(context):
     step_starts(context)
     context.new.may_read = False
@@ -523,8 +523,8 @@
     context.network.act(first, lambda store: store.snapshot_read(snapshot(generation)))
 
 
-@when("the configuration store is asked for generation {generation:d}")
-def step_asked(context, generation):
+@when("a peer requests generation {generation:d} from the configuration store")
+def step_requested(context, generation):
     act(context, received("10.1.0.9:1", ConfigurationRequested(0, generation, 0)))
 
 
@@ -538,13 +538,13 @@
     next(iter(context.network.processes.values())).may_read = False
 
 
-@when("the source that the new configuration store asks stops")
+@when("the source from which the new configuration store fetches stops")
 def step_source_stops(context):
     assert context.new.store.in_force.generation == 0, "the transfer was over before the source stopped"
-    del context.network.processes[context.new.asked[-1]]
+    del context.network.processes[context.new.requested_from[-1]]
 
 
-@when("the configuration service goes on to a new generation each 4 seconds, {times:d} times")
+@when("the configuration service publishes a new generation every 4 seconds, {times:d} times")
 def step_generations(context, times):
     context.read_at = {}
     for _ in range(times):
@@ -566,11 +566,11 @@
 def step_or_later_in_time(context, seconds):
     for process in context.network.processes.values():
         for generation, changed_at in context.read_at.items():
-            taken_at = next(at for taken, at in process.generations if taken >= generation)
-            assert taken_at - changed_at <= seconds, process.generations
+            in_force_at = next(at for taken, at in process.generations if taken >= generation)
+            assert in_force_at - changed_at <= seconds, process.generations
 
 
-@then("no configuration store sent more than {limit:d} bytes a second")
+@then("no configuration store sent more than {limit:d} bytes per second")
 def step_bytes(context, limit):
     rates = [process.bytes_sent / context.elapsed for process in context.network.processes.values()]
     assert 0 < max(rates) <= limit, max(rates)
