--- a/sloepond/core/caller_packets.py
+++ b/sloepond/core/caller_packets.py
@@ -1,6 +1,6 @@
-"""Packets between callers, balancers and back ends, one made from the other.
+"""Conversion between packets of callers and packets of back ends.
 
-Holds no state; relies on the types of `core.packets` alone.
+Holds no state; relies only on the types of `core.packets`.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def refusal_of(packet: CallerPacket) -> CallerReply:
-    """Return what a caller is told whose packet goes nowhere."""
+    """Return the refusal for a caller's packet that cannot be forwarded."""
     return CallerReply(
         kind=CallerReplyKind.REFUSED,
         flow=packet.flow,
--- a/sloepond/core/commands.py
+++ b/sloepond/core/commands.py
@@ -1,6 +1,6 @@
-"""Commands returned by the node: what is to be done outside.
+"""Commands returned by the node: actions for its runtime.
 
-The node decides; whoever runs it (daemon or lab) carries commands out, in order.
+The node only decides; its runtime (daemon or lab) carries out the commands in order.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class ReadConfiguration(msgspec.Struct, frozen=True):
-    """Read the platform's configuration, unless it is `known_generation` still."""
+    """Read the platform's configuration, unless its generation is still `known_generation`."""
 
     known_generation: int
 
@@ -44,7 +44,7 @@
 
 
 class TransitionKind(enum.StrEnum):
-    """Changes of state worth a log line."""
+    """Changes of state that are logged."""
 
     CONFIGURATION_IN_FORCE = "configuration-in-force"
     CONFIGURATION_REJECTED = "configuration-rejected"
@@ -56,8 +56,8 @@
 class RecordTransition(msgspec.Struct, frozen=True):
     """Write one log line for a change of state.
 
-    :ivar subject: what changed (a member, back end or this balancer).
-    :ivar detail: short text of the new state and why.
+    :ivar subject: item that changed (a generation, a service or this balancer).
+    :ivar detail: short text with the new state and the reason.
     """
 
     kind: TransitionKind
--- a/sloepond/core/context.py
+++ b/sloepond/core/context.py
@@ -1,8 +1,7 @@
-"""What the components of one node share: identity, time, randomness, output.
+"""State that the components of one node share: identity, time, random source, commands.
 
-The node sets `now` before each event.  Components append commands to
-`commands`; nothing in the core reads a clock, a socket or a global random
-source, so the same core runs on sockets and on a simulated clock.
+The node sets `now` before each event.  Components append commands to `commands`; nothing in the core reads a
+clock, a socket or a global random source, so the same core runs on sockets and on a simulated clock.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
         self.counters = Counters()
 
     def emit(self, command: Command) -> None:
-        """Append a command to the output of the current event."""
+        """Append a command to those of the current event."""
         self.commands.append(command)
 
     def send_to_peer(self, address: str, message: PeerMessage) -> None:
@@ -42,7 +41,7 @@
         self.commands.append(SendToPeer(address, message))
 
     def record_transition(self, kind: TransitionKind, subject: str, detail: str) -> None:
-        """Ask for one log line about a change of state."""
+        """Append a command to write one log line about a change of state."""
         self.commands.append(RecordTransition(kind, subject, detail))
 
     def drain_commands(self) -> list[Command]:
--- a/sloepond/core/counters.py
+++ b/sloepond/core/counters.py
@@ -1,6 +1,6 @@
 """Counters of one node; plain integers, read by metrics, status and the lab.
 
-Owns the names: the operators' API exports each.  Relies on the node and the daemon to count.
+Owns the names, which the operators' API exports.  Relies on the node and the daemon to count.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Everything the node counts.  Each field only ever grows.
+    """Counts since the start of the process; they never decrease.
 
     The operators' API exports each field as `sloepond_<field>_total`.
     """
@@ -35,8 +35,8 @@
     commands_stale: int = 0
     machine_list_read_failures: int = 0
 
-    # Nothing counts these: balancers hold no flows and requests, and watch neither back ends nor
-    # each other.  They are exported so that dashboards and alarms that name them find them.
+    # Always 0: balancers store no flows or requests, and monitor neither back ends nor each other here.
+    # Exported so that dashboards and alarms that use these names keep working.
     backend_replies: int = 0
     caller_packets_forwarded: int = 0
     caller_packets_dropped: int = 0
--- a/sloepond/core/deadlines.py
+++ b/sloepond/core/deadlines.py
@@ -1,9 +1,6 @@
-"""Deadlines of components.
-
-Compared with times of the node's clock, in seconds.
-"""
+"""Deadlines of components, as times of the node's clock in seconds."""
 
 from __future__ import annotations
 
 NEVER = float("inf")
-"""Deadline of a component that waits for no time."""
+"""Deadline of a component that has no timer set."""
--- a/sloepond/core/events.py
+++ b/sloepond/core/events.py
@@ -1,6 +1,6 @@
-"""Events taken by the node: what has happened outside, without any I/O.
+"""Events that the node handles.
 
-Whoever runs the node makes events of datagrams, timers and answers of the platform.
+The node's runtime creates events from datagrams, timers and answers of the platform.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class CallerPacketReceived(msgspec.Struct, frozen=True, gc=False):
-    """A caller's packet came from the fabric."""
+    """A caller's packet was received from the fabric."""
 
     packet: CallerPacket
 
 
 class BackendReplyReceived(msgspec.Struct, frozen=True, gc=False):
-    """A packet came from a back end.
+    """A packet was received from a back end.
 
-    :ivar backend_address: `ip:port` it came from.
+    :ivar backend_address: address `ip:port` of the sender.
     """
 
     backend_address: str
@@ -29,11 +29,11 @@
 
 
 class PeerMessageReceived(msgspec.Struct, frozen=True, gc=False):
-    """An authenticated message came from another balancer.
+    """An authenticated message was received from another balancer.
 
     :ivar sender: name of the balancer.
-    :ivar sender_incarnation: its incarnation.
-    :ivar sender_address: `ip:port` it came from.
+    :ivar sender_incarnation: incarnation of the balancer.
+    :ivar sender_address: address `ip:port` of the sender.
     """
 
     sender: str
@@ -43,7 +43,7 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """The time asked for by `Node.next_deadline` has come (or later)."""
+    """The time of `Node.next_deadline` was reached."""
 
 
 class ConfigurationRead(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
 
 
 class ConfigurationReadUnchanged(msgspec.Struct, frozen=True):
-    """The platform's configuration service answered that the known generation is its newest."""
+    """The platform's configuration service answered that it has no newer generation than the known one."""
 
 
 class ConfigurationReadFailed(msgspec.Struct, frozen=True):
@@ -63,13 +63,13 @@
 
 
 class MachineListRead(msgspec.Struct, frozen=True):
-    """The platform's list of live machines was read; a hint that may lag."""
+    """The platform's list of live machines was read; it may be out of date."""
 
     members: tuple[Member, ...]
 
 
 class StopRequested(msgspec.Struct, frozen=True):
-    """The operator asked for a planned stop."""
+    """The operator requested a planned stop."""
 
 
 Event = (
--- a/sloepond/core/messages.py
+++ b/sloepond/core/messages.py
@@ -1,10 +1,10 @@
-"""Messages between balancers, and who sends them.
+"""Messages between balancers, and the type that identifies a balancer.
 
-Every message is a tagged, array-like msgspec struct, so that a datagram carries
-no field names.  `wire.codec` encodes them and `wire.authentication` wraps them.
+Every message is a tagged, array-like msgspec struct, so a datagram carries no field names.  `wire.codec`
+encodes messages and `wire.authentication` wraps them.
 
-Tags below 10 and from 20 on belonged to messages that are no longer sent; a new message takes
-none of them, since a balancer of an earlier version would read it as something else.
+Tags below 10 and from 20 on belonged to messages that are no longer sent.  A new message must not reuse them,
+since a balancer of an earlier version would decode it as another message.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
     """One balancer process.
 
     :ivar name: name from the settings, unique among live balancers.
-    :ivar incarnation: drawn anew at each start, always larger than before
-        (milliseconds of wall time at start).
+    :ivar incarnation: number of this start, larger than at any earlier one
+        (milliseconds of wall time at the start).
     :ivar address: peer address `ip:port`.
     """
 
@@ -30,11 +30,11 @@
 
 
 class ConfigurationRequested(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Asks for what changed since a generation.
+    """Requests the changes since a generation.
 
     :ivar have_generation: generation in force at the sender, 0 for none.
-    :ivar want_generation: generation the sender has heard of.
-    :ivar part: first part still missing.
+    :ivar want_generation: generation that was announced to the sender.
+    :ivar part: index of the first part still missing.
     """
 
     have_generation: int
@@ -57,9 +57,9 @@
 
 
 class ConfigurationOffered(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Tells a balancer which generation is in force at the sender.
+    """Announces which generation is in force at the sender.
 
-    :ivar generation: 0 where none is; the receiver answers with its own.
+    :ivar generation: 0 if none is in force; the receiver answers with its own.
     :ivar digest: first 8 hexadecimal digits of the generation's digest.
     """
 
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -1,16 +1,15 @@
 """The node: one balancer's decisions on sloepond's own packets, without any I/O.
 
-`Node.handle(event, now)` takes what happened and returns commands.  The daemon runs it on
-sockets; the lab runs it on a simulated clock.
+`Node.handle(event, now)` handles an event and returns commands.  The daemon runs it on sockets; the lab
+runs it on a simulated clock.
 
-Each packet names its back end by the routing token it carries (`CallerPacket.token`), so no
-flow is stored and balancers agree on nothing.  They find each other by the platform's list of
-machines and tell each other the configuration: a starting balancer hears from them which
-generation is in force, whatever the platform answers.
+Each packet identifies its back end by the routing token it carries (`CallerPacket.token`), so balancers store
+no flows and need no agreement.  They find each other by the platform's list of machines and send each other
+the configuration: a starting balancer learns from its peers which generation is in force, even if the
+platform is stale.
 
-Owns the identity, the counters and the time of a planned stop.  Relies on
-`core.configuration` for the generation in force and on `core.forwarding` for the back end of
-each packet.
+Owns the identity, the counters and the time of a planned stop.  Relies on `core.configuration` for the
+generation in force and on `core.forwarding` for the back end of each packet.
 """
 
 from __future__ import annotations
@@ -59,19 +58,17 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 STOP_AFTER_S = 3.0
-"""How long a stopping balancer forwards on, so that the fabric learns of it, seconds; not
-measured."""
-LIST_AGAIN_S = 1.0
-"""Time between reads of the machine list until a configuration is in force, seconds; not
-measured."""
+"""Time for which a stopping balancer keeps forwarding until the fabric has removed it, seconds."""
+JOINING_LIST_INTERVAL_S = 1.0
+"""Time between reads of the list of machines until a configuration is in force, seconds."""
 
 
 class Node:
     """One balancer.
 
-    :param identity: this process; its location gives the hall it stands in.
+    :param identity: this process; its location includes its hall.
     :param random_source: the only source of randomness.
-    :ivar configuration: generation in force, and how it spreads.
+    :ivar configuration: generation in force, and its distribution.
     """
 
     def __init__(self, identity: Member, settings: NodeSettings, random_source: random.Random) -> None:
@@ -81,8 +78,8 @@
         self.configuration = ConfigurationStore(self._context, settings.configuration)
         self._forwarding = ForwardingNode(identity.location.hall, random_source)
         self._generation = 0
-        self._listed: tuple[Member, ...] = ()
-        self._next_list = 0.0
+        self._machines: tuple[Member, ...] = ()
+        self._next_list_read_at = 0.0
         self._stop_at = NEVER
 
     @property
@@ -97,19 +94,19 @@
 
     @property
     def requests_unanswered(self) -> int:
-        """Requests that were forwarded here and counted as unanswered, since the start."""
+        """Number of requests forwarded here that counted as unanswered, since the start."""
         return self._forwarding.counters.requests_unanswered
 
     @property
     def backends_ejected(self) -> int:
-        """Back ends that are given no or few new flows for requests they have left unanswered."""
+        """Number of back ends that get no or few new flows because requests to them were unanswered."""
         return self._forwarding.backends_ejected
 
     def status(self) -> NodeStatus:
-        """Return what operators are told of this balancer."""
+        """Return the status that operators read."""
         identity = self._context.identity
         in_force = self.configuration.in_force
-        names = {member.name for member in self._listed} | {identity.name}
+        names = {member.name for member in self._machines} | {identity.name}
         return NodeStatus(
             name=identity.name,
             incarnation=identity.incarnation,
@@ -131,58 +128,60 @@
         return BalancerState.ACTIVE if self.configuration.is_ready else BalancerState.JOINING
 
     def start(self, now: float) -> list[Command]:
-        """Begin to read the configuration and the list of machines.
+        """Start the node: it reads the configuration and the list of machines.
 
         :param now: seconds of a monotonic clock.
         """
         self._context.now = now
         self._forwarding.start(now)
-        self._next_list = now
-        return self._on_time(now)
+        self._next_list_read_at = now
+        return self._on_timer(now)
 
     def next_deadline(self) -> float:
         """Return when to send `TimerFired` next, in seconds of the node's clock."""
         return min(
-            self._next_list,
+            self._next_list_read_at,
             self._stop_at,
             self._forwarding.next_deadline(),
             self.configuration.next_deadline(),
         )
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event.
+        """Handle one event.
 
         :param now: seconds of the same clock as in `start`, never going back.
         :returns: commands to carry out, in order.
         """
         self._context.now = now
-        commands = self._take(event, now)
-        self._note_stall()
+        commands = self._dispatch(event, now)
+        self._record_stall()
         return commands + self._context.drain_commands()
 
-    def _note_stall(self) -> None:
-        """Count a sleep of the process, once, and ask for a log line."""
+    def _record_stall(self) -> None:
+        """Count a stall that forwarding has detected, once, and log it."""
         stalls = self._forwarding.counters.stalls_detected
         if stalls > self.counters.stalls_detected:
             self.counters.stalls_detected = stalls
-            self._context.record_transition(TransitionKind.STALL_DETECTED, self.identity.name, "woke late")
+            self._context.record_transition(
+                TransitionKind.STALL_DETECTED, self.identity.name, "timer fired late"
+            )
 
-    def _take(self, event: Event, now: float) -> list[Command]:
+    def _dispatch(self, event: Event, now: float) -> list[Command]:
         if isinstance(event, CallerPacketReceived):
             self.counters.caller_packets += 1
             return self._caller_packet(event.packet, now)
         if isinstance(event, BackendReplyReceived):
             return self._backend_reply(event.reply, now)
         if isinstance(event, TimerFired):
-            return self._on_time(now)
+            return self._on_timer(now)
         if isinstance(event, StopRequested):
             self._stop_at = now + STOP_AFTER_S
             return []
-        self._take_control(event)
-        return self._follow_configuration(now)
+        self._handle_control(event)
+        return self._apply_configuration(now)
 
-    def _take_control(self, event: Event) -> None:
-        """Take what the platform or another balancer says."""
+    def _handle_control(self, event: Event) -> None:
+        """Handle answers of the platform and messages of other balancers."""
         if isinstance(event, ConfigurationRead):
             self.configuration.snapshot_read(event.snapshot)
         elif isinstance(event, ConfigurationReadUnchanged):
@@ -190,58 +189,61 @@
         elif isinstance(event, ConfigurationReadFailed):
             self.configuration.read_failed(event.reason)
         elif isinstance(event, MachineListRead):
-            self._listed = event.members
+            self._machines = event.members
             self.configuration.machine_list_received(event.members)
         elif isinstance(event, PeerMessageReceived):
             self.counters.peer_messages += 1
             self.configuration.handle(event.sender_address, event.message)
 
-    def _on_time(self, now: float) -> list[Command]:
+    def _on_timer(self, now: float) -> list[Command]:
         if now >= self._stop_at:
             return [CompleteStop()]
-        if now >= self._next_list:
-            interval_s = self._list_interval_s if self.configuration.is_ready else LIST_AGAIN_S
-            self._next_list = now + interval_s
+        if now >= self._next_list_read_at:
+            interval_s = self._list_interval_s if self.configuration.is_ready else JOINING_LIST_INTERVAL_S
+            self._next_list_read_at = now + interval_s
             self._context.emit(ReadMachineList())
-            self._greet_seeds()
+            self._send_offers_to_seeds()
         if now >= self.configuration.next_deadline():
             self.configuration.on_timer()
-        commands = self._carry_out(self._forwarding.handle(ForwardingTimerFired(), now), now)
-        return commands + self._follow_configuration(now)
+        commands = self._reprocess_packets(self._forwarding.handle(ForwardingTimerFired(), now), now)
+        return commands + self._apply_configuration(now)
 
-    def _greet_seeds(self) -> None:
-        """Let seeds answer with what they have in force, also while the platform lists nobody."""
+    def _send_offers_to_seeds(self) -> None:
+        """Send offers of generation 0 to the seeds, so that they answer with the generation in force.
+
+        This works also while the platform lists no other balancer.
+        """
         if not self.configuration.is_ready:
             for address in self._seeds:
                 self._context.send_to_peer(address, ConfigurationOffered(0, ""))
 
-    def _follow_configuration(self, now: float) -> list[Command]:
-        """Forward by a generation that has come into force; return the commands so far."""
+    def _apply_configuration(self, now: float) -> list[Command]:
+        """Pass a generation that has come into force to forwarding; return the commands so far."""
         commands = self._context.drain_commands()
         compiled = self.configuration.in_force
         if compiled.generation == self._generation:
             return commands
         self._generation = compiled.generation
-        return commands + self._forward_by(compiled, now)
+        return commands + self._configure_forwarding(compiled, now)
 
-    def _forward_by(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
+    def _configure_forwarding(self, compiled: CompiledConfiguration, now: float) -> list[Command]:
         services = tuple(compiled.services_by_address.values())
         self._forwarding.backends.places_changed(place_rules_of(services))
         revision = compiled.generation
         routes = RoutesRead(revision, RouteConfiguration(revision, tuple(map(route_of, services))))
         records = tuple(record_of(backend, revision) for service in services for backend in service.backends)
         for record in records:
-            self._take_declared(record)
+            self._apply_declared(record)
         commands = self._forwarding.handle(routes, now) + self._forwarding.handle(
             BackendsRead(revision, records), now
         )
-        return self._carry_out(commands, now)
+        return self._reprocess_packets(commands, now)
 
-    def _take_declared(self, record: BackendRecord) -> None:
-        """Take what only an operator changes of a known back end: its hall, and that it leaves.
+    def _apply_declared(self, record: BackendRecord) -> None:
+        """Apply changes of a known back end that only an operator makes: its hall and its drain.
 
-        Forwarding keeps both for good, since a back end that says it leaves never comes back on
-        its own and stays where it is.
+        Forwarding never changes either on its own, since a back end that announces that it is leaving does
+        not come back, and a back end does not move to another hall.
         """
         known = self._forwarding.backends.by_name(record.name)
         if known is None:
@@ -250,11 +252,14 @@
         if record.state is BackendState.READY:
             known.announced_leaving = False
 
-    def _carry_out(self, commands: list[ForwardingCommand], now: float) -> list[Command]:
-        """Decide again on packets that waited; other commands ask the platform in ways this one has not."""
-        waited = [command for command in commands if isinstance(command, ReprocessPackets)]
+    def _reprocess_packets(self, commands: list[ForwardingCommand], now: float) -> list[Command]:
+        """Decide again on queued packets.
+
+        All other commands of forwarding are dropped: this platform has no services that they could call.
+        """
+        reprocessed = [command for command in commands if isinstance(command, ReprocessPackets)]
         results: list[Command] = []
-        for command in waited:
+        for command in reprocessed:
             for datagram in command.datagrams:
                 results += self._caller_packet(msgspec.msgpack.decode(datagram, type=CallerPacket), now)
         return results
@@ -263,8 +268,8 @@
         segment = segment_of(packet)
         decision = self._forwarding.decide(segment, now)
         if decision.queue:
-            held = OpeningQueued(segment, msgspec.msgpack.encode(packet))
-            return self._carry_out(self._forwarding.handle(held, now), now)
+            queued = OpeningQueued(segment, msgspec.msgpack.encode(packet))
+            return self._reprocess_packets(self._forwarding.handle(queued, now), now)
         backend = decision.backend
         if backend is not None:
             address = f"{backend.endpoint.host}:{backend.endpoint.port}"
@@ -275,11 +280,14 @@
         head = reply_head_of(reply)
         if head is not None:
             self._forwarding.reply_seen(head, now)
-        return _passed_on(reply)
+        return _forwarded_reply(reply)
+
 
+def _forwarded_reply(reply: BackendReply) -> list[Command]:
+    """Return the command that forwards a reply.
 
-def _passed_on(reply: BackendReply) -> list[Command]:
-    """Return a reply on its way; a back end that does not take a flow is silent."""
+    A refused opening packet is not reported to the caller.
+    """
     if reply.kind is BackendReplyKind.REFUSED and reply.request_id == 0:
         return []
     return [SendToCaller(caller_reply(reply))]
--- a/sloepond/core/packets.py
+++ b/sloepond/core/packets.py
@@ -1,7 +1,7 @@
-"""Packets at the edge of the system, as the core sees them.
+"""Packets of callers and back ends in the form that the core uses.
 
-The formats that callers and back ends use in the field are met by adapters
-(`sloepond.wire.edge` for the stand-ins); the core only knows these types.
+Adapters convert the formats that callers and back ends use (`sloepond.wire.edge` for the stand-ins); the
+core uses only these types.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class FlowKey(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Identity of a flow: where it goes, who opened it, and which one it is.
+    """Identity of a flow: its two addresses and a number that tells flows of the same addresses apart.
 
     :ivar service_address: virtual address `ip:port` the caller sent to.
     :ivar caller_address: address `ip:port` the caller sent from.
@@ -29,7 +29,7 @@
 
 
 class CallerPacketKind(enum.IntEnum):
-    """What a caller asks for."""
+    """Kind of a caller's packet."""
 
     OPEN = 0
     REQUEST = 1
@@ -44,9 +44,9 @@
     :ivar request_id: grows by one for each request of the flow, from 1; 0 for
         packets that are not about a request.
     :ivar attempt: 0 for the first transmission, then 1, 2, ...
-    :ivar repeatable: whether the request may be run more than once; None takes
+    :ivar repeatable: whether the request may be run more than once; None selects
         the default of the service.
-    :ivar timeout_ms: milliseconds the caller still waits; 0 takes the limit of
+    :ivar timeout_ms: milliseconds until the caller gives up; 0 selects the limit of
         the service.
     :ivar token: routing token last received on the flow, 0 for none (32 bits).
     """
@@ -62,7 +62,7 @@
 
 
 class CallerReplyKind(enum.IntEnum):
-    """What a caller is told."""
+    """Kind of a reply to a caller."""
 
     OPENED = 0
     ANSWER = 1
@@ -71,14 +71,14 @@
     UNKNOWN = 3
     """The request may or may not have been run."""
     PUSH = 4
-    """Data the back end sends of its own accord (a feed)."""
+    """Data that the back end sends without a request (a feed)."""
     FLOW_LOST = 5
-    """The flow has no back end any more; nothing new was run."""
+    """The flow no longer has a back end; nothing new was run."""
     ALIVE = 6
 
 
 class Reason(enum.IntEnum):
-    """Why a request or flow was refused or its outcome is unknown."""
+    """Why a request or flow was refused, or why its outcome is unknown."""
 
     NONE = 0
     NO_SERVICE = 1
@@ -91,9 +91,9 @@
     DEADLINE_PASSED = 8
     ALREADY_HANDED_OVER = 9
     RETIRED_10 = 10
-    """Not sent; an earlier version sent it while it was unsure that no other balancer acted for a flow."""
+    """Not sent; an earlier version sent it while another balancer might have owned the flow."""
     RETIRED_11 = 11
-    """Not sent; an earlier version sent it where too few balancers could be reached."""
+    """Not sent; an earlier version sent it when too few balancers could be reached."""
     FLOW_UNKNOWN = 12
     CANCELLED = 13
     LEAVING = 14
@@ -106,8 +106,8 @@
 
     :ivar attempt: number that all parts of one answer share.
 
-    :ivar part: index from 0 of this part of the answer, of `parts` in all.
-    :ivar retry_after_ms: when to come back, for REFUSED, UNKNOWN and FLOW_LOST.
+    :ivar part: index of this part of the answer, from 0; `parts` is the total.
+    :ivar retry_after_ms: milliseconds after which to retry, for REFUSED, UNKNOWN and FLOW_LOST.
     :ivar token: routing token of the flow's back end, 0 for none.
     """
 
@@ -129,8 +129,8 @@
     :ivar attempt: for a REQUEST, a number drawn for this run of it; the parts of
         the answer carry it, so that answers of two runs are not mixed.
 
-    :ivar timeout_ms: milliseconds left; a back end must not start the request
-        after that.
+    :ivar timeout_ms: milliseconds left, after which a back end must not start
+        the request.
     :ivar token: routing token of the back end, 0 for none; its replies carry it.
     """
 
@@ -144,12 +144,12 @@
 
 
 class BackendReplyKind(enum.IntEnum):
-    """What a back end says."""
+    """Kind of a back end's reply."""
 
     OPENED = 0
     ANSWER = 1
     REFUSED = 2
-    """Shed, full or draining: the packet was not run."""
+    """The back end is overloaded, full or draining: the packet was not run."""
     PUSH = 3
     FLOW_UNKNOWN = 4
     """The back end does not hold this flow: the packet was not run."""
@@ -159,7 +159,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Load as a back end reports it.
+    """Load reported by a back end.
 
     :ivar in_flight: requests running or queued.
     :ivar flows: flows held open.
@@ -170,7 +170,7 @@
 
 
 class BackendReply(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One datagram from a back end, about one flow it was sent packets of."""
+    """One datagram from a back end, about one flow whose packets it has received."""
 
     kind: BackendReplyKind
     flow: FlowKey
--- a/sloepond/core/settings.py
+++ b/sloepond/core/settings.py
@@ -9,11 +9,10 @@
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a balancer finds others.
+    """How a balancer finds other balancers.
 
-    :ivar seeds: peer addresses `ip:port` asked for the configuration while none is in force.
-    :ivar machine_list_interval_s: time between reads of the platform's list of machines,
-        seconds; not measured.
+    :ivar seeds: peer addresses `ip:port` from which the configuration is requested while none is in force.
+    :ivar machine_list_interval_s: time between reads of the platform's list of machines, seconds.
     """
 
     seeds: tuple[str, ...] = ()
@@ -21,16 +20,16 @@
 
 
 class ConfigurationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Reading and spreading the configuration; the defaults are not measured.
+    """Reading and distributing the configuration.
 
     :ivar read_interval_s: time between reads of the platform's configuration, seconds.
-    :ivar startup_wait_s: time a starting balancer asks peers before it trusts
-        the platform alone, seconds.
+    :ivar startup_wait_s: time for which a starting balancer waits for announcements of peers before it
+        accepts a configuration from the platform, seconds.
     :ivar part_bytes: size of one part in bytes; with its envelope it fits into one
         Ethernet frame.
     :ivar bytes_per_second: rate limit of parts sent to all peers.
-    :ivar delta_history: generations for which deltas are kept.
-    :ivar request_timeout_s: time until a request for parts is sent again, seconds.
+    :ivar delta_history: number of generations for which deltas are kept.
+    :ivar request_timeout_s: time until a request for parts is repeated, seconds.
     """
 
     read_interval_s: float = 1.0
@@ -44,7 +43,7 @@
 class StopSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Planned stop.
 
-    :ivar deadline_s: seconds after which the stop completes even if busy.
+    :ivar deadline_s: seconds after which the stop completes even if the balancer is busy.
     """
 
     deadline_s: float = 60.0
--- a/sloepond/core/status.py
+++ b/sloepond/core/status.py
@@ -1,4 +1,4 @@
-"""What a node tells operators of itself.
+"""Status of a node for operators.
 
 The names of the fields are those of the operators' API.
 """
@@ -10,23 +10,23 @@
 import msgspec
 
 NO_EPOCH = 0
-"""Epoch that a balancer gives: it is in no view."""
+"""Epoch that every balancer reports, since balancers of this version agree on no views."""
 
 
 class BalancerState(enum.StrEnum):
-    """Where a balancer stands in its life."""
+    """Lifecycle state of a balancer."""
 
     JOINING = "joining"
     """No configuration is in force yet."""
     ACTIVE = "active"
     LEAVING = "leaving"
-    """A planned stop is under way."""
+    """A planned stop is in progress."""
 
 
 class PeerReport(msgspec.Struct, frozen=True):
-    """A peer as another balancer sees it.
+    """Status of a peer in the view of another balancer.
 
-    Balancers of this version give none; those of earlier ones, that agreed on views, do.
+    Balancers of this version report none; earlier versions, which agreed on views, do.
 
     :ivar heard_s_ago: seconds since its last heartbeat.
     """
@@ -49,8 +49,8 @@
     :ivar epoch: always `NO_EPOCH`; kept for programs that read the API.
     :ivar members: names in the platform's list of machines, and its own.
     :ivar has_lease: always False; kept for programs that read the API.
-    :ivar flows: flows whose packets it has seen lately.
-    :ivar in_flight: requests handed to back ends and not answered, as far as it has seen.
+    :ivar flows: flows whose packets this balancer has seen recently.
+    :ivar in_flight: requests forwarded to back ends whose answer this balancer has not seen.
     :ivar peers: always empty; kept for programs that read the API.
     """
 
--- a/sloepond/core/token_bucket.py
+++ b/sloepond/core/token_bucket.py
@@ -1,10 +1,10 @@
-"""Rate limit by tokens that are refilled at a steady rate."""
+"""Token bucket: a rate limit with a burst."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Holds at most `burst` tokens and gains `rate` of them each second."""
+    """Holds at most `burst` tokens and gains `rate` tokens per second; full at first."""
 
     __slots__ = ("_burst", "_filled_at", "_rate", "_tokens")
 
@@ -15,7 +15,7 @@
         self._filled_at = 0.0
 
     def take(self, now: float, tokens: float) -> bool:
-        """Take tokens if there are enough; return whether they were taken.
+        """Remove tokens if there are enough; return whether they were removed.
 
         :param now: seconds of the node's clock.
         """
