--- a/features/forwarding/readers.feature
+++ b/features/forwarding/readers.feature
@@ -46,7 +46,7 @@
   Scenario: A store that does not answer is called at a bounded rate, and read soon after it is back
     Given a simulated fleet of 40 forwarding nodes
     When the forwarding fleet gets no answer from the store for 6 seconds
-    Then the forwarding fleet has called the store less than 30 times per second
+    Then the forwarding fleet has called it less than 30 times per second
     When the store answers again and the operator changes a route
     Then the forwarding fleet has all changes within 3 seconds
 
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -166,7 +166,7 @@
     context.calls_per_s = (fleet.store.calls - before) / seconds
 
 
-@then("the forwarding fleet has called the store less than {rate:d} times per second")
+@then("the forwarding fleet has called it less than {rate:d} times per second")
 def calls_bounded(context, rate):
     assert context.calls_per_s < rate, context.calls_per_s
 
