--- a/features/node/promises.feature
+++ b/features/node/promises.feature
@@ -1,16 +1,16 @@
-Feature: What callers are promised holds whatever balancers know
+Feature: The guarantees to callers hold whatever generation balancers have
 
-  Balancers that take generations in any order and are replaced, packets that are copied, late or
-  lost, back ends that drain, go and come back: of each run of such a fleet the promises hold.
+  In each run balancers receive generations in any order and are replaced, packets are duplicated,
+  delayed or lost, and back ends are drained, removed and declared again.
 
-  Scenario: Packets of a flow reach its own back end, and openings a permitted one of their service
-    Then node property: whatever happens, each packet reaches its own back end or none
+  Scenario: Packets of a flow reach its own back end, and new flows a permitted one of their service
+    Then node property: in any course of events, each packet reaches its own back end or none
 
-  Scenario: What may not be repeated runs at most once
-    Then node property: whatever happens, no request of a flow runs twice
+  Scenario: A request that may not be repeated runs at most once
+    Then node property: in any course of events, no request of a flow runs twice
 
-  Scenario: Told not run means not run
-    Then node property: whatever happens, a request that is refused has not run and never will
+  Scenario: A request that is reported as not run has not run
+    Then node property: in any course of events, a refused request has not run and never will
 
-  Scenario: A cancellation proves nothing about the request
-    Then node property: whatever happens, a request that is cancelled and refused has not run and never will
+  Scenario: A cancelled request that is reported as not run has not run
+    Then node property: in any course of events, a cancelled and refused request has not run and never will
--- a/features/steps/node_answer_steps.py
+++ b/features/steps/node_answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a node learns of its back ends from the replies that pass it."""
+"""Steps on what a node concludes about its back ends from the replies that pass through it."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 SETTLED_S = 3.0
 ANSWER_S = 0.03
 """Time from a request to its answer."""
-WAITED_S = 2 * UNANSWERED_AFTER_S
-"""Time after which a request that waits has counted as unanswered."""
+UNANSWERED_S = 2 * UNANSWERED_AFTER_S
+"""Time after which a pending request has counted as unanswered."""
 OPENING_INTERVAL_S = 0.2
-"""Time between new flows, in which each back end has room for one."""
-MOST_OPENINGS = 64
-"""New flows, of which those of the back ends that are asked for are kept."""
+"""Time between new flows, so that each back end has capacity for one."""
+MAXIMUM_OPENINGS = 64
+"""Flows that are opened; those of as many back ends as a step needs are kept."""
 
 
 class RequestingFlow:
@@ -61,23 +61,23 @@
         self.reply(BackendReplyKind.ANSWER, self.request_id)
 
 
-def let_pass(context, seconds):
-    """Let time pass in small steps; note the most back ends passed over at once."""
+def run_steps(context, seconds):
+    """Let time pass in small steps; record the maximum number of back ends ejected at once."""
     end = context.network.now + seconds
     while context.network.now < end:
         context.network.run(min(0.1, end - context.network.now))
-        context.most_passed_over = max(context.most_passed_over, context.node.backends_ejected)
+        context.maximum_ejected = max(context.maximum_ejected, context.node.backends_ejected)
 
 
 def flows_of(context, count, total):
-    """Return flows of so many back ends, as many of each; the others that are opened rest."""
+    """Return `total` flows of `count` back ends, the same number of each; other flows stay idle."""
     flows = collections.defaultdict(list)
-    for port in range(4000, 4000 + MOST_OPENINGS):
+    for port in range(4000, 4000 + MAXIMUM_OPENINGS):
         flow = RequestingFlow(context, port)
         is_wanted = flow.backend_address in flows or len(flows) < count
         if is_wanted and len(flows[flow.backend_address]) < total // count:
             flows[flow.backend_address].append(flow)
-        let_pass(context, OPENING_INTERVAL_S)
+        run_steps(context, OPENING_INTERVAL_S)
     assert sum(map(len, flows.values())) == total, flows
     return [flow for kept in flows.values() for flow in kept]
 
@@ -86,7 +86,7 @@
 def step_running(context, count):
     context.network = NodeNetwork()
     context.node = context.network.start("balancer-1")
-    context.most_passed_over = 0
+    context.maximum_ejected = 0
     context.network.handle(context.node, ConfigurationRead(snapshot(1, 2 * count)))
     context.network.run(SETTLED_S)
     assert context.node.status().state == "active"
@@ -101,25 +101,25 @@
     for _ in range(seconds // interval):
         for flow in flows:
             flow.request()
-        let_pass(context, ANSWER_S)
+        run_steps(context, ANSWER_S)
         for flow in flows:
             flow.answer()
-        let_pass(context, interval - ANSWER_S)
+        run_steps(context, interval - ANSWER_S)
 
 
-@then("no request counts as unanswered and no back end is passed over")
+@then("no request counts as unanswered and no back end is ejected")
 def step_none(context):
-    seen = (context.node.requests_unanswered, context.most_passed_over)
-    assert seen == (0, 0), f"{seen[0]} requests unanswered, {seen[1]} back ends passed over at once"
+    seen = (context.node.requests_unanswered, context.maximum_ejected)
+    assert seen == (0, 0), f"{seen[0]} requests unanswered, {seen[1]} back ends ejected at once"
 
 
 @when("a request is replied to with {kind}")
 def step_refused(context, kind):
     flow = RequestingFlow(context, 4000)
     flow.request()
-    let_pass(context, ANSWER_S)
+    run_steps(context, ANSWER_S)
     flow.reply(BackendReplyKind[kind.upper()], flow.request_id)
-    let_pass(context, WAITED_S)
+    run_steps(context, UNANSWERED_S)
 
 
 @when(
@@ -131,17 +131,17 @@
     for _ in range(seconds // interval):
         for flow in flows:
             flow.request()
-        let_pass(context, interval)
+        run_steps(context, interval)
 
 
-@then("all {count:d} requests count as unanswered and that back end is passed over")
-def step_passed_over(context, count):
-    assert (context.node.requests_unanswered, context.most_passed_over) == (count, 1)
+@then("all {count:d} requests count as unanswered and that back end is ejected")
+def step_ejected(context, count):
+    assert (context.node.requests_unanswered, context.maximum_ejected) == (count, 1)
 
 
 def other_packet(context, flow, name):
     """Send a packet of a back end that does not answer the last request of a flow."""
-    if name == "a late copy of the answer to the one before":
+    if name == "a late duplicate of the previous answer":
         flow.reply(BackendReplyKind.ANSWER, flow.request_id - 1)
     elif name == "the answer of another back end":
         flow.token += 1
@@ -158,16 +158,16 @@
         raise AssertionError(name)
 
 
-@when("a request waits and its balancer gets {name}")
-def step_waits(context, name):
+@when("a request is unanswered and its balancer receives {name}")
+def step_request_pending(context, name):
     flow = RequestingFlow(context, 4000)
     flow.request()
     flow.answer()
-    let_pass(context, ANSWER_S)
+    run_steps(context, ANSWER_S)
     flow.request()
-    let_pass(context, ANSWER_S)
+    run_steps(context, ANSWER_S)
     other_packet(context, flow, name)
-    let_pass(context, WAITED_S)
+    run_steps(context, UNANSWERED_S)
 
 
 @then("{count:d} request counts as unanswered")
@@ -175,24 +175,24 @@
     assert context.node.requests_unanswered == count, context.node.requests_unanswered
 
 
-@when("a request is answered in {parts:d} parts that pass in any order")
+@when("a request is answered in {parts:d} parts that arrive in reverse order")
 def step_parts(context, parts):
     flow = RequestingFlow(context, 4000)
-    let_pass(context, SETTLED_S)
-    context.under_way = [context.node.status().in_flight]
+    run_steps(context, SETTLED_S)
+    context.in_flight_counts = [context.node.status().in_flight]
     flow.request()
-    context.under_way.append(context.node.status().in_flight)
+    context.in_flight_counts.append(context.node.status().in_flight)
     for part in reversed(range(parts)):
         flow.reply(BackendReplyKind.ANSWER, flow.request_id, part, parts)
-        context.under_way.append(context.node.status().in_flight)
+        context.in_flight_counts.append(context.node.status().in_flight)
 
 
-@then("it is under way until the first of them and never again")
-def step_under_way(context):
-    assert context.under_way == [0, 1, 0, 0, 0], context.under_way
+@then("it is in flight until the first of them and never again")
+def step_in_flight(context):
+    assert context.in_flight_counts == [0, 1, 0, 0, 0], context.in_flight_counts
 
 
-@when("an observer of flows sees a request, {reply} and the caller's next packet")
+@when("a flow observer sees a request, {reply} and the caller's next packet")
 def step_observed(context, reply):
     context.observer = FlowObserver(WaitingRequests())
     context.backend = ForwardingBackend(record(1), 0.0)
@@ -208,7 +208,7 @@
     context.observer.observe_packet(segment_of(keepalive), context.backend, 3.0)
 
 
-@then("it has counted {count:d} latencies and no request is under way")
+@then("it has counted {count:d} latencies and no request is in flight")
 def step_counted(context, count):
     latency = context.observer.request_latency
     assert (latency.count, context.backend.in_flight) == (count, 0)
--- a/features/steps/node_promise_steps.py
+++ b/features/steps/node_promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the promises of nodes between callers and back ends that keep streams."""
+"""Steps on the guarantees of nodes between callers and back ends that store flows."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 
 PROPERTY = settings(derandomize=True, deadline=None, database=None, max_examples=120)
 STEPS = 60
-LEAST_EVENTS = 50
-"""Requests run, requests refused and flows opened over all runs, so that the checks saw enough."""
+MINIMUM_EVENTS = 50
+"""Minimum number of requests run, requests refused and flows opened over all runs."""
 NODES = 3
 BACKENDS = 5
 SERVICES = ("archive", "playback")
@@ -57,7 +57,7 @@
 
 
 class Caller:
-    """One flow: its packets so far, the back end it was opened at and what was refused."""
+    """One flow: its packets, the back end where it was opened, and its refused requests."""
 
     def __init__(self, number, draw):
         owner = draw.randrange(len(SERVICES))
@@ -71,7 +71,7 @@
 
 
 class Fleet:
-    """Nodes that share nothing but the platform, and back ends that live on whatever is declared."""
+    """Nodes that share only the platform, and back ends that keep running whatever is declared."""
 
     def __init__(self, seed, may_cancel):
         self.draw = random.Random(seed)
@@ -82,7 +82,7 @@
         self.models = {}
         self.callers = []
         self.replies = []
-        self.replying = None
+        self.replying_backend = None
         self.declare()
         self.nodes = [self.fresh_node(number) for number in range(NODES)]
 
@@ -93,7 +93,7 @@
         return node
 
     def declare(self):
-        """Publish a generation in which each back end serves, drains, stands elsewhere or is gone."""
+        """Publish a generation in which each back end is active, draining, in another hall or missing."""
         self.generation += 1
         denied = (PlaceSelector(hall=DENIED_HALL),)
         state = ZoneState.EVACUATED if self.draw.random() < 0.3 else ZoneState.ACTIVE
@@ -101,10 +101,10 @@
         far_hall = Hall(API_VERSION, Metadata(FAR_HALL), HallSpec("zone-b"))
         resources = [*places(), far, far_hall, *(service(name, denied) for name in SERVICES)]
         for number in range(BACKENDS * len(SERVICES)):
-            fate = self.draw.random()
-            if number >= len(SERVICES) and fate < 0.2:
+            drawn = self.draw.random()
+            if number >= len(SERVICES) and drawn < 0.2:
                 continue
-            is_draining = number >= len(SERVICES) and fate < 0.5
+            is_draining = number >= len(SERVICES) and drawn < 0.5
             state = BackendState.DRAINING if is_draining else BackendState.ACTIVE
             hall = self.draw.choice(("hall-0", "hall-0", FAR_HALL, DENIED_HALL))
             hall = hall if number >= len(SERVICES) else "hall-0"
@@ -120,13 +120,13 @@
             self.models[address] = BackendModel(identity, BUSY, random.Random(self.draw.random()))
 
     def handle(self, number, event):
-        """Give a node an event; deliver what it sends, but keep replies back."""
+        """Pass a node an event; deliver its packets, but hold back replies."""
         node = self.nodes[number]
         for command in node.handle(event, self.now):
             if isinstance(command, SendToBackend):
                 self.reach_backend(number, command)
             elif isinstance(command, SendToCaller):
-                self.told(command.reply)
+                self.reply_received(command.reply)
 
     def reach_backend(self, number, command):
         packet, model = command.packet, self.models[command.address]
@@ -136,23 +136,23 @@
             self.check_place(number, model)
         else:
             assert command.address == caller.backend, "a packet of a flow of another back end"
-        self.keep(number, command.address, model.handle(packet, f"node-{number}", self.now))
+        self.queue_replies(number, command.address, model.handle(packet, f"node-{number}", self.now))
 
     def check_place(self, number, model):
-        """A new flow goes to a back end that is permitted and takes new ones, as far as the node knows."""
+        """Check that a new flow goes to a back end that is permitted and accepts flows in the node's view."""
         in_force = self.nodes[number].configuration.in_force
         known = in_force.backends_by_name.get(model.identity.name)
         if known is not None:
             assert known.permitted and known.accepts_new_flows, model.identity
 
-    def keep(self, number, address, outputs):
+    def queue_replies(self, number, address, outputs):
         self.replies += [(number, address, output.reply) for output in outputs]
 
-    def told(self, reply):
+    def reply_received(self, reply):
         caller = self.callers[reply.flow.incarnation]
         if reply.kind is CallerReplyKind.OPENED and caller.backend is None:
             caller.token = reply.token
-            caller.backend = self.replying
+            caller.backend = self.replying_backend
         if reply.kind is CallerReplyKind.REFUSED and reply.request_id:
             caller.refused.add(reply.request_id)
 
@@ -160,12 +160,12 @@
         self.now += STEP_S
         for address, model in self.models.items():
             for output in model.on_timer(self.now):
-                self.keep(int(output.destination.rpartition("-")[2]), address, [output])
+                self.queue_replies(int(output.destination.rpartition("-")[2]), address, [output])
         for number, node in enumerate(self.nodes):
             if node.next_deadline() <= self.now:
                 self.handle(number, TimerFired())
 
-    def take_generation(self):
+    def read_generation(self):
         known = self.draw.choice(sorted(self.declared))
         self.handle(self.draw.randrange(NODES), ConfigurationRead(self.declared[known]))
 
@@ -195,8 +195,8 @@
     def opened_caller(self):
         return self.draw.choice([None, *(caller for caller in self.callers if caller.token)])
 
-    def copy(self):
-        """Send a packet again that was sent at any time, perhaps as a later attempt."""
+    def resend(self):
+        """Send any earlier packet again, perhaps as a later attempt."""
         caller = self.draw.choice([None, *self.callers])
         if caller is not None:
             packet = self.draw.choice(caller.packets)
@@ -214,7 +214,7 @@
         if self.replies:
             index = self.draw.randrange(len(self.replies))
             number, address, reply = self.replies.pop(index)
-            self.replying = address
+            self.replying_backend = address
             self.handle(number, BackendReplyReceived(address, reply))
 
     def lose_reply(self):
@@ -225,12 +225,12 @@
         actions = {
             self.open_flow: 2,
             self.request: 4,
-            self.copy: 4,
+            self.resend: 4,
             self.cancel: 2,
             self.deliver_reply: 6,
             self.lose_reply: 1,
             self.run_backends: 3,
-            self.take_generation: 2,
+            self.read_generation: 2,
             self.declare: 1,
             self.replace_node: 1,
         }
@@ -251,7 +251,7 @@
         return self
 
     def executions(self):
-        """Return what ran, as pairs of flow and request."""
+        """Return the requests that ran, as pairs of flow and request id."""
         return [(each.flow, each.request_id) for model in self.models.values() for each in model.executions]
 
     def check_once(self):
@@ -266,7 +266,7 @@
 
 
 def check_fleets(check, may_cancel=False):
-    """Run fleets of any course; return how many requests ran and were refused."""
+    """Run random fleets and check each; assert that enough requests ran and were refused."""
     totals = {"ran": 0, "refused": 0, "opened": 0}
 
     @PROPERTY
@@ -279,24 +279,24 @@
         totals["opened"] += sum(caller.backend is not None for caller in fleet.callers)
 
     run()
-    assert min(totals.values()) >= LEAST_EVENTS, totals
+    assert min(totals.values()) >= MINIMUM_EVENTS, totals
 
 
-@then("node property: whatever happens, each packet reaches its own back end or none")
+@then("node property: in any course of events, each packet reaches its own back end or none")
 def reaches_own(context):
     check_fleets(lambda fleet: None)
 
 
-@then("node property: whatever happens, no request of a flow runs twice")
+@then("node property: in any course of events, no request of a flow runs twice")
 def runs_once(context):
     check_fleets(Fleet.check_once)
 
 
-@then("node property: whatever happens, a request that is refused has not run and never will")
+@then("node property: in any course of events, a refused request has not run and never will")
 def refusals_hold(context):
     check_fleets(Fleet.check_refusals)
 
 
-@then("node property: whatever happens, a request that is cancelled and refused has not run and never will")
+@then("node property: in any course of events, a cancelled and refused request has not run and never will")
 def cancellations_hold(context):
     check_fleets(Fleet.check_refusals, may_cancel=True)
--- a/features/steps/node_steps.py
+++ b/features/steps/node_steps.py
@@ -29,7 +29,7 @@
 
 
 class NodeNetwork:
-    """Nodes, their clock and what they send to each other."""
+    """Nodes, their clock and the messages between them."""
 
     def __init__(self):
         self.now = 50.0
@@ -48,13 +48,13 @@
         return node
 
     def handle(self, node, event):
-        """Give a node an event; return what it commands."""
+        """Pass a node an event; return its commands."""
         commands = node.handle(event, self.now)
         self.carry_out(node.identity.address, commands)
         return commands
 
     def carry_out(self, address, commands):
-        """Keep commands, and deliver messages between nodes."""
+        """Store commands, and deliver messages between nodes."""
         self.sent.extend((self.now, command) for command in commands)
         sender = self.nodes[address].identity
         if any(isinstance(command, CompleteStop) for command in commands):
@@ -98,14 +98,14 @@
     assert context.node.status().state == "active"
 
 
-@when("a fresh node that names it as a seed reads generation {generation:d} from the platform")
-def reads_old(context, generation):
+@when("a fresh node with that node as its seed reads generation {generation:d} from the platform")
+def reads_older(context, generation):
     context.fresh = context.network.start("balancer-2", (context.node.identity.address,))
     context.network.handle(context.fresh, ConfigurationRead(snapshot(generation)))
 
 
 @then("the fresh node has generation {generation:d} within {seconds:d} seconds and never generation 1")
-def takes_newest(context, generation, seconds):
+def uses_newest(context, generation, seconds):
     ends_at = context.network.now + seconds
     while context.fresh.configuration.in_force.generation != generation:
         assert context.fresh.configuration.in_force.generation == 0
@@ -119,16 +119,16 @@
     context.node = context.network.start("balancer-1", ("10.9.0.9:7300",))
 
 
-@then("it greets its seed once a second and says that it is joining")
-def greets(context):
+@then("it sends its seed an offer once per second and reports that it is joining")
+def sends_offers(context):
     context.network.run(10.0)
-    greeted = [
+    offers = [
         command
         for _, command in context.network.sent
         if isinstance(command, SendToPeer) and command.address == "10.9.0.9:7300"
     ]
-    assert 9 <= len(greeted) <= 11, len(greeted)
-    assert all(command.message == ConfigurationOffered(0, "") for command in greeted)
+    assert 9 <= len(offers) <= 11, len(offers)
+    assert all(command.message == ConfigurationOffered(0, "") for command in offers)
     assert context.node.status().state == "joining" and not context.node.configuration.is_ready
 
 
@@ -138,7 +138,7 @@
     return sent
 
 
-@when("another node with generation {generation:d} gets the packets of a flow opened at the first")
+@when("another node with generation {generation:d} receives packets of a flow opened at the first")
 def another(context, generation):
     network = context.network
     other = network.start("balancer-2")
@@ -159,12 +159,12 @@
     assert context.sent[0].packet.token == context.sent[1].packet.token != 0
 
 
-@when("that node sleeps for {seconds:d} seconds")
-def sleeps(context, seconds):
+@when("that node is stalled for {seconds:d} seconds")
+def stalls(context, seconds):
     context.network.now += seconds
 
 
-@then("it refuses to place a flow, counts one stall and goes on after {seconds:d} seconds")
+@then("it refuses to place a flow, counts one stall and places flows again after {seconds:d} seconds")
 def refuses(context, seconds):
     network, node = context.network, context.node
     opening = CallerPacketReceived(packet(CallerPacketKind.OPEN, 4001))
@@ -180,7 +180,7 @@
     context.network.handle(context.node, StopRequested())
 
 
-@then("it says that it is leaving, forwards on and completes the stop in {seconds:d} seconds")
+@then("it reports that it is leaving, keeps forwarding and completes the stop in {seconds:d} seconds")
 def leaves(context, seconds):
     network, node = context.network, context.node
     assert node.status().state == "leaving"
