--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -325,8 +325,8 @@
     for units in map(list, works):
         assert len(units) > count / BLOCK_ITEMS, units
         assert max(units) <= BLOCK_ITEMS, units
-    taken = run_to_completion(check_snapshot(CompiledConfiguration(full), moved)).configuration
-    assert_equal(taken, CompiledConfiguration(moved))
+    applied = run_to_completion(check_snapshot(CompiledConfiguration(full), moved)).configuration
+    assert_equal(applied, CompiledConfiguration(moved))
 
 
 @given("a configuration store with generation {generation:d} in force that works in short slices")
@@ -557,16 +557,16 @@
 @then("all configuration stores had each generation in force within {seconds:d} seconds")
 def step_in_time(context, seconds):
     for process in context.network.processes.values():
-        taken = dict(process.generations)
+        applied = dict(process.generations)
         for generation, changed_at in context.read_at.items():
-            assert taken[generation] - changed_at <= seconds, process.generations
+            assert applied[generation] - changed_at <= seconds, process.generations
 
 
 @then("all configuration stores had each generation or a later one in force within {seconds:d} seconds")
 def step_or_later_in_time(context, seconds):
     for process in context.network.processes.values():
         for generation, changed_at in context.read_at.items():
-            in_force_at = next(at for taken, at in process.generations if taken >= generation)
+            in_force_at = next(at for applied, at in process.generations if applied >= generation)
             assert in_force_at - changed_at <= seconds, process.generations
 
 
--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -139,15 +139,17 @@
         context.fleet.kill(ip)
 
 
-@then("it never reports ready again, and ends between {least:g} and {most:g} seconds later")
-def ends_soon(context, least, most):
+@then("it never reports ready again, and ends between {minimum_s:g} and {maximum_s:g} seconds later")
+def ends_soon(context, minimum_s, maximum_s):
     fleet = context.fleet
     (ip,) = context.last
     ends_at = fleet.now + GRACE_S
     while ip in fleet.nodes and fleet.now < ends_at:
         assert not fleet.nodes[ip].reports_ready(fleet.now)
         fleet.route(STEP_S)
-    assert least <= fleet.ended[ip] - fleet.requested_at[ip] <= most, fleet.ended[ip] - fleet.requested_at[ip]
+    assert minimum_s <= fleet.ended[ip] - fleet.requested_at[ip] <= maximum_s, (
+        fleet.ended[ip] - fleet.requested_at[ip]
+    )
 
 
 @then("no packet of the zone was lost")
--- a/features/steps/node_answer_steps.py
+++ b/features/steps/node_answer_steps.py
@@ -201,9 +201,9 @@
     request = CallerPacket(CallerPacketKind.REQUEST, flow, 1, token=token)
     kind = BackendReplyKind.REFUSED if reply == "a refusal" else BackendReplyKind.ANSWER
     context.observer.observe_packet(segment_of(request), context.backend, 1.0)
-    for copy in range(2 if reply == "the answer twice" else 1):
+    for index in range(2 if reply == "the answer twice" else 1):
         head = reply_head_of(BackendReply(kind, flow, 1, token=token))
-        context.observer.observe_reply(head, 1.0 + ANSWER_S * (copy + 1))
+        context.observer.observe_reply(head, 1.0 + ANSWER_S * (index + 1))
     keepalive = CallerPacket(CallerPacketKind.KEEPALIVE, flow, token=token)
     context.observer.observe_packet(segment_of(keepalive), context.backend, 3.0)
 
--- a/sloepond/core/configuration/fetcher.py
+++ b/sloepond/core/configuration/fetcher.py
@@ -71,7 +71,7 @@
 
     def source_announced(self, source: Source) -> None:
         """Record a balancer with a newer generation, and fetch it if no fetch is in progress."""
-        self.sources.note(source)
+        self.sources.add_announcement(source)
         if self._attempt is None:
             self._start()
 
--- a/sloepond/core/configuration/sources.py
+++ b/sloepond/core/configuration/sources.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._by_address: OrderedDict[str, Source] = OrderedDict()
 
-    def note(self, source: Source) -> None:
+    def add_announcement(self, source: Source) -> None:
         """Add a balancer's announcement, or replace its former one."""
         self._by_address.pop(source.address, None)
         self._by_address[source.address] = source
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -99,7 +99,7 @@
         """Handle a snapshot from the platform's service, which may be stale."""
         self._hold.start()
         self._context.counters.configuration_reads += 1
-        self._note_service(is_up=True, detail="answers")
+        self._record_service_state(is_up=True, detail="answers")
         if self.is_ready:
             self._check_snapshot(snapshot)
             return
@@ -109,14 +109,14 @@
     def read_unchanged(self) -> None:
         """Record that the platform's service answered that there is no newer generation."""
         self._context.counters.configuration_reads += 1
-        self._note_service(is_up=True, detail="answers")
+        self._record_service_state(is_up=True, detail="answers")
 
     def read_failed(self, reason: str) -> None:
         """Record that the platform's service is down or its answer is invalid."""
         self._context.counters.configuration_read_failures += 1
-        self._note_service(is_up=False, detail=reason)
+        self._record_service_state(is_up=False, detail=reason)
 
-    def _note_service(self, is_up: bool, detail: str) -> None:
+    def _record_service_state(self, is_up: bool, detail: str) -> None:
         if is_up == self._service_up:
             return
         self._service_up = is_up
@@ -224,7 +224,7 @@
     def _source_heard(self, source: Source) -> None:
         """Fetch a peer's generation, but not during a check: it may be the same generation."""
         if self._work.is_busy:
-            self._fetcher.sources.note(source)
+            self._fetcher.sources.add_announcement(source)
         else:
             self._fetcher.source_announced(source)
 
