--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -28,8 +28,8 @@
     def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
         """Replies are to be sent."""
 
-    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
-        """A packet has come; `opens` where it asks for a flow the back end does not hold."""
+    def backend_received(self, host: BackendHost, packet: BackendPacket, is_new_flow: bool) -> None:
+        """A packet has come; `is_new_flow` where it asks for a flow the back end does not hold."""
 
     def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
         """An OPEN has made the back end hold a flow."""
@@ -42,8 +42,8 @@
     """A machine that runs one back end.
 
     :ivar model: the running back end, None while it is down.
-    :ivar killed_at: simulated times at which it was killed.
-    :ivar isolated_at: last time no balancer could reach it.
+    :ivar kill_times: simulated times at which it was killed.
+    :ivar last_isolated_at: last time no balancer could reach it.
     """
 
     def __init__(
@@ -64,8 +64,8 @@
         self._queue = queue
         self._random = random_source
         self._timer_at = NEVER
-        self.killed_at: list[float] = []
-        self.isolated_at = -NEVER
+        self.kill_times: list[float] = []
+        self.last_isolated_at = -NEVER
         self.model: BackendModel | None = None
         self._observer = observer
         self.start()
@@ -78,9 +78,9 @@
     def kill(self) -> None:
         """End the back end at once."""
         self.model = None
-        self.killed_at.append(self._queue.now)
+        self.kill_times.append(self._queue.now)
 
-    def mislead(self, load_factor: float, lag_s: float) -> None:
+    def set_load_report(self, load_factor: float, lag_s: float) -> None:
         """Change the load that the back end reports in its replies."""
         if self.model is not None:
             self.model.settings = msgspec.structs.replace(
@@ -94,20 +94,20 @@
             return
         packet = datagram.packet
         now = self._queue.now
-        opens = packet.kind is CallerPacketKind.OPEN and not model.holds(packet.flow)
-        self._observer.backend_received(self, packet, opens)
+        is_new_flow = packet.kind is CallerPacketKind.OPEN and not model.holds(packet.flow)
+        self._observer.backend_received(self, packet, is_new_flow)
         outputs = model.handle(packet, datagram.source, now)
-        if opens and model.holds(packet.flow):
+        if is_new_flow and model.holds(packet.flow):
             self._observer.backend_accepted(self, packet)
-        self._act(model, outputs)
+        self._process_outputs(model, outputs)
 
     def _on_timer(self, model: BackendModel) -> None:
         if model is not self.model or self._timer_at > self._queue.now:
             return
         self._timer_at = NEVER
-        self._act(model, model.on_timer(self._queue.now))
+        self._process_outputs(model, model.on_timer(self._queue.now))
 
-    def _act(self, model: BackendModel, outputs: list[BackendOutput]) -> None:
+    def _process_outputs(self, model: BackendModel, outputs: list[BackendOutput]) -> None:
         executions = model.executions
         if executions:
             for execution in executions:
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -42,18 +42,18 @@
 
 ENVELOPE_BYTES = 1 + 1 + 6 + 5 + 16
 """Bytes `wire.authentication` adds to a message, besides the sender's name."""
-MINIMUM_TIMER_S = 1e-4
+MINIMUM_TIMER_INTERVAL_S = 1e-4
 """Least time between two timers of one process, seconds; not measured."""
 
 
 class _Timer(msgspec.Struct, frozen=True, gc=False):
     """A timer of the process with a number; `deadline` is in seconds of the machine's clock."""
 
-    process: int
+    process_number: int
     deadline: float
 
 
-class Surroundings(Protocol):
+class CommandHandler(Protocol):
     """What a balancer's commands act upon."""
 
     def balancer_to_caller(self, host: BalancerHost, reply: CallerReply) -> None:
@@ -75,7 +75,7 @@
         """A process has ended after a planned stop."""
 
 
-class _HeldCommands(msgspec.Struct, frozen=True):
+class _PendingCommands(msgspec.Struct, frozen=True):
     """What a process decided on and was stopped before carrying out.
 
     :ivar decided_at: simulated seconds.
@@ -84,7 +84,7 @@
     decided_at: float
     commands: list[Command]
 
-    def still_valid(self, now: float) -> list[Command]:
+    def unexpired_commands(self, now: float) -> list[Command]:
         """Return what a process that wakes at `now` carries out.
 
         As the daemon's dispatcher does, it drops packets to back ends that were decided too long
@@ -99,7 +99,7 @@
     """A machine with at most one running process.
 
     :ivar node: the running process, None where there is none.
-    :ivar process: number of the process, so that late actions do not meet another one.
+    :ivar process_number: number of the process, so that late actions do not meet another one.
     :ivar paused: whether the process stands still.
     :ivar leaving: whether the process was asked to stop.
     :ivar configuration_blocks: faults that keep any configuration from it now.
@@ -112,19 +112,19 @@
         endpoint: Endpoint,
         address: str,
         queue: EventQueue,
-        surroundings: Surroundings,
+        command_handler: CommandHandler,
         random_source: random.Random,
     ) -> None:
         self.endpoint = endpoint
         self.name = endpoint.name
         self.address = address
         self._queue = queue
-        self._surroundings = surroundings
+        self._command_handler = command_handler
         self._random = random_source
-        self._envelope = ENVELOPE_BYTES + len(self.name)
+        self._envelope_bytes = ENVELOPE_BYTES + len(self.name)
         self._control_bytes = 0
         self.node: LabNode | None = None
-        self.process = 0
+        self.process_number = 0
         self.configuration_blocks = 0
         self._reset()
 
@@ -133,8 +133,8 @@
         self.paused = False
         self.leaving = False
         self.available_since = NEVER
-        self._held: _HeldCommands | None = None
-        self._hold_next = False
+        self._pending: _PendingCommands | None = None
+        self._defer_next_event = False
         self._buffers = SocketBuffers()
         self._timer_at = NEVER
 
@@ -145,7 +145,7 @@
         location = self.endpoint.location
         assert location is not None
         member = Member(self.name, incarnation, self.address, location)
-        self.process += 1
+        self.process_number += 1
         self._clock = MachineClock(self._random)
         self._reset()
         self.available_since = self._queue.now
@@ -157,7 +157,7 @@
     def crash(self) -> None:
         """End the process at once."""
         self.node = None
-        self.process += 1
+        self.process_number += 1
         self._reset()
 
     def pause(self) -> None:
@@ -165,22 +165,22 @@
         if self.node is None or self.paused:
             return
         self.paused = True
-        self._hold_next = True
+        self._defer_next_event = True
         self.available_since = NEVER
 
-    def wake(self, process: int) -> None:
+    def resume(self, process_number: int) -> None:
         """End a pause: act on what was decided before, then on what has queued."""
-        if process != self.process or not self.paused or self.node is None:
+        if process_number != self.process_number or not self.paused or self.node is None:
             return
         self.paused = False
         self.available_since = self._queue.now
-        held = self._held
-        self._held = None
-        self._hold_next = False
-        if held is not None:
-            self._perform(held.still_valid(self._queue.now))
+        pending = self._pending
+        self._pending = None
+        self._defer_next_event = False
+        if pending is not None:
+            self._perform(pending.unexpired_commands(self._queue.now))
         timer_after = self._random.randint(0, len(self._buffers))
-        for number, event in enumerate(self._buffers.take_all()):
+        for number, event in enumerate(self._buffers.drain()):
             if number == timer_after:
                 self.handle(TimerFired())
             self.handle(event)
@@ -209,7 +209,7 @@
 
     def receive_result(self, result: ProcessResult) -> None:
         """Take the result of a read; it is lost where the process has ended."""
-        if self.node is None or result.process != self.process:
+        if self.node is None or result.process_number != self.process_number:
             return
         if self.paused:
             self._buffers.add_result(result.event)
@@ -222,10 +222,10 @@
             return
         if not self.paused:
             self.handle(event)
-        elif self._hold_next:
-            self._hold_next = False
+        elif self._defer_next_event:
+            self._defer_next_event = False
             now = self._queue.now
-            self._held = _HeldCommands(now, node.handle(event, self._clock.local(now)))
+            self._pending = _PendingCommands(now, node.handle(event, self._clock.local(now)))
         else:
             self._buffers.add(socket, event)
 
@@ -248,12 +248,12 @@
 
     def _set_timer(self, deadline: float) -> None:
         queue = self._queue
-        due = max(self._clock.simulated(deadline), queue.now + MINIMUM_TIMER_S)
+        due = max(self._clock.simulated(deadline), queue.now + MINIMUM_TIMER_INTERVAL_S)
         self._timer_at = deadline
-        queue.schedule(due, self._on_timer, _Timer(self.process, deadline))
+        queue.schedule(due, self._on_timer, _Timer(self.process_number, deadline))
 
     def _on_timer(self, timer: _Timer) -> None:
-        is_current = timer.process == self.process and timer.deadline == self._timer_at
+        is_current = timer.process_number == self.process_number and timer.deadline == self._timer_at
         if not is_current or self.node is None or self.paused:
             return
         self._timer_at = NEVER
@@ -262,37 +262,37 @@
             if wanted < NEVER:
                 self._set_timer(wanted)
             return
-        self._clock.reached(timer.deadline)
+        self._clock.advance_to(timer.deadline)
         self.handle(TimerFired())
 
     # Output
 
-    def take_control_bytes(self) -> int:
+    def pop_control_bytes(self) -> int:
         """Return the bytes sent to other balancers since the last call."""
         sent = self._control_bytes
         self._control_bytes = 0
         return sent
 
     def _perform(self, commands: list[Command]) -> None:
-        surroundings = self._surroundings
+        command_handler = self._command_handler
         for command in commands:
             if isinstance(command, SendToBackend):
-                surroundings.balancer_to_backend(self, command.address, command.packet)
+                command_handler.balancer_to_backend(self, command.address, command.packet)
             elif isinstance(command, SendToCaller):
-                surroundings.balancer_to_caller(self, command.reply)
+                command_handler.balancer_to_caller(self, command.reply)
             elif isinstance(command, SendToPeer):
                 self._send_to_peer(command)
             elif isinstance(command, ReadConfiguration):
-                surroundings.read_configuration(self)
+                command_handler.read_configuration(self)
             elif isinstance(command, ReadMachineList):
-                surroundings.read_machine_list(self)
+                command_handler.read_machine_list(self)
             elif isinstance(command, CompleteStop):
-                surroundings.balancer_ended(self)
+                command_handler.balancer_ended(self)
                 self.crash()
 
     def _send_to_peer(self, command: SendToPeer) -> None:
         assert self.node is not None
-        self._control_bytes += len(encode_message(command.message)) + self._envelope
+        self._control_bytes += len(encode_message(command.message)) + self._envelope_bytes
         incarnation = self.node.identity.incarnation
         datagram = PeerDatagram(self.name, incarnation, self.address, command.message)
-        self._surroundings.balancer_to_peer(self, command.address, datagram)
+        self._command_handler.balancer_to_peer(self, command.address, datagram)
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -18,28 +18,28 @@
 from sloepond.lab.checkers.requests import RequestChecker
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.fabric import Fabric
-from sloepond.lab.reach import Reach
+from sloepond.lab.reach import Reachability
 from sloepond.lab.scenario import CallerModel, LoadModel
 from sloepond.standins.caller_model import CallerFlow
 from sloepond.standins.caller_plan import CallerSettings, FlowPlan, RequestPlan
 from sloepond.standins.caller_record import FlowState, RequestOutcome
 from sloepond.standins.content import FEED_PAYLOAD, download_payload
 
-LATE_REPLIES_S = 13.0
+LATE_REPLY_CHECK_S = 13.0
 """Seconds after the end of a flow during which replies to it are still checked: more than the
 timeout of a caller, 12 s."""
 REQUEST_PAYLOAD = b"request"
 """What a session sends; a back end answers it with content of its own."""
-SERVABLE_KEPT = 12
+MAXIMUM_SERVABLE_TIMES = 12
 """Latest packets of a caller whose time is kept, for the flow checker: more than a caller sends in its
 timeout while it gets no reply; not measured."""
-CANCEL_AFTER_S = 0.02
+CANCEL_DELAY_S = 0.02
 """Time from a request to its cancellation, seconds: inside the service time of `long-requests`, 0.3 s."""
 PART_BYTES = 1_000
 """Payload bytes of one part of an answer."""
 
 
-class ServiceEntrance(msgspec.Struct, frozen=True, eq=False):
+class ServiceTarget(msgspec.Struct, frozen=True, eq=False):
     """Where callers of one service send to.
 
     :ivar fabrics: one is drawn for each flow.
@@ -67,7 +67,7 @@
     finished: bool = False
     last_reply_at: float = -NEVER
     servable_at: collections.deque[float] = msgspec.field(
-        default_factory=lambda: collections.deque(maxlen=SERVABLE_KEPT)
+        default_factory=lambda: collections.deque(maxlen=MAXIMUM_SERVABLE_TIMES)
     )
     ended_requests: int = 0
 
@@ -79,7 +79,7 @@
     """
 
     load: LoadModel
-    entrance: ServiceEntrance
+    target: ServiceTarget
     times: list[float]
     random: random.Random
     settings: CallerSettings
@@ -97,10 +97,10 @@
         model: CallerModel,
         flow_checker: FlowChecker,
         request_checker: RequestChecker,
-        reach: Reach,
+        reachability: Reachability,
     ) -> None:
         self._queue = queue
-        self._reach = reach
+        self._reachability = reachability
         self._model = model
         self._flow_checker = flow_checker
         self._request_checker = request_checker
@@ -110,16 +110,16 @@
     # Arrivals
 
     def add_load(
-        self, load: LoadModel, entrance: ServiceEntrance, start: float, random_source: random.Random
+        self, load: LoadModel, target: ServiceTarget, start: float, random_source: random.Random
     ) -> None:
         """Let the flows of `load` arrive from time `start` on."""
         first = start + load.start_s
         times = sorted(
             (first + random_source.random() * load.over_s for _ in range(load.flows)), reverse=True
         )
-        arrivals = _Arrivals(load, entrance, times, random_source, self._settings(load))
+        arrivals = _Arrivals(load, target, times, random_source, self._settings(load))
         if times:
-            self._queue.schedule(times[-1], self._arrive, arrivals)
+            self._queue.schedule(times[-1], self._start_next_flow, arrivals)
 
     def _settings(self, load: LoadModel) -> CallerSettings:
         model = self._model
@@ -132,21 +132,21 @@
             feed_patience_s=model.patience_s,
         )
 
-    def _arrive(self, arrivals: _Arrivals) -> None:
+    def _start_next_flow(self, arrivals: _Arrivals) -> None:
         arrivals.times.pop()
         if arrivals.times:
-            self._queue.schedule(arrivals.times[-1], self._arrive, arrivals)
-        draw = arrivals.random
-        entrance = arrivals.entrance
+            self._queue.schedule(arrivals.times[-1], self._start_next_flow, arrivals)
+        random_source = arrivals.random
+        target = arrivals.target
         self.started += 1
-        flow_key = FlowKey(entrance.address, self._address(), draw.getrandbits(48))
-        plan = plan_flow(arrivals.load, self._model, draw)
-        flow = CallerFlow(flow_key, entrance.name, plan, arrivals.settings)
-        caller = _Caller(flow, draw.choice(entrance.fabrics))
+        flow_key = FlowKey(target.address, self._next_address(), random_source.getrandbits(48))
+        plan = plan_flow(arrivals.load, self._model, random_source)
+        flow = CallerFlow(flow_key, target.name, plan, arrivals.settings)
+        caller = _Caller(flow, random_source.choice(target.fabrics))
         self._callers[flow_key] = caller
-        self._after(caller, flow.start(self._queue.now))
+        self._handle_flow_output(caller, flow.start(self._queue.now))
 
-    def _address(self) -> str:
+    def _next_address(self) -> str:
         """Return a caller's address; addresses are used again by later flows."""
         number = self.started % 60_000
         return f"10.200.{number // 250}.{number % 250 + 1}:{20_000 + number % 7}"
@@ -165,28 +165,30 @@
         if flow.record.answered_after_refusal != refused_answers:
             self._request_checker.answered_after_refusal(flow.record, reply, self._queue.now)
         if not caller.finished:
-            self._after(caller, packets, reply)
+            self._handle_flow_output(caller, packets, reply)
 
     def _on_timer(self, caller: _Caller) -> None:
         now = self._queue.now
         if caller.finished or caller.timer_at > now:
             return
         caller.timer_at = NEVER
-        self._after(caller, caller.flow.on_timer(now))
+        self._handle_flow_output(caller, caller.flow.on_timer(now))
 
-    def _after(self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None) -> None:
+    def _handle_flow_output(
+        self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None
+    ) -> None:
         """Send the packets, report changes to the checkers and set the timer."""
         flow = caller.flow
         record = flow.record
         if not caller.established and record.state is not FlowState.OPENING:
-            self._opening_ended(caller)
+            self._report_opening(caller)
         if caller.ended_requests < len(record.requests):
-            self._requests_ended(caller, reply)
+            self._report_ended_requests(caller, reply)
         for packet in packets:
             if packet.kind is CallerPacketKind.REQUEST and packet.attempt == 0:
                 self._request_checker.request_sent(packet.flow, packet.request_id, packet.repeatable)
             host = caller.fabric.spray(packet)
-            if host is not None and self._reach.can_serve(host, record.backend):
+            if host is not None and self._reachability.can_serve(host, record.backend):
                 caller.servable_at.append(self._queue.now)
         deadline = flow.next_deadline()
         if deadline < caller.timer_at:
@@ -195,7 +197,7 @@
         elif flow.is_finished:
             self._finish(caller)
 
-    def _opening_ended(self, caller: _Caller) -> None:
+    def _report_opening(self, caller: _Caller) -> None:
         record = caller.flow.record
         if record.opened_at:
             caller.established = True
@@ -203,7 +205,7 @@
         elif record.state is FlowState.REFUSED:
             self._request_checker.flow_refused(record, self._queue.now)
 
-    def _requests_ended(self, caller: _Caller, reply: CallerReply | None) -> None:
+    def _report_ended_requests(self, caller: _Caller, reply: CallerReply | None) -> None:
         record = caller.flow.record
         now = self._queue.now
         while caller.ended_requests < len(record.requests):
@@ -222,31 +224,33 @@
         caller.finished = True
         service_times = ServiceTimes(caller.last_reply_at, tuple(caller.servable_at))
         self._flow_checker.flow_ended(caller.flow.record, service_times, self._queue.now)
-        self._queue.schedule(self._queue.now + LATE_REPLIES_S, self._forget, caller)
+        self._queue.schedule(self._queue.now + LATE_REPLY_CHECK_S, self._remove, caller)
 
-    def _forget(self, caller: _Caller) -> None:
+    def _remove(self, caller: _Caller) -> None:
         self._callers.pop(caller.flow.record.flow, None)
 
 
-def plan_flow(load: LoadModel, model: CallerModel, draw: random.Random) -> FlowPlan:
+def plan_flow(load: LoadModel, model: CallerModel, random_source: random.Random) -> FlowPlan:
     """Return what one flow of `load` does."""
     if load.kind == "download":
         size = max(1, load.parts * PART_BYTES - PART_BYTES // 2)
         return FlowPlan((RequestPlan(download_payload(size), repeatable=True),), 0.0)
-    duration = draw.expovariate(1.0 / load.duration_s) if load.duration_s > 0 else 0.0
+    duration = random_source.expovariate(1.0 / load.duration_s) if load.duration_s > 0 else 0.0
     if load.kind == "feed":
         return FlowPlan((RequestPlan(FEED_PAYLOAD, repeatable=True),), duration)
-    count = max(1, round(draw.uniform(0.5, 1.5) * load.requests)) if load.requests >= 1 else 1
+    count = max(1, round(random_source.uniform(0.5, 1.5) * load.requests)) if load.requests >= 1 else 1
     pause = duration / (count + 1)
-    requests = tuple(_session_request(load, model, draw, pause) for _ in range(count))
+    requests = tuple(_session_request(load, model, random_source, pause) for _ in range(count))
     return FlowPlan(requests, pause)
 
 
-def _session_request(load: LoadModel, model: CallerModel, draw: random.Random, pause_s: float) -> RequestPlan:
-    cancelled = model.cancel > 0 and draw.random() < model.cancel
+def _session_request(
+    load: LoadModel, model: CallerModel, random_source: random.Random, pause_s: float
+) -> RequestPlan:
+    cancelled = model.cancel > 0 and random_source.random() < model.cancel
     return RequestPlan(
         payload=REQUEST_PAYLOAD,
-        repeatable=draw.random() >= load.not_repeatable,
+        repeatable=random_source.random() >= load.not_repeatable,
         pause_s=pause_s,
-        cancel_after_s=CANCEL_AFTER_S if cancelled else None,
+        cancel_after_s=CANCEL_DELAY_S if cancelled else None,
     )
--- a/sloepond/lab/checkers/balance.py
+++ b/sloepond/lab/checkers/balance.py
@@ -32,7 +32,7 @@
         return ordered[index]
 
 
-class SecondMean:
+class MeanAccumulator:
     """Sums readings of one second, by back end."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         for name, value in readings.items():
             self._sums[name] = self._sums.get(name, 0.0) + value
 
-    def take(self) -> dict[str, float]:
+    def pop_means(self) -> dict[str, float]:
         """Return the means since the last call."""
         means = {name: value / self._readings for name, value in self._sums.items()}
         self._sums = {}
--- a/sloepond/lab/checkers/configuration.py
+++ b/sloepond/lab/checkers/configuration.py
@@ -29,7 +29,7 @@
     peer_generation: Callable[[], int]
 
 
-class _Published(msgspec.Struct):
+class _PublishedGeneration(msgspec.Struct):
     """One generation; `served_since` is when the platform last began to serve it."""
 
     generation: int
@@ -39,58 +39,58 @@
 class ConfigurationChecker:
     """Follows what is in force at each process; see the module.
 
-    :ivar in_force_seconds: longest time from a generation's publication until a
+    :ivar maximum_in_force_delay_s: longest time from a generation's publication until a
         reachable process had it in force.
     """
 
-    LIMIT_S = 4.0
+    IN_FORCE_LIMIT_S = 4.0
     """Seconds within which a generation must be in force."""
-    NEWCOMER_S = 4.0
+    PROPAGATION_GRACE_S = 4.0
     """Seconds after which a generation is known to the fleet, so that no newcomer may
     use an older one while it can reach a peer that has the newer one."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
-        self._published: list[_Published] = []
-        self._generation: dict[tuple[str, int], int] = {}
+        self._generations: list[_PublishedGeneration] = []
+        self._generation_in_force: dict[tuple[str, int], int] = {}
         self._reported: set[tuple[str, int, int]] = set()
         self._fleet_generation = 0
         self._fleet_generation_at = 0.0
-        self.in_force_seconds = 0.0
+        self.maximum_in_force_delay_s = 0.0
 
-    def published(self, generation: int, now: float) -> None:
+    def generation_published(self, generation: int, now: float) -> None:
         """The platform serves a new generation; infinity where it is down."""
-        self._published.append(_Published(generation, now))
+        self._generations.append(_PublishedGeneration(generation, now))
 
-    def served_again(self, now: float) -> None:
+    def serving_resumed(self, now: float) -> None:
         """The platform is back and serves the latest generation."""
-        for published in self._published:
+        for published in self._generations:
             published.served_since = now
 
-    def withheld(self) -> None:
+    def serving_stopped(self) -> None:
         """The platform no longer serves the latest generation."""
-        for published in self._published:
+        for published in self._generations:
             published.served_since = float("inf")
 
     def observe(self, observation: BalancerObservation, now: float) -> None:
         """Compare one process with what was published."""
         key = (observation.name, observation.incarnation)
-        before = self._generation.get(key)
-        self._generation[key] = observation.generation
-        self._check_revert(observation, before, now)
+        previous = self._generation_in_force.get(key)
+        self._generation_in_force[key] = observation.generation
+        self._check_revert(observation, previous, now)
         self._check_lateness(observation, now)
         if observation.generation > self._fleet_generation:
             self._fleet_generation = observation.generation
             self._fleet_generation_at = now
 
-    def _check_revert(self, observation: BalancerObservation, before: int | None, now: float) -> None:
+    def _check_revert(self, observation: BalancerObservation, previous: int | None, now: float) -> None:
         generation = observation.generation
-        if before is not None and generation < before:
-            detail = f"{observation.name} went from generation {before} back to {generation}"
+        if previous is not None and generation < previous:
+            detail = f"{observation.name} went from generation {previous} back to {generation}"
             self._log.add(Promise.CONFIGURATION_REVERTS, now, detail)
             return
-        started_using = not before and generation > 0
-        known = now - self._fleet_generation_at > self.NEWCOMER_S
+        started_using = not previous and generation > 0
+        known = now - self._fleet_generation_at > self.PROPAGATION_GRACE_S
         is_old = started_using and known and generation < self._fleet_generation
         if is_old and observation.peer_generation() > generation:
             detail = (
@@ -100,13 +100,13 @@
             self._log.add(Promise.CONFIGURATION_REVERTS, now, detail)
 
     def _check_lateness(self, observation: BalancerObservation, now: float) -> None:
-        for published in reversed(self._published):
+        for published in reversed(self._generations):
             if published.generation <= observation.generation:
                 return
-            late = now - max(published.served_since, observation.reachable_since)
-            self.in_force_seconds = max(self.in_force_seconds, late)
+            delay_s = now - max(published.served_since, observation.reachable_since)
+            self.maximum_in_force_delay_s = max(self.maximum_in_force_delay_s, delay_s)
             key = (observation.name, observation.incarnation, published.generation)
-            if late > self.LIMIT_S and key not in self._reported:
+            if delay_s > self.IN_FORCE_LIMIT_S and key not in self._reported:
                 self._reported.add(key)
-                detail = f"{observation.name} lacks generation {published.generation} after {late:.2f} s"
+                detail = f"{observation.name} lacks generation {published.generation} after {delay_s:.2f} s"
                 self._log.add(Promise.CONFIGURATION_IN_FORCE, now, detail)
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -13,14 +13,14 @@
 
 from sloepond.core.packets import FlowKey
 from sloepond.lab.checkers.violations import Promise, ViolationLog
-from sloepond.lab.reach import Reach
+from sloepond.lab.reach import Reachability
 from sloepond.standins.backend_record import Execution
 from sloepond.standins.caller_record import BreakReason, FlowRecord
 
 REPLY_MARGIN_S = 3.0
 """Seconds a packet that can be served is given until its flow counts as left without
 reply; the next item of a feed comes only after the feed's interval, 2 s."""
-SERVED_S = 1.0
+LAST_REPLY_MARGIN_S = 1.0
 """Seconds around the last reply in which packets belong to what was served before the silence; not
 measured."""
 
@@ -47,19 +47,19 @@
 class FlowChecker:
     """Judges flows; see the module.
 
-    :ivar cut: flows that ended because faults left no way to their back end.
+    :ivar flows_cut: flows that ended because faults left no way to their back end.
     :ivar open_peak: largest number of open flows.
     """
 
-    def __init__(self, log: ViolationLog, reach: Reach, patience_s: float) -> None:
+    def __init__(self, log: ViolationLog, reachability: Reachability, patience_s: float) -> None:
         self._log = log
-        self._reach = reach
+        self._reachability = reachability
         self._patience_s = patience_s
         self._open: dict[FlowKey, _OpenFlow] = {}
         self._accepted: dict[FlowKey, dict[str, float]] = {}
         self._broken: set[FlowKey] = set()
         self.broken_at: list[float] = []
-        self.cut = 0
+        self.flows_cut = 0
         self.open_peak = 0
 
     def flow_accepted(self, flow: FlowKey, backend: str, now: float) -> None:
@@ -85,7 +85,7 @@
         flow = self._open.get(execution.flow)
         if flow is None or flow.backend == execution.backend:
             return
-        if not self._reach.was_killed_since(flow.backend, flow.since):
+        if not self._reachability.was_killed_since(flow.backend, flow.since):
             detail = f"moved from {flow.backend} to {execution.backend}"
             self._report(execution.flow, now, detail)
 
@@ -96,23 +96,23 @@
         if flow is None or record.break_reason is BreakReason.NONE:
             return
         backend = flow.backend
-        if self._reach.was_killed_since(backend, flow.since):
+        if self._reachability.was_killed_since(backend, flow.since):
             return
         if record.break_reason is BreakReason.SILENT and now - times.last_reply_at < self._patience_s:
             return
         silent = record.break_reason in (BreakReason.SILENT, BreakReason.FEED_STALLED)
-        if silent and self._was_cut(backend, times, now):
-            self.cut += 1
+        if silent and self._was_cut_off(backend, times, now):
+            self.flows_cut += 1
             return
         detail = f"{record.break_reason} at {backend}, reason {record.reason.name}"
         self._report(record.flow, now, detail)
 
-    def _was_cut(self, backend: str, times: ServiceTimes, now: float) -> bool:
+    def _was_cut_off(self, backend: str, times: ServiceTimes, now: float) -> bool:
         """Return whether faults left no balancer that could have served the flow."""
         since = now - self._patience_s
         until = now - REPLY_MARGIN_S
-        could_be_served = any(since + SERVED_S <= time <= until for time in times.servable_at)
-        return not could_be_served or self._reach.was_isolated_since(backend, since)
+        could_be_served = any(since + LAST_REPLY_MARGIN_S <= time <= until for time in times.servable_at)
+        return not could_be_served or self._reachability.was_isolated_since(backend, since)
 
     def _report(self, flow: FlowKey, now: float, detail: str) -> None:
         if flow in self._broken:
--- a/sloepond/lab/checkers/places.py
+++ b/sloepond/lab/checkers/places.py
@@ -14,11 +14,11 @@
 class PlaceChecker:
     """Checks each packet that reaches a back end.
 
-    :ivar last_new_work_s: longest time after the declaration of a drain at which
+    :ivar maximum_new_work_delay_s: longest time after the declaration of a drain at which
         a back end was still given a new flow, in seconds.
     """
 
-    GRACE_S = 5.0
+    DECLARATION_GRACE_S = 5.0
     """Seconds after a generation is published during which the former one may rule."""
 
     def __init__(self, log: ViolationLog) -> None:
@@ -26,9 +26,9 @@
         self._permitted_until: dict[str, float] = {}
         self._service_of: dict[str, str] = {}
         self._draining_since: dict[str, float] = {}
-        self.last_new_work_s = 0.0
+        self.maximum_new_work_delay_s = 0.0
 
-    def published(self, configuration: CompiledConfiguration, now: float) -> None:
+    def generation_published(self, configuration: CompiledConfiguration, now: float) -> None:
         """The operator has declared a generation."""
         for name, backend in configuration.backends_by_name.items():
             service = configuration.services_by_name[backend.service]
@@ -36,24 +36,24 @@
             if backend.permitted:
                 self._permitted_until[name] = float("inf")
             elif self._permitted_until.get(name) == float("inf"):
-                self._permitted_until[name] = now + self.GRACE_S
-            self._note_drain(name, backend.accepts_new_flows, now)
+                self._permitted_until[name] = now + self.DECLARATION_GRACE_S
+            self._update_drain(name, backend.accepts_new_flows, now)
         for name in self._service_of.keys() - configuration.backends_by_name.keys():
-            self._note_drain(name, False, now)
+            self._update_drain(name, False, now)
 
-    def withheld(self, now: float) -> None:
+    def serving_stopped(self, now: float) -> None:
         """The platform stopped serving; drains it has just declared may be unknown until it is back."""
         for name, since in self._draining_since.items():
-            if now - since < self.GRACE_S:
+            if now - since < self.DECLARATION_GRACE_S:
                 self._draining_since[name] = float("inf")
 
-    def served_again(self, now: float) -> None:
+    def serving_resumed(self, now: float) -> None:
         """The platform serves the latest generation again."""
         for name, since in self._draining_since.items():
             if since > now:
                 self._draining_since[name] = now
 
-    def _note_drain(self, name: str, accepts_new_flows: bool, now: float) -> None:
+    def _update_drain(self, name: str, accepts_new_flows: bool, now: float) -> None:
         if accepts_new_flows:
             self._draining_since.pop(name, None)
         else:
@@ -76,9 +76,9 @@
         since = self._draining_since.get(backend)
         if since is None or backend not in self._permitted_until:
             return
-        late = now - since
-        if late > self.last_new_work_s:
-            self.last_new_work_s = late
-        if late > self.GRACE_S:
-            detail = f"new flow at {backend}, {late:.2f} s after it was declared draining"
+        delay_s = now - since
+        if delay_s > self.maximum_new_work_delay_s:
+            self.maximum_new_work_delay_s = delay_s
+        if delay_s > self.DECLARATION_GRACE_S:
+            detail = f"new flow at {backend}, {delay_s:.2f} s after it was declared draining"
             self._log.add(Promise.NEW_WORK_AFTER_DRAIN, now, detail)
--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -28,25 +28,25 @@
         self._log = log
         self._executed: dict[RequestIdentity, Execution] = {}
         self._refused: dict[RequestIdentity, str] = {}
-        self._once: set[RequestIdentity] = set()
+        self._not_repeatable: set[RequestIdentity] = set()
 
     def request_sent(self, flow: FlowKey, request_id: int, repeatable: bool | None) -> None:
         """A caller sent a request for the first time."""
         if repeatable is False:
-            self._once.add(RequestIdentity(flow, request_id))
+            self._not_repeatable.add(RequestIdentity(flow, request_id))
 
     def executed(self, execution: Execution, now: float) -> None:
         """A back end started a request."""
         identity = RequestIdentity(execution.flow, execution.request_id)
-        before = self._executed.get(identity)
-        if before is None:
+        previous = self._executed.get(identity)
+        if previous is None:
             self._executed[identity] = execution
-        elif identity in self._once:
-            detail = f"{_name(identity)}: {_run(before)}, then {_run(execution)}"
+        elif identity in self._not_repeatable:
+            detail = f"{_request_text(identity)}: {_run_text(previous)}, then {_run_text(execution)}"
             self._log.add(Promise.DUPLICATE_EXECUTIONS, now, detail)
         reason = self._refused.pop(identity, None)
         if reason is not None:
-            detail = f"{_name(identity)}: refused as {reason}, then {_run(execution)}"
+            detail = f"{_request_text(identity)}: refused as {reason}, then {_run_text(execution)}"
             self._log.add(Promise.FALSE_NOT_RUN, now, detail)
 
     def request_ended(
@@ -62,7 +62,7 @@
     def request_unknown(self, record: FlowRecord, request: RequestRecord, now: float) -> None:
         """A caller's request ended without a known outcome."""
         identity = RequestIdentity(record.flow, request.request_id)
-        self._log.add(Promise.OUTCOME_UNKNOWN, now, f"{_name(identity)}: {request.reason.name}")
+        self._log.add(Promise.OUTCOME_UNKNOWN, now, f"{_request_text(identity)}: {request.reason.name}")
 
     def flow_refused(self, record: FlowRecord, now: float) -> None:
         """A caller's flow was refused before it was established."""
@@ -71,32 +71,32 @@
     def answered_after_refusal(self, record: FlowRecord, reply: CallerReply, now: float) -> None:
         """A caller received an answer to a request it had been refused."""
         identity = RequestIdentity(record.flow, reply.request_id)
-        self._log.add(Promise.FALSE_NOT_RUN, now, f"{_name(identity)}: answered after it was refused")
+        self._log.add(Promise.FALSE_NOT_RUN, now, f"{_request_text(identity)}: answered after it was refused")
 
     def _request_refused(self, identity: RequestIdentity, request: RequestRecord, now: float) -> None:
         reason = request.reason.name
-        self._log.add(Promise.REFUSED, now, f"{_name(identity)}: {reason}")
+        self._log.add(Promise.REFUSED, now, f"{_request_text(identity)}: {reason}")
         execution = self._executed.get(identity)
         if execution is None:
             self._refused[identity] = reason
             return
-        detail = f"{_name(identity)}: {_run(execution)}, then refused as {reason}"
+        detail = f"{_request_text(identity)}: {_run_text(execution)}, then refused as {reason}"
         self._log.add(Promise.FALSE_NOT_RUN, now, detail)
 
     def _wrong_answer(self, identity: RequestIdentity, reply: CallerReply, now: float) -> None:
         content = decode_answer(reply.payload)
         if reply.parts == 1 and content is not None:
-            detail = f"{_name(identity)}: answer to request {content.request_id} of {content.flow}"
+            detail = f"{_request_text(identity)}: answer to request {content.request_id} of {content.flow}"
             self._log.add(Promise.ANSWERS_CROSSED, now, detail)
             return
-        detail = f"{_name(identity)}: {reply.parts} parts do not make one whole answer"
+        detail = f"{_request_text(identity)}: {reply.parts} parts do not make one whole answer"
         self._log.add(Promise.ANSWERS_INCOMPLETE, now, detail)
 
 
-def _name(identity: RequestIdentity) -> str:
+def _request_text(identity: RequestIdentity) -> str:
     flow = identity.flow
     return f"request {identity.request_id} of flow {flow.incarnation:x} of {flow.caller_address}"
 
 
-def _run(execution: Execution) -> str:
+def _run_text(execution: Execution) -> str:
     return f"run by {execution.backend} at {execution.started_at:.3f} (attempt {execution.attempt})"
--- a/sloepond/lab/checkers/traffic.py
+++ b/sloepond/lab/checkers/traffic.py
@@ -19,7 +19,7 @@
         self._control_bytes = 0
         self._balancer_seconds = 0
 
-    def second_ended(self, sent: list[int]) -> None:
+    def add_second(self, sent: list[int]) -> None:
         """Add the bytes each running balancer sent in the past second."""
         if not sent:
             return
--- a/sloepond/lab/checkers/violations.py
+++ b/sloepond/lab/checkers/violations.py
@@ -27,9 +27,9 @@
     CONFIGURATION_IN_FORCE = "configuration_in_force_seconds_max"
 
 
-TIMED = frozenset({Promise.NEW_WORK_AFTER_DRAIN, Promise.CONFIGURATION_IN_FORCE})
+TIMED_PROMISES = frozenset({Promise.NEW_WORK_AFTER_DRAIN, Promise.CONFIGURATION_IN_FORCE})
 """Promises measured by a longest time, in seconds."""
-COUNTED = tuple(promise for promise in Promise if promise not in TIMED)
+COUNTED_PROMISES = tuple(promise for promise in Promise if promise not in TIMED_PROMISES)
 """Promises measured by the number of violations."""
 
 
--- a/sloepond/lab/checks.py
+++ b/sloepond/lab/checks.py
@@ -11,7 +11,7 @@
 from sloepond.lab.declaration import hall_locations
 from sloepond.lab.scenario import Scenario, ScenarioError, ScenarioFinding, balancer_name
 
-_KINDS = ("session", "feed", "download")
+_LOAD_KINDS = ("session", "feed", "download")
 
 
 def require_valid(scenario: Scenario, place: str) -> Scenario:
@@ -38,19 +38,19 @@
         where = f"{place}: load[{number}]"
         if load.service not in services:
             yield ScenarioFinding(where, f"no service is named {load.service}")
-        if load.kind not in _KINDS:
-            yield ScenarioFinding(where, f"kind {load.kind} is none of {', '.join(_KINDS)}")
+        if load.kind not in _LOAD_KINDS:
+            yield ScenarioFinding(where, f"kind {load.kind} is none of {', '.join(_LOAD_KINDS)}")
 
 
 def _check_faults(scenario: Scenario, place: str) -> Iterator[ScenarioFinding]:
     known = _machine_names(scenario) | _hall_names(scenario)
     for number, fault in enumerate(scenario.faults, start=1):
-        for name in _names_in(fault):
+        for name in _names_used_by(fault):
             if name not in known:
                 yield ScenarioFinding(f"{place}: faults[{number}]", f"nothing is named {name}")
 
 
-def _names_in(fault: faults.Fault) -> Iterator[str]:
+def _names_used_by(fault: faults.Fault) -> Iterator[str]:
     for field in ("balancers", "backends", "side", "other"):
         value = getattr(fault, field, ())
         if isinstance(value, tuple):
@@ -66,12 +66,12 @@
 def _machine_names(scenario: Scenario) -> set[str]:
     """Return the names of all machines there may be, those that join later included."""
     first = scenario.topology.balancer_names()
-    later = sum(_machines_added(fault, len(first)) for fault in scenario.faults)
+    later = sum(_machines_added_by(fault, len(first)) for fault in scenario.faults)
     names = {*first, *(balancer_name(len(first) + number + 1) for number in range(later))}
     return names.union(*(service.backend_names() for service in scenario.services))
 
 
-def _machines_added(fault: faults.Fault, first: int) -> int:
+def _machines_added_by(fault: faults.Fault, first: int) -> int:
     if isinstance(fault, faults.Join):
         return fault.count
     if isinstance(fault, faults.RollingReplace):
--- a/sloepond/lab/datagrams.py
+++ b/sloepond/lab/datagrams.py
@@ -31,5 +31,5 @@
 class ProcessResult(msgspec.Struct, frozen=True, gc=False):
     """What a read gave, for the process with a number alone."""
 
-    process: int
+    process_number: int
     event: Event
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from sloepond.lab.network import address
+from sloepond.lab.network import make_address
 from sloepond.lab.scenario import Scenario, ServiceModel, Topology
 from sloepond.resources.content import make_snapshot
 from sloepond.resources.model import (
@@ -63,7 +63,7 @@
         self._valid_backends: dict[str, Backend] = {}
         self._valid_services: dict[str, Service] = {}
         self._generation = 0
-        self._changes = 0
+        self._label_changes = 0
         for number, service in enumerate(scenario.services):
             self._add_service(number, service)
 
@@ -90,9 +90,9 @@
 
     def change_label(self) -> None:
         """Change something that has no effect on traffic."""
-        self._changes += 1
+        self._label_changes += 1
         name, service = next(iter(self.services.items()))
-        metadata = Metadata(name=name, labels={"change": str(self._changes)})
+        metadata = Metadata(name=name, labels={"change": str(self._label_changes)})
         self.services[name] = msgspec.structs.replace(service, metadata=metadata)
 
     def _add_service(self, number: int, model: ServiceModel) -> None:
@@ -100,7 +100,7 @@
         if model.denied_hall:
             denied = (PlaceSelector(hall=f"hall-{model.denied_hall}"),)
         spec = ServiceSpec(
-            address=address(SERVICE_NETWORK, number, SERVICE_PORT),
+            address=make_address(SERVICE_NETWORK, number, SERVICE_PORT),
             permitted=(PlaceSelector(region=REGION),),
             denied=denied,
         )
@@ -112,7 +112,7 @@
         number = len(self.backends)
         spec = BackendSpec(
             service=model.name,
-            address=address(BACKEND_NETWORK, number, BACKEND_PORT),
+            address=make_address(BACKEND_NETWORK, number, BACKEND_PORT),
             hall=hall,
             slots=model.slots,
             connections=model.connections,
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -16,11 +16,11 @@
 from sloepond.lab.world import World
 from sloepond.resources.model import BackendState
 
-STOP_POLL_S = 0.2
+STOP_POLL_INTERVAL_S = 0.2
 """Time between looks whether a stopping process has ended, seconds; not measured."""
 
 
-class Director:
+class FaultInjector:
     """Schedules the faults of a timeline; see `sloepond.lab.faults`.
 
     :param world: built, not yet started.
@@ -41,12 +41,12 @@
             faults.BackendCrash: self._backend_crash,
             faults.BackendLie: self._backend_lie,
             faults.ConfigurationChange: self._configuration_change,
-            faults.PlatformDown: self._withhold_platform,
-            faults.PlatformStale: self._withhold_platform,
+            faults.PlatformDown: self._degrade_platform,
+            faults.PlatformStale: self._degrade_platform,
             faults.ConfigurationDelay: self._configuration_delay,
         }
-        self._withheld: list[faults.PlatformDown | faults.PlatformStale] = []
-        self._blocked: list[set[tuple[str, str]]] = []
+        self._platform_faults: list[faults.PlatformDown | faults.PlatformStale] = []
+        self._blocked_pairs: list[set[tuple[str, str]]] = []
 
     def schedule(self, timeline: tuple[faults.Fault, ...]) -> None:
         """Schedule all entries."""
@@ -57,8 +57,8 @@
     def _apply(self, fault: faults.Fault) -> None:
         self._handlers[type(fault)](fault)
 
-    def _later(self, delay: float, action: Callable[[], None]) -> None:
-        self._queue.schedule(self._queue.now + delay, _call, action)
+    def _schedule_after(self, delay: float, action: Callable[[], None]) -> None:
+        self._queue.schedule(self._queue.now + delay, _run_action, action)
 
     # Balancers
 
@@ -75,7 +75,7 @@
             self._world.note(f"{host.name} crashes")
             self._world.fleet.crash(host)
             if fault.restart_after_s is not None:
-                self._later(fault.restart_after_s, partial(self._start, host))
+                self._schedule_after(fault.restart_after_s, partial(self._start, host))
 
     def _start(self, host: BalancerHost) -> None:
         if host.node is None:
@@ -87,9 +87,9 @@
             if not self._request_stop(host):
                 continue
             if fault.replace:
-                self._when_ended(host, host.process, partial(self._replace, host))
+                self._run_when_ended(host, host.process_number, partial(self._replace, host))
             elif fault.restart:
-                self._when_ended(host, host.process, partial(self._start, host))
+                self._run_when_ended(host, host.process_number, partial(self._start, host))
 
     def _request_stop(self, host: BalancerHost) -> bool:
         """Ask a process to stop; return False where there is none or it is stopping already."""
@@ -97,15 +97,17 @@
             return False
         self._world.note(f"{host.name} is asked to stop")
         host.leaving = True
-        self._world.fleet.fabric.changed(host, present=False)
-        host.receive_result(ProcessResult(host.process, StopRequested()))
+        self._world.fleet.fabric.balancer_changed(host, present=False)
+        host.receive_result(ProcessResult(host.process_number, StopRequested()))
         return True
 
-    def _when_ended(self, host: BalancerHost, process: int, action: Callable[[], None]) -> None:
-        if host.node is None or host.process != process:
+    def _run_when_ended(self, host: BalancerHost, process_number: int, action: Callable[[], None]) -> None:
+        if host.node is None or host.process_number != process_number:
             action()
         else:
-            self._later(STOP_POLL_S, partial(self._when_ended, host, process, action))
+            self._schedule_after(
+                STOP_POLL_INTERVAL_S, partial(self._run_when_ended, host, process_number, action)
+            )
 
     def _replace(self, host: BalancerHost) -> None:
         new = self._world.fleet.add(host.endpoint.hall)
@@ -125,9 +127,9 @@
 
         def ended() -> None:
             self._replace(host)
-            self._later(pause_s, partial(self._replace_next, hosts[1:], pause_s))
+            self._schedule_after(pause_s, partial(self._replace_next, hosts[1:], pause_s))
 
-        self._when_ended(host, host.process, ended)
+        self._run_when_ended(host, host.process_number, ended)
 
     def _join(self, fault: faults.Join) -> None:
         for _ in range(fault.count):
@@ -140,28 +142,32 @@
                 continue
             self._world.note(f"{host.name} pauses for {fault.duration_s:g} s")
             host.pause()
-            self._queue.schedule(self._queue.now + fault.duration_s, host.wake, host.process)
+            self._queue.schedule(self._queue.now + fault.duration_s, host.resume, host.process_number)
 
     # Network
 
     def _partition(self, fault: faults.Partition) -> None:
-        side = self._side(fault.side, fault.backends)
-        other = self._side(fault.other, fault.backends) if fault.other else self._rest(side, fault.backends)
+        side = self._machines_on_side(fault.side, fault.backends)
+        other = (
+            self._machines_on_side(fault.other, fault.backends)
+            if fault.other
+            else self._machines_elsewhere(side, fault.backends)
+        )
         pairs = {(first, second) for first in side for second in other if first != second}
         if not fault.one_way:
             pairs |= {(second, first) for first, second in pairs}
         self._world.note(f"partition: {', '.join(fault.side)} for {fault.duration_s:g} s")
-        self._world.reach.partitioned_at = self._queue.now
-        self._blocked.append(pairs)
-        self._world.network.blocked = set().union(*self._blocked)
-        self._later(fault.duration_s, partial(self._heal, pairs))
+        self._world.reachability.partitioned_at = self._queue.now
+        self._blocked_pairs.append(pairs)
+        self._world.network.blocked = set().union(*self._blocked_pairs)
+        self._schedule_after(fault.duration_s, partial(self._heal, pairs))
 
     def _heal(self, pairs: set[tuple[str, str]]) -> None:
         self._world.note("partition heals")
-        self._blocked = [kept for kept in self._blocked if kept is not pairs]
-        self._world.network.blocked = set().union(*self._blocked)
+        self._blocked_pairs = [kept for kept in self._blocked_pairs if kept is not pairs]
+        self._world.network.blocked = set().union(*self._blocked_pairs)
 
-    def _side(self, names: tuple[str, ...], backends: bool) -> set[str]:
+    def _machines_on_side(self, names: tuple[str, ...], backends: bool) -> set[str]:
         wanted = set(names)
         side = {host.name for host in self._hosts(names)}
         for host in self._world.backends.values():
@@ -170,7 +176,7 @@
                 side.add(host.name)
         return side
 
-    def _rest(self, side: set[str], backends: bool) -> set[str]:
+    def _machines_elsewhere(self, side: set[str], backends: bool) -> set[str]:
         rest = set(self._world.fleet.balancers)
         if backends:
             rest |= set(self._world.backends)
@@ -180,7 +186,7 @@
         network = self._world.network
         self._world.note(f"links lose {fault.loss:.0%} for {fault.duration_s:g} s")
         network.disturb(fault.loss, fault.duplicate, fault.reorder)
-        self._later(fault.duration_s, network.reset_disturbance)
+        self._schedule_after(fault.duration_s, network.reset_disturbance)
 
     # Back ends
 
@@ -189,7 +195,7 @@
         if fault.notice:
             self._set_draining(fault.backends, True)
         if fault.restore_after_s is not None:
-            self._later(fault.restore_after_s, partial(self._restore, fault.backends))
+            self._schedule_after(fault.restore_after_s, partial(self._restore, fault.backends))
 
     def _restore(self, backends: tuple[str, ...]) -> None:
         self._set_draining(backends, False)
@@ -213,7 +219,7 @@
                 continue
             self._world.note(f"{name} crashes")
             host.kill()
-            self._later(fault.restart_after_s, partial(self._backend_start, name))
+            self._schedule_after(fault.restart_after_s, partial(self._backend_start, name))
 
     def _backend_start(self, name: str) -> None:
         self._world.note(f"{name} starts")
@@ -223,8 +229,8 @@
         for name in fault.backends:
             self._world.note(f"{name} misleads for {fault.duration_s:g} s")
             host = self._world.backends[name]
-            host.mislead(fault.load_factor, fault.lag_s)
-            self._later(fault.duration_s, partial(host.mislead, 1.0, 0.0))
+            host.set_load_report(fault.load_factor, fault.lag_s)
+            self._schedule_after(fault.duration_s, partial(host.set_load_report, 1.0, 0.0))
 
     # Configuration
 
@@ -232,39 +238,41 @@
         self._world.declaration.change_label()
         self._world.publish()
 
-    def _withhold_platform(self, fault: faults.PlatformDown | faults.PlatformStale) -> None:
+    def _degrade_platform(self, fault: faults.PlatformDown | faults.PlatformStale) -> None:
         state = "down" if isinstance(fault, faults.PlatformDown) else "stale"
         self._world.note(f"configuration service {state} for {fault.duration_s:g} s")
-        self._withheld.append(fault)
-        self._platform_changed()
-        self._later(fault.duration_s, partial(self._restore_platform, fault))
+        self._platform_faults.append(fault)
+        self._update_platform()
+        self._schedule_after(fault.duration_s, partial(self._restore_platform, fault))
 
     def _restore_platform(self, fault: faults.PlatformDown | faults.PlatformStale) -> None:
-        self._withheld = [kept for kept in self._withheld if kept is not fault]
-        self._platform_changed()
+        self._platform_faults = [kept for kept in self._platform_faults if kept is not fault]
+        self._update_platform()
 
-    def _platform_changed(self) -> None:
+    def _update_platform(self) -> None:
         platform = self._world.platform
-        stale = [fault.generations for fault in self._withheld if isinstance(fault, faults.PlatformStale)]
-        platform.down = len(stale) < len(self._withheld)
+        stale = [
+            fault.generations for fault in self._platform_faults if isinstance(fault, faults.PlatformStale)
+        ]
+        platform.down = len(stale) < len(self._platform_faults)
         platform.stale_generations = max(stale, default=0)
-        if self._withheld:
-            self._world.platform_withheld()
+        if self._platform_faults:
+            self._world.platform_serving_stopped()
         else:
             self._world.note("configuration service serves the latest generation")
-            self._world.platform_served_again()
+            self._world.platform_serving_resumed()
 
     def _configuration_delay(self, fault: faults.ConfigurationDelay) -> None:
         hosts = self._hosts(fault.balancers)
         names = ", ".join(sorted(host.name for host in hosts))
         self._world.note(f"no configuration reaches {names} for {fault.duration_s:g} s")
         self._block_configuration(hosts, 1)
-        self._later(fault.duration_s, partial(self._block_configuration, hosts, -1))
+        self._schedule_after(fault.duration_s, partial(self._block_configuration, hosts, -1))
 
     def _block_configuration(self, hosts: list[BalancerHost], change: int) -> None:
         for host in hosts:
             host.configuration_blocks += change
 
 
-def _call(action: Callable[[], None]) -> None:
+def _run_action(action: Callable[[], None]) -> None:
     action()
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -15,7 +15,7 @@
 from sloepond.lab.network import Endpoint, Network
 
 
-class _Change(msgspec.Struct, frozen=True, eq=False):
+class _PresenceChange(msgspec.Struct, frozen=True, eq=False):
     """A balancer has come or gone."""
 
     host: BalancerHost
@@ -38,27 +38,29 @@
         self._callers = callers
         self._lag_s = lag_s
         self._draw = random_source.random
-        self._known: list[BalancerHost] = []
+        self._balancers: list[BalancerHost] = []
 
-    def changed(self, host: BalancerHost, present: bool) -> None:
+    def balancer_changed(self, host: BalancerHost, present: bool) -> None:
         """A balancer has started, or has ended or begun to leave; known after the lag."""
-        self._queue.schedule(self._queue.now + self._lag_s, self._learn, _Change(host, present))
+        self._queue.schedule(
+            self._queue.now + self._lag_s, self._apply_change, _PresenceChange(host, present)
+        )
 
-    def _learn(self, change: _Change) -> None:
+    def _apply_change(self, change: _PresenceChange) -> None:
         host = change.host
-        if change.present and host not in self._known:
-            self._known.append(host)
-        elif not change.present and host in self._known and not self._is_back(host):
-            self._known.remove(host)
+        if change.present and host not in self._balancers:
+            self._balancers.append(host)
+        elif not change.present and host in self._balancers and not self._is_available(host):
+            self._balancers.remove(host)
 
-    def _is_back(self, host: BalancerHost) -> bool:
+    def _is_available(self, host: BalancerHost) -> bool:
         return host.node is not None and not host.leaving
 
     def spray(self, packet: CallerPacket) -> BalancerHost | None:
         """Send a caller's packet to any of the balancers and return which one."""
-        known = self._known
-        if not known:
+        balancers = self._balancers
+        if not balancers:
             return None
-        host = known[int(self._draw() * len(known))]
+        host = balancers[int(self._draw() * len(balancers))]
         self._network.transmit(self._callers, host.endpoint, host.receive_from_caller, packet)
         return host
--- a/sloepond/lab/fleet.py
+++ b/sloepond/lab/fleet.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from sloepond.core.settings import NodeSettings
-from sloepond.lab.balancer import BalancerHost, Surroundings
+from sloepond.lab.balancer import BalancerHost, CommandHandler
 from sloepond.lab.engine import EventQueue, RandomStreams
 from sloepond.lab.fabric import Fabric
 from sloepond.lab.hosting import NodeFactory
-from sloepond.lab.network import Endpoint, Network, address
+from sloepond.lab.network import Endpoint, Network, make_address
 from sloepond.lab.platform import Platform
 from sloepond.lab.scenario import Scenario, balancer_name
 from sloepond.resources.model import Location
@@ -24,15 +24,15 @@
 """Port at which balancers take messages of each other."""
 PEER_NETWORK = "10.0"
 """First half of the addresses of balancers."""
-INCARNATION_BASE = 1_760_000_000_000
+INCARNATION_BASE_MS = 1_760_000_000_000
 """Milliseconds of wall time at simulated time 0."""
 FABRIC_STREAM = "fabric/cell-1"
 """Random stream of the fabric; its name is part of what a seed stands for."""
-SEEDS = 6
+MAXIMUM_SEEDS = 6
 """Peer addresses given to a balancer that starts; not measured."""
 
 
-class FleetMedium(msgspec.Struct, frozen=True, eq=False):
+class FleetEnvironment(msgspec.Struct, frozen=True, eq=False):
     """What the balancers run on."""
 
     queue: EventQueue
@@ -53,31 +53,31 @@
     def __init__(
         self,
         scenario: Scenario,
-        medium: FleetMedium,
+        environment: FleetEnvironment,
         factory: NodeFactory,
         settings: NodeSettings,
         halls: list[Location],
-        surroundings: Surroundings,
+        command_handler: CommandHandler,
     ) -> None:
         self._scenario = scenario
-        self._medium = medium
+        self._environment = environment
         self._factory = factory
         self._base_settings = settings
-        self._surroundings = surroundings
+        self._command_handler = command_handler
         self._locations = {location.hall: location for location in halls}
         self.balancers: dict[str, BalancerHost] = {}
         self.by_address: dict[str, BalancerHost] = {}
         self.fabric = Fabric(
-            medium.queue,
-            medium.network,
-            medium.callers,
+            environment.queue,
+            environment.network,
+            environment.callers,
             scenario.platform.fabric_lag_s,
-            medium.streams.stream(FABRIC_STREAM),
+            environment.streams.stream(FABRIC_STREAM),
         )
         for location in halls:
             for _ in range(scenario.topology.balancers_per_hall):
                 self._add_machine(location)
-        self._first = frozenset(self.balancers)
+        self._initial_names = frozenset(self.balancers)
 
     def running(self) -> Iterator[BalancerHost]:
         """Yield the machines whose process runs or is paused."""
@@ -87,11 +87,11 @@
         number = len(self.balancers) + 1
         name = balancer_name(number)
         host = BalancerHost(
-            endpoint=self._medium.network.endpoint(name, location),
-            address=address(PEER_NETWORK, number, PEER_PORT),
-            queue=self._medium.queue,
-            surroundings=self._surroundings,
-            random_source=self._medium.streams.stream(f"balancer/{name}"),
+            endpoint=self._environment.network.endpoint(name, location),
+            address=make_address(PEER_NETWORK, number, PEER_PORT),
+            queue=self._environment.queue,
+            command_handler=self._command_handler,
+            random_source=self._environment.streams.stream(f"balancer/{name}"),
         )
         self.balancers[name] = host
         self.by_address[host.address] = host
@@ -101,11 +101,11 @@
         """Start a process on `host`."""
         if host.node is not None:
             return
-        now = self._medium.queue.now
-        incarnation = INCARNATION_BASE + int(now * 1000)
-        member = host.start(self._factory, self._settings_of(host), incarnation)
-        self._medium.platform.machine_changed(now, host.name, member)
-        self.fabric.changed(host, present=True)
+        now = self._environment.queue.now
+        incarnation = INCARNATION_BASE_MS + int(now * 1000)
+        member = host.start(self._factory, self._settings_for(host), incarnation)
+        self._environment.platform.machine_changed(now, host.name, member)
+        self.fabric.balancer_changed(host, present=True)
 
     def add(self, hall: str) -> BalancerHost:
         """Start a balancer on a new machine in `hall`."""
@@ -118,21 +118,21 @@
         if host.node is None:
             return
         host.crash()
-        self.ended(host)
+        self.process_ended(host)
 
-    def ended(self, host: BalancerHost) -> None:
+    def process_ended(self, host: BalancerHost) -> None:
         """Let the platform and the fabric learn in time that a process has ended."""
-        self._medium.platform.machine_changed(self._medium.queue.now, host.name, None)
-        self.fabric.changed(host, present=False)
+        self._environment.platform.machine_changed(self._environment.queue.now, host.name, None)
+        self.fabric.balancer_changed(host, present=False)
 
-    def _settings_of(self, host: BalancerHost) -> NodeSettings:
+    def _settings_for(self, host: BalancerHost) -> NodeSettings:
         base = self._base_settings
-        membership = msgspec.structs.replace(base.membership, seeds=self._seeds_of(host))
+        membership = msgspec.structs.replace(base.membership, seeds=self._seeds_for(host))
         return msgspec.structs.replace(base, membership=membership)
 
-    def _seeds_of(self, host: BalancerHost) -> tuple[str, ...]:
+    def _seeds_for(self, host: BalancerHost) -> tuple[str, ...]:
         """Return addresses from the list of machines, as a deployment would fill them in."""
-        listed = {member.name for member in self._medium.platform.machines(self._medium.queue.now)}
-        names = listed or self._first
+        listed = {member.name for member in self._environment.platform.machines(self._environment.queue.now)}
+        names = listed or self._initial_names
         peers = [peer for name, peer in self.balancers.items() if name in names and peer is not host]
-        return tuple(peer.address for peer in peers)[:SEEDS]
+        return tuple(peer.address for peer in peers)[:MAXIMUM_SEEDS]
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -17,7 +17,7 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 
-class InForce(Protocol):
+class ConfigurationHolder(Protocol):
     """Holds the configuration in force."""
 
     @property
@@ -33,7 +33,7 @@
         """Name, incarnation and address of its process."""
 
     @property
-    def configuration(self) -> InForce:
+    def configuration(self) -> ConfigurationHolder:
         """What configuration it uses."""
 
     def start(self, now: float) -> list[Command]:
--- a/sloepond/lab/machine_clock.py
+++ b/sloepond/lab/machine_clock.py
@@ -7,9 +7,9 @@
 
 import random
 
-CLOCK_SPREAD_S = 100_000.0
+MAXIMUM_CLOCK_OFFSET_S = 100_000.0
 """Clocks start between 0 and this, seconds, so that times of two machines cannot be compared."""
-DRIFT = 50e-6
+MAXIMUM_DRIFT = 50e-6
 """Largest share a clock runs fast or slow, 50 ppm; not measured."""
 
 
@@ -19,8 +19,8 @@
     __slots__ = ("_latest", "_rate", "_start")
 
     def __init__(self, random_source: random.Random) -> None:
-        self._start = random_source.uniform(0.0, CLOCK_SPREAD_S)
-        self._rate = 1.0 + random_source.uniform(-DRIFT, DRIFT)
+        self._start = random_source.uniform(0.0, MAXIMUM_CLOCK_OFFSET_S)
+        self._rate = 1.0 + random_source.uniform(-MAXIMUM_DRIFT, MAXIMUM_DRIFT)
         self._latest = 0.0
 
     def local(self, now: float) -> float:
@@ -31,6 +31,6 @@
         """Return the simulated time at which the machine's clock shows `local`."""
         return (local - self._start) / self._rate
 
-    def reached(self, local: float) -> None:
+    def advance_to(self, local: float) -> None:
         """Note that a timer for `local` has fired: rounding must not show an earlier time after it."""
         self._latest = max(self._latest, local)
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -13,15 +13,15 @@
 from sloepond.lab.scenario import NetworkModel
 from sloepond.resources.model import Location
 
-ADDRESSES_PER_NETWORK = 250
+HOSTS_PER_SUBNET = 250
 """Numbers used in the last byte of an address, from 1."""
-_MILLISECOND = 0.001
+_S_PER_MS = 0.001
 """Seconds."""
 
 
-def address(network: str, number: int, port: int) -> str:
+def make_address(network: str, number: int, port: int) -> str:
     """Return an address `ip:port` in `network`, the first two bytes of it; numbers are from 0."""
-    third, last = divmod(number, ADDRESSES_PER_NETWORK)
+    third, last = divmod(number, HOSTS_PER_SUBNET)
     return f"{network}.{third}.{last + 1}:{port}"
 
 
@@ -30,16 +30,16 @@
 
     :ivar location: None for the callers, which stand outside the halls.
     :ivar hall: name of its hall; empty for the callers.
-    :ivar place: index of its place in the latency table.
+    :ivar location_index: index of its place in the latency table.
     """
 
-    __slots__ = ("hall", "location", "name", "place")
+    __slots__ = ("hall", "location", "name", "location_index")
 
-    def __init__(self, name: str, location: Location | None, place: int) -> None:
+    def __init__(self, name: str, location: Location | None, location_index: int) -> None:
         self.name = name
         self.location = location
         self.hall = location.hall if location is not None else ""
-        self.place = place
+        self.location_index = location_index
 
 
 class Network:
@@ -54,20 +54,20 @@
         self._random = random_source
         self._draw = random_source.random
         self._locations: list[Location | None] = []
-        self._places: dict[Location | None, int] = {}
+        self._location_indexes: dict[Location | None, int] = {}
         self._latency: list[list[float]] = []
         self._jitter = model.jitter
-        self._lifetime = model.lifetime_ms * _MILLISECOND
+        self._lifetime = model.lifetime_ms * _S_PER_MS
         self.blocked: set[tuple[str, str]] = set()
         self._disturbed = False
         self.disturb(model.loss, model.duplicate, model.reorder)
 
     def endpoint(self, name: str, location: Location | None) -> Endpoint:
         """Return a new endpoint."""
-        place = self._places.get(location)
-        if place is None:
-            place = self._add_place(location)
-        return Endpoint(name, location, place)
+        location_index = self._location_indexes.get(location)
+        if location_index is None:
+            location_index = self._add_location(location)
+        return Endpoint(name, location, location_index)
 
     def disturb(self, loss: float, duplicate: float, reorder: float) -> None:
         """Set the shares of datagrams lost, delivered twice and held back."""
@@ -99,32 +99,34 @@
         """
         if self.blocked and (source.name, destination.name) in self.blocked:
             return
-        delay = self._latency[source.place][destination.place] * (1.0 + self._jitter * self._draw())
+        delay = self._latency[source.location_index][destination.location_index] * (
+            1.0 + self._jitter * self._draw()
+        )
         queue = self._queue
         if self._disturbed:
             if self._draw() < self._loss:
                 return
             if may_duplicate and self._draw() < self._duplicate:
-                queue.schedule(queue.now + self._held(delay), action, argument)
+                queue.schedule(queue.now + self._reordered_delay(delay), action, argument)
             if self._draw() < self._reorder:
-                delay = self._held(delay)
+                delay = self._reordered_delay(delay)
         queue._sequence = sequence = queue._sequence + 1
         heappush(queue._heap, (queue.now + delay, sequence, action, argument))
 
-    def _held(self, delay: float) -> float:
-        held = delay + self._draw() * self._model.reorder_ms * _MILLISECOND
+    def _reordered_delay(self, delay: float) -> float:
+        held = delay + self._draw() * self._model.reorder_ms * _S_PER_MS
         return min(held, self._lifetime)
 
-    def _add_place(self, location: Location | None) -> int:
-        self._places[location] = len(self._locations)
+    def _add_location(self, location: Location | None) -> int:
+        self._location_indexes[location] = len(self._locations)
         self._locations.append(location)
         self._latency = [
-            [self._between_ms(first, second) * _MILLISECOND for second in self._locations]
+            [self._latency_between_ms(first, second) * _S_PER_MS for second in self._locations]
             for first in self._locations
         ]
-        return self._places[location]
+        return self._location_indexes[location]
 
-    def _between_ms(self, first: Location | None, second: Location | None) -> float:
+    def _latency_between_ms(self, first: Location | None, second: Location | None) -> float:
         model = self._model
         if first is None or second is None:
             return model.caller_latency_ms
--- a/sloepond/lab/plot.py
+++ b/sloepond/lab/plot.py
@@ -13,7 +13,7 @@
 _WIDTH_INCHES = 10.0
 _HEIGHT_INCHES = 9.0
 _PANELS = 3
-_MARK_SIZE = 3.0
+_MARKER_SIZE_POINTS = 3.0
 """Points."""
 
 
@@ -56,6 +56,6 @@
 
 def _draw_control(axes: Any, result: LabResult) -> None:
     values = result.series.control_bytes
-    axes.plot(range(1, len(values) + 1), values, marker=".", markersize=_MARK_SIZE)
+    axes.plot(range(1, len(values) + 1), values, marker=".", markersize=_MARKER_SIZE_POINTS)
     axes.set_ylabel("control bytes/s per balancer")
     axes.set_ylim(bottom=0)
--- a/sloepond/lab/reach.py
+++ b/sloepond/lab/reach.py
@@ -12,11 +12,11 @@
 from sloepond.lab.engine import EventQueue
 from sloepond.lab.network import Network
 
-NOTICE_S = 2.0
+PARTITION_DETECTION_S = 2.0
 """Time after the start of a partition in which balancers may still send into it, seconds; not measured."""
 
 
-class Reach:
+class Reachability:
     """Reach of the machines at the moment.
 
     :ivar partitioned_at: simulated time the last partition began.
@@ -35,45 +35,45 @@
         self._backends = backends
         self.partitioned_at = -float("inf")
 
-    def has_way(self, first: str, second: str) -> bool:
+    def is_connected(self, first: str, second: str) -> bool:
         """Return whether datagrams pass between two machines both ways."""
         network = self._network
         return not (network.is_blocked(first, second) or network.is_blocked(second, first))
 
-    def is_peer(self, host: BalancerHost, peer: BalancerHost) -> bool:
+    def is_reachable_peer(self, host: BalancerHost, peer: BalancerHost) -> bool:
         """Return whether `peer` runs and datagrams pass between it and `host`."""
         runs = peer.node is not None and not peer.paused
-        return runs and self.has_way(host.name, peer.name)
+        return runs and self.is_connected(host.name, peer.name)
 
     def can_serve(self, host: BalancerHost, backend: str) -> bool:
         """Return whether `host`, alone or through one other balancer, can reach the back end.
 
-        No balancer can know of a partition before `NOTICE_S` has passed.
+        No balancer can know of a partition before `PARTITION_DETECTION_S` has passed.
         """
         if host.node is None or host.paused:
             return False
         if not self._network.blocked:
             return True
-        if self._queue.now - self.partitioned_at < NOTICE_S:
+        if self._queue.now - self.partitioned_at < PARTITION_DETECTION_S:
             return False
-        if self.has_way(host.name, backend):
+        if self.is_connected(host.name, backend):
             return True
-        peers = (peer for peer in self._balancers.values() if self.is_peer(host, peer))
-        return any(self.has_way(peer.name, backend) for peer in peers)
+        peers = (peer for peer in self._balancers.values() if self.is_reachable_peer(host, peer))
+        return any(self.is_connected(peer.name, backend) for peer in peers)
 
     def is_isolated(self, backend: str) -> bool:
         """Return whether no running balancer can reach the back end."""
         running = (host for host in self._balancers.values() if host.node is not None and not host.paused)
-        return not any(self.has_way(host.name, backend) for host in running)
+        return not any(self.is_connected(host.name, backend) for host in running)
 
     def was_killed_since(self, backend: str, time: float) -> bool:
         """Return whether the back end was killed after `time` or is not running."""
         host = self._backends.get(backend)
         if host is None:
             return False
-        return host.model is None or any(killed >= time for killed in host.killed_at)
+        return host.model is None or any(killed >= time for killed in host.kill_times)
 
     def was_isolated_since(self, backend: str, time: float) -> bool:
         """Return whether no balancer could reach the back end at a moment after `time`."""
         host = self._backends.get(backend)
-        return host is not None and host.isolated_at >= time
+        return host is not None and host.last_isolated_at >= time
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -9,28 +9,28 @@
 import time
 from collections.abc import Callable
 
-from sloepond.lab.checkers.violations import COUNTED, Promise, Violation
-from sloepond.lab.director import Director
+from sloepond.lab.checkers.violations import COUNTED_PROMISES, Promise, Violation
+from sloepond.lab.director import FaultInjector
 from sloepond.lab.hosting import BALANCER_NODE, NodeFactory
-from sloepond.lab.random_faults import draw_faults
+from sloepond.lab.random_faults import generate_faults
 from sloepond.lab.result import BrokenPromise, LabResult, Measures, Series
 from sloepond.lab.sampler import Sampler, load_end
 from sloepond.lab.scenario import Scenario
 from sloepond.lab.world import World
 
-PROGRESS_STEP_S = 0.5
+PROGRESS_INTERVAL_S = 0.5
 """Simulated time between reports of progress, seconds."""
-_DECIMALS = 4
+_MEASURE_DECIMALS = 4
 """Decimals of the measures."""
 
-Progress = Callable[[float, float], None]
+ProgressCallback = Callable[[float, float], None]
 """Called with the simulated seconds done and those in all."""
 
 
 def run_scenario(
     scenario: Scenario,
     seed: int = 1,
-    progress: Progress | None = None,
+    progress: ProgressCallback | None = None,
     factory: NodeFactory = BALANCER_NODE,
     ordered_flows: bool = True,
 ) -> LabResult:
@@ -61,18 +61,18 @@
         self.seed = seed
         self.world = World(scenario, seed, factory, ordered_flows)
         self._sampler = Sampler(self.world)
-        timeline = (*scenario.faults, *draw_faults(scenario, self.world.streams.stream("faults")))
-        Director(self.world).schedule(timeline)
+        timeline = (*scenario.faults, *generate_faults(scenario, self.world.streams.stream("faults")))
+        FaultInjector(self.world).schedule(timeline)
         self._end = load_end(scenario) + scenario.timing.settle_s
 
-    def run(self, progress: Progress | None = None) -> LabResult:
+    def run(self, progress: ProgressCallback | None = None) -> LabResult:
         """Simulate until the end; return what was measured and which promises broke."""
         started = time.perf_counter()
         self.world.start()
         self._sampler.start()
         queue = self.world.queue
         while queue.now < self._end:
-            queue.run_until(min(self._end, queue.now + PROGRESS_STEP_S))
+            queue.run_until(min(self._end, queue.now + PROGRESS_INTERVAL_S))
             if progress is not None:
                 progress(queue.now, self._end)
         return self._result(time.perf_counter() - started)
@@ -85,7 +85,7 @@
             measures=measures,
             broken_promises=tuple(self._broken_promises(measures)),
             timeline=tuple(self.world.timeline),
-            flows_cut=self.world.flow_checker.cut,
+            flows_cut=self.world.flow_checker.flows_cut,
             series=Series(
                 in_flight=self._sampler.in_flight,
                 control_bytes=self._sampler.traffic.control_by_second,
@@ -95,7 +95,7 @@
 
     def _measures(self, wall_seconds: float) -> Measures:
         world = self.world
-        counts = {promise.value: world.log.counts[promise] for promise in COUNTED}
+        counts = {promise.value: world.log.counts[promise] for promise in COUNTED_PROMISES}
         traffic = self._sampler.traffic
         balance = self._sampler.balance
         return Measures(
@@ -104,8 +104,8 @@
             flows_open_peak=world.flow_checker.open_peak,
             imbalance_p50=_rounded(balance.percentile(0.5)),
             imbalance_p99=_rounded(balance.percentile(0.99)),
-            new_work_after_drain_seconds=_rounded(world.place_checker.last_new_work_s),
-            configuration_in_force_seconds_max=_rounded(world.configuration_checker.in_force_seconds),
+            new_work_after_drain_seconds=_rounded(world.place_checker.maximum_new_work_delay_s),
+            configuration_in_force_seconds_max=_rounded(world.configuration_checker.maximum_in_force_delay_s),
             control_bytes_per_second_max=traffic.control_maximum,
             control_bytes_per_second_mean=_rounded(traffic.control_mean),
             simulated_seconds=self._end,
@@ -120,10 +120,10 @@
             limit = getattr(expect, name)
             measured = getattr(measures, name)
             if limit is not None and measured > limit:
-                broken.append(BrokenPromise(name, measured, limit, self._first(name)))
+                broken.append(BrokenPromise(name, measured, limit, self._first_violations(name)))
         return broken
 
-    def _first(self, name: str) -> tuple[Violation, ...]:
+    def _first_violations(self, name: str) -> tuple[Violation, ...]:
         if name not in set(Promise):
             return ()
         form_s = self.scenario.timing.form_s
@@ -132,4 +132,4 @@
 
 
 def _rounded(value: float) -> float:
-    return round(value, _DECIMALS)
+    return round(value, _MEASURE_DECIMALS)
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -9,7 +9,7 @@
 
 from sloepond.core.deadlines import NEVER
 from sloepond.lab.balancer import BalancerHost
-from sloepond.lab.checkers.balance import BalanceMeter, SecondMean
+from sloepond.lab.checkers.balance import BalanceMeter, MeanAccumulator
 from sloepond.lab.checkers.configuration import BalancerObservation
 from sloepond.lab.checkers.traffic import TrafficMeter
 from sloepond.lab.scenario import Scenario
@@ -17,9 +17,9 @@
 
 CONFIGURATION_INTERVAL_S = 0.1
 """Time between looks at configurations: a fortieth of the limit of 4 s that is checked."""
-READING_INTERVAL_S = 0.1
+IN_FLIGHT_INTERVAL_S = 0.1
 """Time between readings of the work in flight; ten make one sample of balance."""
-SECOND = 1.0
+SAMPLE_INTERVAL_S = 1.0
 """Time between samples, seconds."""
 
 
@@ -29,82 +29,84 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._queue = world.queue
-        self._connected_since: dict[str, float] = {}
+        self._last_unreachable_at: dict[str, float] = {}
         self.balance = BalanceMeter()
         self.traffic = TrafficMeter()
         self.in_flight: dict[str, list[float]] = {name: [] for name in world.backends}
-        self._means = SecondMean()
+        self._means = MeanAccumulator()
         self._balance_until = load_end(world.scenario)
 
     def start(self) -> None:
         """Begin to sample, the balance and bytes once the balancers have started."""
-        self._queue.schedule(self._queue.now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
-        self._queue.schedule(self._world.scenario.timing.form_s, self._begin_seconds)
+        self._queue.schedule(self._queue.now + CONFIGURATION_INTERVAL_S, self._check_configurations)
+        self._queue.schedule(self._world.scenario.timing.form_s, self._start_sampling)
 
-    def _begin_seconds(self, _: None) -> None:
+    def _start_sampling(self, _: None) -> None:
         for host in self._world.fleet.balancers.values():
-            host.take_control_bytes()
-        self._queue.schedule(self._queue.now + SECOND, self._second_ended)
+            host.pop_control_bytes()
+        self._queue.schedule(self._queue.now + SAMPLE_INTERVAL_S, self._take_samples)
         self._read_in_flight(None)
 
     # Configurations
 
-    def _look_at_configurations(self, _: None) -> None:
+    def _check_configurations(self, _: None) -> None:
         now = self._queue.now
         checker = self._world.configuration_checker
         for host in self._world.fleet.running():
             assert host.node is not None
             observation = BalancerObservation(
                 name=host.name,
-                incarnation=host.process,
+                incarnation=host.process_number,
                 generation=host.node.configuration.in_force.generation,
                 reachable_since=self._reachable_since(host),
                 peer_generation=partial(self._peer_generation, host),
             )
             checker.observe(observation, now)
-        self._queue.schedule(now + CONFIGURATION_INTERVAL_S, self._look_at_configurations)
+        self._queue.schedule(now + CONFIGURATION_INTERVAL_S, self._check_configurations)
 
     def _reachable_since(self, host: BalancerHost) -> float:
         """Return since when the process runs and configurations can reach it."""
         now = self._queue.now
         if host.paused or host.configuration_blocks:
-            self._connected_since[host.name] = now
+            self._last_unreachable_at[host.name] = now
             return NEVER
-        return max(host.available_since, self._connected_since.get(host.name, 0.0))
+        return max(host.available_since, self._last_unreachable_at.get(host.name, 0.0))
 
     def _peer_generation(self, host: BalancerHost) -> int:
         """Return the highest generation in force at the peers that a process can reach now."""
         generations = [
             peer.node.configuration.in_force.generation
             for peer in self._world.fleet.running()
-            if peer is not host and peer.node is not None and self._world.reach.is_peer(host, peer)
+            if peer is not host
+            and peer.node is not None
+            and self._world.reachability.is_reachable_peer(host, peer)
         ]
         return max(generations, default=0)
 
     # Every second
 
-    def _second_ended(self, _: None) -> None:
+    def _take_samples(self, _: None) -> None:
         self._sample_traffic()
         self._sample_balance()
         self._sample_isolation()
-        self._queue.schedule(self._queue.now + SECOND, self._second_ended)
+        self._queue.schedule(self._queue.now + SAMPLE_INTERVAL_S, self._take_samples)
 
     def _sample_traffic(self) -> None:
         sent: list[int] = []
         for host in self._world.fleet.balancers.values():
-            control_bytes = host.take_control_bytes()
+            control_bytes = host.pop_control_bytes()
             if host.node is not None:
                 sent.append(control_bytes)
-        self.traffic.second_ended(sent)
+        self.traffic.add_second(sent)
 
     def _read_in_flight(self, _: None) -> None:
         """Read the work of all back ends; the mean over a second becomes one sample."""
         backends = self._world.backends.items()
         self._means.add({name: float(host.model.in_flight) for name, host in backends if host.model})
-        self._queue.schedule(self._queue.now + READING_INTERVAL_S, self._read_in_flight)
+        self._queue.schedule(self._queue.now + IN_FLIGHT_INTERVAL_S, self._read_in_flight)
 
     def _sample_balance(self) -> None:
-        means = self._means.take()
+        means = self._means.pop_means()
         for name, values in self.in_flight.items():
             values.append(round(means.get(name, 0.0), 2))
         if self._queue.now > self._balance_until:
@@ -115,8 +117,8 @@
 
     def _sample_isolation(self) -> None:
         for backend in self._world.backends.values():
-            if self._world.reach.is_isolated(backend.name):
-                backend.isolated_at = self._queue.now
+            if self._world.reachability.is_isolated(backend.name):
+                backend.last_isolated_at = self._queue.now
 
 
 def load_end(scenario: Scenario) -> float:
--- a/sloepond/lab/socket_buffers.py
+++ b/sloepond/lab/socket_buffers.py
@@ -10,7 +10,7 @@
 
 from sloepond.core.events import Event
 
-SOCKET_BUFFER = 512
+SOCKET_BUFFER_DATAGRAMS = 512
 """Datagrams that wait at one socket; more are lost.  Not measured."""
 
 
@@ -33,14 +33,14 @@
 
     def add(self, socket: Socket, event: Event) -> None:
         """Keep a datagram; it is lost where the socket's buffer is full."""
-        if len(self._buffers[socket]) < SOCKET_BUFFER:
+        if len(self._buffers[socket]) < SOCKET_BUFFER_DATAGRAMS:
             self._buffers[socket].append(event)
 
     def add_result(self, event: Event) -> None:
         """Keep the result of a read; those are never lost."""
         self._buffers[Socket.BACKENDS].append(event)
 
-    def take_all(self) -> list[Event]:
+    def drain(self) -> list[Event]:
         """Return what has queued, one datagram of each socket in turn."""
         events: list[Event] = []
         while len(self):
--- a/sloepond/lab/trace.py
+++ b/sloepond/lab/trace.py
@@ -14,10 +14,10 @@
 from sloepond.lab.network import Endpoint
 from sloepond.lab.world import World
 
-PAYLOAD = re.compile(r"payload=b('[^']*'|\"[^\"]*\")")
+PAYLOAD_PATTERN = re.compile(r"payload=b('[^']*'|\"[^\"]*\")")
 """The payload in the text of a packet; it is left out of the trace."""
 
-Printer = Callable[[str], None]
+LinePrinter = Callable[[str], None]
 """Takes one line."""
 
 
@@ -27,9 +27,9 @@
     :param incarnation: the flow's incarnation, as named by violations.
     """
 
-    def __init__(self, world: World, incarnation: int, printer: Printer) -> None:
+    def __init__(self, world: World, incarnation: int, printer: LinePrinter) -> None:
         self._world = world
-        self._mark = f"incarnation={incarnation})"
+        self._flow_text = f"incarnation={incarnation})"
         self._printer = printer
 
     def watch(self) -> None:
@@ -40,20 +40,20 @@
         def traced_transmit(
             source: Endpoint, destination: Endpoint, action: Action, argument: Any, may_duplicate: bool = True
         ) -> None:
-            text = PAYLOAD.sub("payload=...", repr(argument))
-            if self._mark not in text:
+            text = PAYLOAD_PATTERN.sub("payload=...", repr(argument))
+            if self._flow_text not in text:
                 transmit(source, destination, action, argument, may_duplicate)
                 return
 
             def traced_arrival(argument: Any) -> None:
-                self._show(f"{destination.name} <- {source.name} {text}")
+                self._print_packet(f"{destination.name} <- {source.name} {text}")
                 action(argument)
 
-            self._show(f"{source.name} -> {destination.name} {text}")
+            self._print_packet(f"{source.name} -> {destination.name} {text}")
             transmit(source, destination, traced_arrival, argument, may_duplicate)
 
         network.transmit = traced_transmit  # type: ignore[method-assign]
 
-    def _show(self, text: str) -> None:
+    def _print_packet(self, text: str) -> None:
         time = self._world.queue.now - self._world.scenario.timing.form_s
         self._printer(f"{time:10.4f} {text}")
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -18,7 +18,7 @@
 from sloepond.core.settings import NodeSettings
 from sloepond.lab.backend import BackendHost
 from sloepond.lab.balancer import BalancerHost
-from sloepond.lab.callers import CallerPopulation, ServiceEntrance
+from sloepond.lab.callers import CallerPopulation, ServiceTarget
 from sloepond.lab.checkers.configuration import ConfigurationChecker
 from sloepond.lab.checkers.flows import FlowChecker
 from sloepond.lab.checkers.places import PlaceChecker
@@ -27,11 +27,11 @@
 from sloepond.lab.datagrams import BackendDatagram, PeerDatagram, ProcessResult
 from sloepond.lab.declaration import Declaration
 from sloepond.lab.engine import EventQueue, RandomStreams
-from sloepond.lab.fleet import Fleet, FleetMedium
+from sloepond.lab.fleet import Fleet, FleetEnvironment
 from sloepond.lab.hosting import NodeFactory
 from sloepond.lab.network import Network
 from sloepond.lab.platform import Platform
-from sloepond.lab.reach import Reach
+from sloepond.lab.reach import Reachability
 from sloepond.lab.result import TimelineEntry
 from sloepond.lab.scenario import Scenario, ServiceModel
 from sloepond.resources.compiled import CompiledConfiguration
@@ -61,15 +61,17 @@
         self.configuration_checker = ConfigurationChecker(self.log)
         self._callers_endpoint = self.network.endpoint("callers", None)
         settings = msgspec.convert(scenario.settings, NodeSettings)
-        medium = FleetMedium(self.queue, self.network, self.platform, self.streams, self._callers_endpoint)
+        environment = FleetEnvironment(
+            self.queue, self.network, self.platform, self.streams, self._callers_endpoint
+        )
         self.backends: dict[str, BackendHost] = {}
         self._backends_by_address: dict[str, BackendHost] = {}
         self._build_backends(ordered_flows)
-        self.fleet = Fleet(scenario, medium, factory, settings, self.declaration.halls, self)
-        self.reach = Reach(self.queue, self.network, self.fleet.balancers, self.backends)
-        self.flow_checker = FlowChecker(self.log, self.reach, scenario.callers.patience_s)
+        self.fleet = Fleet(scenario, environment, factory, settings, self.declaration.halls, self)
+        self.reachability = Reachability(self.queue, self.network, self.fleet.balancers, self.backends)
+        self.flow_checker = FlowChecker(self.log, self.reachability, scenario.callers.patience_s)
         self.callers = CallerPopulation(
-            self.queue, scenario.callers, self.flow_checker, self.request_checker, self.reach
+            self.queue, scenario.callers, self.flow_checker, self.request_checker, self.reachability
         )
 
     def note(self, text: str) -> None:
@@ -102,20 +104,20 @@
     def start(self) -> None:
         """Publish the first generation, start all balancers and announce the callers."""
         self._publish_compiled()
-        draw = self.streams.stream("start")
+        random_source = self.streams.stream("start")
         for host in self.fleet.balancers.values():
-            self.queue.schedule(draw.random(), self.fleet.start, host)
+            self.queue.schedule(random_source.random(), self.fleet.start, host)
         for number, load in enumerate(self.scenario.load):
             self.callers.add_load(
                 load,
-                self._entrance(load.service),
+                self._service_target(load.service),
                 self.scenario.timing.form_s,
                 self.streams.stream(f"load/{number}"),
             )
 
-    def _entrance(self, service: str) -> ServiceEntrance:
+    def _service_target(self, service: str) -> ServiceTarget:
         address = self.declaration.services[service].spec.address
-        return ServiceEntrance(service, address, (self.fleet.fabric,))
+        return ServiceTarget(service, address, (self.fleet.fabric,))
 
     # Datagrams of balancers
 
@@ -148,9 +150,9 @@
                     host.endpoint, target.endpoint, target.receive_from_backend, datagram, False
                 )
 
-    def backend_received(self, host: BackendHost, packet: BackendPacket, opens: bool) -> None:
+    def backend_received(self, host: BackendHost, packet: BackendPacket, is_new_flow: bool) -> None:
         """Have the place of a back end that got a packet checked."""
-        self.place_checker.packet_arrived(host.name, packet, opens, self.queue.now)
+        self.place_checker.packet_arrived(host.name, packet, is_new_flow, self.queue.now)
 
     def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
         """Note which back end holds a flow."""
@@ -172,22 +174,24 @@
             event = ConfigurationReadFailed("configuration service does not answer")
             delay = READ_TIMEOUT_S
             self.queue.schedule(
-                self.queue.now + delay, host.receive_result, ProcessResult(host.process, event)
+                self.queue.now + delay, host.receive_result, ProcessResult(host.process_number, event)
             )
             return
-        result = ProcessResult(host.process, ConfigurationRead(snapshot))
+        result = ProcessResult(host.process_number, ConfigurationRead(snapshot))
         self.queue.schedule(self.queue.now + delay, host.receive_result, result)
 
     def read_machine_list(self, host: BalancerHost) -> None:
         """Answer a read of the list of machines."""
         delay = self.scenario.platform.read_latency_ms / 1000
         event = MachineListRead(self.platform.machines(self.queue.now))
-        self.queue.schedule(self.queue.now + delay, host.receive_result, ProcessResult(host.process, event))
+        self.queue.schedule(
+            self.queue.now + delay, host.receive_result, ProcessResult(host.process_number, event)
+        )
 
     def balancer_ended(self, host: BalancerHost) -> None:
         """A process ends after a planned stop."""
         self.note(f"{host.name} has stopped")
-        self.fleet.ended(host)
+        self.fleet.process_ended(host)
 
     # The operator
 
@@ -205,23 +209,25 @@
         self.platform.publish(self.compiled.snapshot)
         served = not self.platform.down and not self.platform.stale_generations
         now = self.queue.now
-        self.configuration_checker.published(self.compiled.generation, now if served else float("inf"))
+        self.configuration_checker.generation_published(
+            self.compiled.generation, now if served else float("inf")
+        )
         if served:
-            self.place_checker.published(self.compiled, now)
+            self.place_checker.generation_published(self.compiled, now)
 
-    def platform_withheld(self) -> None:
+    def platform_serving_stopped(self) -> None:
         """The platform has gone down or stale."""
-        self.configuration_checker.withheld()
-        self.place_checker.withheld(self.queue.now)
+        self.configuration_checker.serving_stopped()
+        self.place_checker.serving_stopped(self.queue.now)
 
-    def platform_served_again(self) -> None:
+    def platform_serving_resumed(self) -> None:
         """The platform serves the latest generation again."""
         if self.platform.down or self.platform.stale_generations:
             return
         now = self.queue.now
-        self.configuration_checker.served_again(now)
-        self.place_checker.published(self.compiled, now)
-        self.place_checker.served_again(now)
+        self.configuration_checker.serving_resumed(now)
+        self.place_checker.generation_published(self.compiled, now)
+        self.place_checker.serving_resumed(now)
 
 
 def first_configuration(declaration: Declaration) -> CompiledConfiguration:
