--- a/sloepond/lab/__init__.py
+++ b/sloepond/lab/__init__.py
@@ -1,6 +1,6 @@
-"""The lab: the balancer's node on a simulated clock and network, with faults, and checkers of what must hold.
+"""The lab: runs balancers on a simulated clock and network, injects faults and checks invariants.
 
-A scenario (`lab/scenarios/*.toml`) and a seed give one run, always the same.  `runner` is the entry,
-`world` the simulation, `director` the faults, `checkers` the judges.  Everything between the callers
-and the back ends is the code that the daemon runs, from `core.node` down.
+A run is determined by its scenario (`lab/scenarios/*.toml`) and seed.  `runner` is the entry point,
+`world` the simulation, `director` injects the faults and `checkers` verifies the invariants.  Everything
+between the callers and the back ends is the code that the daemon runs, from `core.node` down.
 """
--- a/sloepond/lab/backend.py
+++ b/sloepond/lab/backend.py
@@ -1,7 +1,7 @@
-"""One back end machine: runs the stand-in model, its crashes and misleading reports.
+"""One back end machine: runs the stand-in model, crashes it and makes it report a wrong load.
 
-Owns the running back end and its timer.  Relies on the stand-in model for what a back end does and
-on an observer, the world, for everything outside.
+Owns the running back end and its timer.  Relies on the stand-in model for the behaviour of a back end
+and on an observer, the world, to send replies and to check events.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class BackendObserver(Protocol):
-    """What a back end reports to the world."""
+    """Callbacks by which a back end reports its output and events to the world."""
 
     def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
-        """Replies are to be sent."""
+        """Send the replies."""
 
     def backend_received(self, host: BackendHost, packet: BackendPacket, is_new_flow: bool) -> None:
-        """A packet has come; `is_new_flow` where it asks for a flow the back end does not hold."""
+        """Record a received packet; `is_new_flow` for an OPEN of a flow the back end does not hold."""
 
     def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
-        """An OPEN has made the back end hold a flow."""
+        """Record that the back end accepted the flow that the packet opens."""
 
     def backend_executed(self, execution: Execution) -> None:
-        """The back end has started a request."""
+        """Record that the back end started a request."""
 
 
 class BackendHost:
@@ -43,7 +43,7 @@
 
     :ivar model: the running back end, None while it is down.
     :ivar kill_times: simulated times at which it was killed.
-    :ivar last_isolated_at: last time no balancer could reach it.
+    :ivar last_isolated_at: latest simulated time at which no balancer could reach it.
     """
 
     def __init__(
@@ -81,14 +81,14 @@
         self.kill_times.append(self._queue.now)
 
     def set_load_report(self, load_factor: float, lag_s: float) -> None:
-        """Change the load that the back end reports in its replies."""
+        """Set the factor and the age of the load that the back end reports in its replies."""
         if self.model is not None:
             self.model.settings = msgspec.structs.replace(
                 self.settings, load_factor=load_factor, load_lag_s=lag_s
             )
 
     def receive(self, datagram: BackendDatagram) -> None:
-        """Take a datagram from a balancer."""
+        """Handle a datagram from a balancer."""
         model = self.model
         if model is None:
             return
--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -1,7 +1,7 @@
-"""One balancer machine: runs a node's processes, their timers, pauses and ends.
+"""One balancer machine: starts, pauses and ends processes of a node and runs their timers.
 
-Owns the running process, its clock and what waits at its sockets.  Relies on the event queue for
-time and on its surroundings (the world) for everything the node's commands act upon.
+Owns the running process, its clock and its socket buffers.  Relies on the event queue for time and
+on a command handler (the world) to carry out the node's commands.
 """
 
 from __future__ import annotations
@@ -41,20 +41,20 @@
 from sloepond.wire.codec import encode_message
 
 ENVELOPE_BYTES = 1 + 1 + 6 + 5 + 16
-"""Bytes `wire.authentication` adds to a message, besides the sender's name."""
+"""Bytes that `wire.authentication` adds to a message, without the sender's name."""
 MINIMUM_TIMER_INTERVAL_S = 1e-4
-"""Least time between two timers of one process, seconds; not measured."""
+"""Minimum time between two timers of one process, seconds."""
 
 
 class _Timer(msgspec.Struct, frozen=True, gc=False):
-    """A timer of the process with a number; `deadline` is in seconds of the machine's clock."""
+    """A timer of one process; `deadline` is in seconds of the machine's clock."""
 
     process_number: int
     deadline: float
 
 
 class CommandHandler(Protocol):
-    """What a balancer's commands act upon."""
+    """Carries out the commands of a balancer."""
 
     def balancer_to_caller(self, host: BalancerHost, reply: CallerReply) -> None:
         """Send a reply towards a caller."""
@@ -66,29 +66,29 @@
         """Send a message to another balancer."""
 
     def read_configuration(self, host: BalancerHost) -> None:
-        """Ask the platform for the configuration."""
+        """Request the configuration from the platform."""
 
     def read_machine_list(self, host: BalancerHost) -> None:
-        """Ask the platform for its machines."""
+        """Request the list of machines from the platform."""
 
     def balancer_ended(self, host: BalancerHost) -> None:
-        """A process has ended after a planned stop."""
+        """Record that a process ended after a planned stop."""
 
 
 class _PendingCommands(msgspec.Struct, frozen=True):
-    """What a process decided on and was stopped before carrying out.
+    """Commands that a process returned just before a pause and has not carried out.
 
-    :ivar decided_at: simulated seconds.
+    :ivar decided_at: simulated time at which the node returned them, seconds.
     """
 
     decided_at: float
     commands: list[Command]
 
     def unexpired_commands(self, now: float) -> list[Command]:
-        """Return what a process that wakes at `now` carries out.
+        """Return the commands that a process resumed at `now` carries out.
 
-        As the daemon's dispatcher does, it drops packets to back ends that were decided too long
-        ago: a back end may have been declared draining meanwhile.
+        Like the daemon's dispatcher, drops packets to back ends that were decided more than
+        `MAXIMUM_HANDLING_S` ago: a back end may have been declared draining since then.
         """
         if now - self.decided_at <= MAXIMUM_HANDLING_S:
             return self.commands
@@ -99,12 +99,13 @@
     """A machine with at most one running process.
 
     :ivar node: the running process, None where there is none.
-    :ivar process_number: number of the process, so that late actions do not meet another one.
-    :ivar paused: whether the process stands still.
-    :ivar leaving: whether the process was asked to stop.
-    :ivar configuration_blocks: faults that keep any configuration from it now.
-    :ivar available_since: simulated time since when it runs without a pause;
-        infinity while it does not.
+    :ivar process_number: number of the current process; late timers and results of an earlier
+        process are recognised by it and dropped.
+    :ivar paused: whether the process is paused.
+    :ivar leaving: whether the process was requested to stop.
+    :ivar configuration_blocks: number of active faults that keep any configuration from it.
+    :ivar available_since: simulated time of the start or the end of the last pause;
+        infinity while no process runs or it is paused.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
         self._reset()
 
     def _reset(self) -> None:
-        """Forget all that belongs to one process."""
+        """Clear the state of the previous process."""
         self.paused = False
         self.leaving = False
         self.available_since = NEVER
@@ -138,7 +139,7 @@
         self._buffers = SocketBuffers()
         self._timer_at = NEVER
 
-    # Life of the process
+    # Process lifecycle
 
     def start(self, factory: NodeFactory, settings: NodeSettings, incarnation: int) -> Member:
         """Start a process and return its identity."""
@@ -161,7 +162,7 @@
         self._reset()
 
     def pause(self) -> None:
-        """Let the process stand still, in the middle of its next event."""
+        """Pause the process; its next event is handled, but the commands are carried out after the pause."""
         if self.node is None or self.paused:
             return
         self.paused = True
@@ -169,7 +170,7 @@
         self.available_since = NEVER
 
     def resume(self, process_number: int) -> None:
-        """End a pause: act on what was decided before, then on what has queued."""
+        """End a pause: carry out the pending commands, then handle the queued events."""
         if process_number != self.process_number or not self.paused or self.node is None:
             return
         self.paused = False
@@ -191,15 +192,15 @@
     # Input
 
     def receive_from_caller(self, packet: CallerPacket) -> None:
-        """Take a datagram from the fabric."""
+        """Handle a datagram from the fabric."""
         self._receive(Socket.CALLERS, CallerPacketReceived(packet))
 
     def receive_from_backend(self, datagram: BackendReplyReceived) -> None:
-        """Take a datagram from a back end."""
+        """Handle a datagram from a back end."""
         self._receive(Socket.BACKENDS, datagram)
 
     def receive_from_peer(self, datagram: PeerDatagram) -> None:
-        """Take a datagram from another balancer."""
+        """Handle a datagram from another balancer."""
         if self.configuration_blocks and isinstance(datagram.message, ConfigurationPart):
             return
         event = PeerMessageReceived(
@@ -208,7 +209,7 @@
         self._receive(Socket.PEERS, event)
 
     def receive_result(self, result: ProcessResult) -> None:
-        """Take the result of a read; it is lost where the process has ended."""
+        """Handle the result of a read or a stop request; it is dropped if the process has ended."""
         if self.node is None or result.process_number != self.process_number:
             return
         if self.paused:
@@ -230,7 +231,7 @@
             self._buffers.add(socket, event)
 
     def handle(self, event: Event) -> None:
-        """Give an event to the node and do what it commands."""
+        """Pass an event to the node and carry out its commands."""
         node = self.node
         if node is None:
             return
@@ -257,10 +258,10 @@
         if not is_current or self.node is None or self.paused:
             return
         self._timer_at = NEVER
-        wanted = self.node.next_deadline()
-        if wanted > timer.deadline:
-            if wanted < NEVER:
-                self._set_timer(wanted)
+        deadline = self.node.next_deadline()
+        if deadline > timer.deadline:
+            if deadline < NEVER:
+                self._set_timer(deadline)
             return
         self._clock.advance_to(timer.deadline)
         self.handle(TimerFired())
@@ -268,7 +269,7 @@
     # Output
 
     def pop_control_bytes(self) -> int:
-        """Return the bytes sent to other balancers since the last call."""
+        """Return the bytes sent to other balancers since the last call, and reset the count."""
         sent = self._control_bytes
         self._control_bytes = 0
         return sent
--- a/sloepond/lab/callers.py
+++ b/sloepond/lab/callers.py
@@ -1,7 +1,7 @@
-"""The callers: flows that arrive, run the stand-in caller model and end.
+"""The callers: generates flows, runs the stand-in caller model for each and reports to the checkers.
 
-Owns all flows of a run and their timers.  Relies on the stand-in caller for what a caller does, and
-on the checkers to judge what it received.
+Owns all flows of a run and their timers.  Relies on the stand-in model for the behaviour of a caller
+and on the checkers to verify what it received.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 from sloepond.standins.content import FEED_PAYLOAD, download_payload
 
 LATE_REPLY_CHECK_S = 13.0
-"""Seconds after the end of a flow during which replies to it are still checked: more than the
+"""Seconds after the end of a flow during which its replies are still checked: more than the
 timeout of a caller, 12 s."""
 REQUEST_PAYLOAD = b"request"
-"""What a session sends; a back end answers it with content of its own."""
+"""Payload of a session's request; a back end generates the content of the answer."""
 MAXIMUM_SERVABLE_TIMES = 12
-"""Latest packets of a caller whose time is kept, for the flow checker: more than a caller sends in its
-timeout while it gets no reply; not measured."""
+"""Number of the latest send times kept for each caller, for the flow checker: more packets than a
+caller without replies sends within its timeout."""
 CANCEL_DELAY_S = 0.02
-"""Time from a request to its cancellation, seconds: inside the service time of `long-requests`, 0.3 s."""
+"""Delay from a request to its cancellation, seconds: less than the service time of `long-requests`, 0.3 s."""
 PART_BYTES = 1_000
-"""Payload bytes of one part of an answer."""
+"""Payload bytes of one part of a download's answer."""
 
 
 class ServiceTarget(msgspec.Struct, frozen=True, eq=False):
-    """Where callers of one service send to.
+    """Name and address of a service, and the fabrics through which callers reach it.
 
-    :ivar fabrics: one is drawn for each flow.
+    :ivar fabrics: each flow uses one of them, selected at random.
     """
 
     name: str
@@ -51,13 +51,13 @@
 
 
 class _Caller(msgspec.Struct, eq=False):
-    """One flow, the fabric it uses and what the checkers have seen of it.
+    """One flow, its fabric and what was reported of it to the checkers.
 
-    :ivar timer_at: simulated time of the timer that is set.
-    :ivar established: whether the flow checker knows that the flow is open.
-    :ivar last_reply_at: when the caller last got a reply.
-    :ivar servable_at: when packets were sent that could be served, the latest ones.
-    :ivar ended_requests: requests whose outcome the request checker knows.
+    :ivar timer_at: simulated time of the scheduled timer; `NEVER` for none.
+    :ivar established: whether the flow was reported to the flow checker as open.
+    :ivar last_reply_at: simulated time of the latest reply.
+    :ivar servable_at: simulated times of the latest packets that a balancer could serve.
+    :ivar ended_requests: number of requests whose outcome was reported to the request checker.
     """
 
     flow: CallerFlow
@@ -73,9 +73,9 @@
 
 
 class _Arrivals(msgspec.Struct, eq=False):
-    """Flows of one load that are still to come.
+    """Flows of one load that have not arrived yet.
 
-    :ivar times: simulated times, sorted, the next one last.
+    :ivar times: simulated arrival times in descending order, so that the next one is last.
     """
 
     load: LoadModel
@@ -112,7 +112,7 @@
     def add_load(
         self, load: LoadModel, target: ServiceTarget, start: float, random_source: random.Random
     ) -> None:
-        """Let the flows of `load` arrive from time `start` on."""
+        """Schedule the arrivals of the flows of `load`, from `start` on in simulated seconds."""
         first = start + load.start_s
         times = sorted(
             (first + random_source.random() * load.over_s for _ in range(load.flows)), reverse=True
@@ -147,22 +147,22 @@
         self._handle_flow_output(caller, flow.start(self._queue.now))
 
     def _next_address(self) -> str:
-        """Return a caller's address; addresses are used again by later flows."""
+        """Return the address of the caller started last; later flows reuse addresses."""
         number = self.started % 60_000
         return f"10.200.{number // 250}.{number % 250 + 1}:{20_000 + number % 7}"
 
     # Replies and timers
 
     def receive(self, reply: CallerReply) -> None:
-        """Take one reply from a balancer."""
+        """Handle one reply from a balancer."""
         caller = self._callers.get(reply.flow)
         if caller is None:
             return
         caller.last_reply_at = self._queue.now
         flow = caller.flow
-        refused_answers = flow.record.answered_after_refusal
+        answers_before = flow.record.answered_after_refusal
         packets = flow.handle(reply, self._queue.now)
-        if flow.record.answered_after_refusal != refused_answers:
+        if flow.record.answered_after_refusal != answers_before:
             self._request_checker.answered_after_refusal(flow.record, reply, self._queue.now)
         if not caller.finished:
             self._handle_flow_output(caller, packets, reply)
@@ -177,7 +177,7 @@
     def _handle_flow_output(
         self, caller: _Caller, packets: list[CallerPacket], reply: CallerReply | None = None
     ) -> None:
-        """Send the packets, report changes to the checkers and set the timer."""
+        """Send the packets, report changes to the checkers and schedule the next timer."""
         flow = caller.flow
         record = flow.record
         if not caller.established and record.state is not FlowState.OPENING:
@@ -231,7 +231,7 @@
 
 
 def plan_flow(load: LoadModel, model: CallerModel, random_source: random.Random) -> FlowPlan:
-    """Return what one flow of `load` does."""
+    """Return a random plan for one flow of `load`: its requests and how long it stays open."""
     if load.kind == "download":
         size = max(1, load.parts * PART_BYTES - PART_BYTES // 2)
         return FlowPlan((RequestPlan(download_payload(size), repeatable=True),), 0.0)
--- a/sloepond/lab/catalogue.py
+++ b/sloepond/lab/catalogue.py
@@ -1,6 +1,6 @@
 """Finds scenarios by name in `lab/scenarios`.
 
-Owns nothing.  Relies on `scenario` to read a document and on `checks` to judge it.
+Owns no state.  Relies on `scenario` to parse a document and on `checks` to validate it.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 SUFFIX = ".toml"
 _DIRECTORY = Path("lab") / "scenarios"
-"""From the root of the project."""
+"""Relative to the root of the project."""
 
 
 def scenario_directory() -> Path:
-    """Return the directory of the scenarios: of the working directory, else beside the package."""
+    """Return the scenario directory in the working directory if it exists, else beside the package."""
     if _DIRECTORY.is_dir():
         return _DIRECTORY
     return Path(__file__).resolve().parents[2] / _DIRECTORY
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Read the scenario in the file `path`.
+    """Read and validate the scenario in the file `path`.
 
-    :raises ScenarioError: with all findings, also where the file cannot be read.
+    :raises ScenarioError: with all findings, also if the file cannot be read.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -52,14 +52,14 @@
 
 
 def find_scenario(name: str) -> Scenario:
-    """Return the scenario with a name, or in the file at a path that ends in `.toml`.
+    """Return the scenario with this name, or in the file at this path if it ends in `.toml`.
 
-    :raises ScenarioError: where there is none or it is wrong.
+    :raises ScenarioError: if it does not exist or is invalid.
     """
     if name.endswith(SUFFIX):
         return load_scenario(Path(name))
     path = scenario_directory() / f"{name}{SUFFIX}"
     if not path.is_file():
         known = ", ".join(sorted(item.stem for item in scenario_directory().glob(f"*{SUFFIX}")))
-        raise ScenarioError([ScenarioFinding(name, f"no such scenario; there are: {known}")])
+        raise ScenarioError([ScenarioFinding(name, f"no such scenario; available: {known}")])
     return load_scenario(path)
--- a/sloepond/lab/checkers/__init__.py
+++ b/sloepond/lab/checkers/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers: what must hold, judged by what callers and back ends saw, and by configurations in force.
+"""Checkers: verify invariants from what callers and back ends observe and from the configurations in force.
 
-No checker asks a balancer whether it did well.  Each adds its violations to one log.
+No checker relies on a balancer's own report.  All checkers add their violations to one log.
 """
--- a/sloepond/lab/checkers/balance.py
+++ b/sloepond/lab/checkers/balance.py
@@ -1,6 +1,6 @@
-"""Imbalance: the busiest back end of a service against the mean, in work per slot.
+"""Imbalance: the maximum of a service's back ends divided by their mean, in requests in flight per slot.
 
-Owns the samples of one run.  Relies on its caller to sample all back ends at the same moments.
+Owns the samples of one run.  Relies on its user to sample all back ends at the same times.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 
 
 class BalanceMeter:
-    """Collects samples of work in flight per slot.
+    """Collects samples of imbalance.
 
-    :ivar samples: maximum over mean, one for each service and second with work.
+    :ivar samples: maximum divided by mean, one for each service and second with requests in flight.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
             self.samples.append(max(per_slot) * len(per_slot) / total)
 
     def percentile(self, share: float) -> float:
-        """Return the smallest sample that `share` of all samples do not exceed; 0 without samples."""
+        """Return the percentile of the samples at `share` (0 to 1); 0 without samples."""
         if not self.samples:
             return 0.0
         ordered = sorted(self.samples)
@@ -33,7 +33,7 @@
 
 
 class MeanAccumulator:
-    """Sums readings of one second, by back end."""
+    """Computes the mean of readings for each back end."""
 
     def __init__(self) -> None:
         self._sums: dict[str, float] = {}
@@ -46,7 +46,7 @@
             self._sums[name] = self._sums.get(name, 0.0) + value
 
     def pop_means(self) -> dict[str, float]:
-        """Return the means since the last call."""
+        """Return the means of the readings since the last call, and reset them."""
         means = {name: value / self._readings for name, value in self._sums.items()}
         self._sums = {}
         self._readings = 0
--- a/sloepond/lab/checkers/configuration.py
+++ b/sloepond/lab/checkers/configuration.py
@@ -1,6 +1,6 @@
-"""Configurations: in force everywhere within seconds, and never an older one again.
+"""Configurations: a generation must be in force everywhere within seconds, and none may be reverted.
 
-Owns what was in force at each process.  Relies on observations at short intervals, taken outside.
+Owns the generation observed at each process.  Relies on its user for observations at short intervals.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class BalancerObservation(msgspec.Struct, frozen=True):
-    """What is in force at one process at one moment.
+    """The configuration in force at one process at one time.
 
-    :ivar incarnation: tells processes of one name apart.
-    :ivar generation: 0 where nothing is in force yet.
-    :ivar reachable_since: since when it has run, not paused, and had a way to the
-        platform or to a peer that had; infinity where it has none now.
+    :ivar incarnation: distinguishes processes of one name.
+    :ivar generation: 0 if none is in force yet.
+    :ivar reachable_since: time since which it has run without a pause and configurations
+        could reach it; infinity if they cannot now.
     :ivar peer_generation: returns the highest generation in force at the peers it can reach now.
     """
 
@@ -30,24 +30,24 @@
 
 
 class _PublishedGeneration(msgspec.Struct):
-    """One generation; `served_since` is when the platform last began to serve it."""
+    """One generation; `served_since` is when the platform last began to serve it, infinity if it does not."""
 
     generation: int
     served_since: float
 
 
 class ConfigurationChecker:
-    """Follows what is in force at each process; see the module.
+    """Tracks the generation in force at each process and reports late and reverted ones.
 
-    :ivar maximum_in_force_delay_s: longest time from a generation's publication until a
+    :ivar maximum_in_force_delay_s: maximum time from a generation's publication until a
         reachable process had it in force.
     """
 
     IN_FORCE_LIMIT_S = 4.0
     """Seconds within which a generation must be in force."""
     PROPAGATION_GRACE_S = 4.0
-    """Seconds after which a generation is known to the fleet, so that no newcomer may
-    use an older one while it can reach a peer that has the newer one."""
+    """Seconds after a generation is first in force, from which a process that starts must not use an
+    older one while it can reach a peer that has a newer one."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
@@ -59,21 +59,21 @@
         self.maximum_in_force_delay_s = 0.0
 
     def generation_published(self, generation: int, now: float) -> None:
-        """The platform serves a new generation; infinity where it is down."""
+        """Record a new generation, served since `now`; infinity if the platform does not serve it."""
         self._generations.append(_PublishedGeneration(generation, now))
 
     def serving_resumed(self, now: float) -> None:
-        """The platform is back and serves the latest generation."""
+        """Record that the platform serves the latest generation again."""
         for published in self._generations:
             published.served_since = now
 
     def serving_stopped(self) -> None:
-        """The platform no longer serves the latest generation."""
+        """Record that the platform no longer serves the latest generation."""
         for published in self._generations:
             published.served_since = float("inf")
 
     def observe(self, observation: BalancerObservation, now: float) -> None:
-        """Compare one process with what was published."""
+        """Compare the generation in force at one process with the published ones."""
         key = (observation.name, observation.incarnation)
         previous = self._generation_in_force.get(key)
         self._generation_in_force[key] = observation.generation
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -1,10 +1,10 @@
 """Established flows: none may be lost, moved or left without a reply.
 
-A flow is established once its caller received OPENED.  It is broken where the
-caller is told it is lost, where another back end serves it, or where it gets no
-reply until the caller times out (`patience_s`), while its back end runs, some balancer can
-reach it, and at least one of the caller's packets in that time went to a running
-balancer that has a way to it.  Flows whose back end was itself killed do not count.
+A flow is established once its caller has received OPENED.  It is broken if its caller is
+notified that it is lost, if another back end serves it, or if the caller gets no reply until it
+times out (`patience_s`).  A timeout counts only if the back end runs, some balancer can reach it,
+and at least one of the caller's packets in that time was sent to a running balancer that can reach
+it.  Flows whose back end was killed do not count.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from sloepond.standins.caller_record import BreakReason, FlowRecord
 
 REPLY_MARGIN_S = 3.0
-"""Seconds a packet that can be served is given until its flow counts as left without
-reply; the next item of a feed comes only after the feed's interval, 2 s."""
+"""Minimum seconds from a packet that can be served to the end of its flow, so that the flow counts as
+left without a reply: more than the interval between items of a feed, 2 s."""
 LAST_REPLY_MARGIN_S = 1.0
-"""Seconds around the last reply in which packets belong to what was served before the silence; not
-measured."""
+"""Seconds after the start of the timeout during which packets are ignored: the flow was still served
+then."""
 
 
 class ServiceTimes(msgspec.Struct, frozen=True):
-    """When a flow last could be and was served; simulated seconds.
+    """When a flow last was served and could have been served; simulated seconds.
 
-    :ivar last_reply_at: when the caller last got any reply on the flow.
-    :ivar servable_at: when packets of the caller went to a balancer that ran and
-        could reach the back end, alone or through one other balancer; the latest ones.
+    :ivar last_reply_at: when the caller received the latest reply on the flow.
+    :ivar servable_at: when the latest packets of the caller were sent to a running balancer that
+        could reach the back end, directly or through one other balancer.
     """
 
     last_reply_at: float
@@ -38,17 +38,18 @@
 
 
 class _OpenFlow(msgspec.Struct, frozen=True):
-    """A flow that is established: which back end holds it, and since when."""
+    """An established flow: the back end that holds it, and since when."""
 
     backend: str
     since: float
 
 
 class FlowChecker:
-    """Judges flows; see the module.
+    """Detects broken flows, as defined in the module.
 
-    :ivar flows_cut: flows that ended because faults left no way to their back end.
-    :ivar open_peak: largest number of open flows.
+    :ivar broken_at: simulated times at which flows broke.
+    :ivar flows_cut: flows that ended because faults cut them off from their back end.
+    :ivar open_peak: maximum number of flows open at the same time.
     """
 
     def __init__(self, log: ViolationLog, reachability: Reachability, patience_s: float) -> None:
@@ -63,17 +64,17 @@
         self.open_peak = 0
 
     def flow_accepted(self, flow: FlowKey, backend: str, now: float) -> None:
-        """A back end has accepted a flow it did not hold."""
+        """Record that a back end accepted a flow it did not hold."""
         if flow not in self._open:
             accepted = self._accepted.setdefault(flow, {})
             accepted.pop(backend, None)
             accepted[backend] = now
 
     def flow_established(self, flow: FlowKey, backend: str, now: float) -> None:
-        """A caller received its first OPENED.
+        """Record that a caller received its first OPENED.
 
-        :param backend: which back end it names; empty where the packet names none,
-            then the one that accepted the flow last counts.
+        :param backend: the back end that it names; if empty, the one that accepted the
+            flow last is used.
         """
         accepted = self._accepted.pop(flow, {})
         holder = backend or next(reversed(accepted), "")
@@ -81,7 +82,7 @@
         self.open_peak = max(self.open_peak, len(self._open))
 
     def executed(self, execution: Execution, now: float) -> None:
-        """A back end started a request."""
+        """Check that the back end that started a request holds the flow."""
         flow = self._open.get(execution.flow)
         if flow is None or flow.backend == execution.backend:
             return
@@ -90,7 +91,7 @@
             self._report(execution.flow, now, detail)
 
     def flow_ended(self, record: FlowRecord, times: ServiceTimes, now: float) -> None:
-        """A caller closed its flow or gave it up."""
+        """Check a flow that its caller closed or gave up."""
         self._accepted.pop(record.flow, None)
         flow = self._open.pop(record.flow, None)
         if flow is None or record.break_reason is BreakReason.NONE:
@@ -108,7 +109,7 @@
         self._report(record.flow, now, detail)
 
     def _was_cut_off(self, backend: str, times: ServiceTimes, now: float) -> bool:
-        """Return whether faults left no balancer that could have served the flow."""
+        """Return whether faults left no balancer that could serve the flow."""
         since = now - self._patience_s
         until = now - REPLY_MARGIN_S
         could_be_served = any(since + LAST_REPLY_MARGIN_S <= time <= until for time in times.servable_at)
--- a/sloepond/lab/checkers/places.py
+++ b/sloepond/lab/checkers/places.py
@@ -1,7 +1,7 @@
-"""Back ends: packets of their own service only, from permitted places only, no new work when leaving.
+"""Back ends: packets of their own service only, new flows only in permitted places and not while draining.
 
-Owns what the operator has declared about each back end, and since when.  Relies on seeing every
-packet that reaches a back end.
+Owns the declared service, permission and drain of each back end, with their times.  Relies on its user
+to pass every packet that reaches a back end.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 class PlaceChecker:
     """Checks each packet that reaches a back end.
 
-    :ivar maximum_new_work_delay_s: longest time after the declaration of a drain at which
-        a back end was still given a new flow, in seconds.
+    :ivar maximum_new_work_delay_s: maximum time from the declaration of a drain to a new flow
+        at the back end, seconds.
     """
 
     DECLARATION_GRACE_S = 5.0
-    """Seconds after a generation is published during which the former one may rule."""
+    """Seconds after the publication of a generation during which the previous one may still be in force."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
@@ -29,7 +29,7 @@
         self.maximum_new_work_delay_s = 0.0
 
     def generation_published(self, configuration: CompiledConfiguration, now: float) -> None:
-        """The operator has declared a generation."""
+        """Record a generation that the operator declared."""
         for name, backend in configuration.backends_by_name.items():
             service = configuration.services_by_name[backend.service]
             self._service_of[name] = service.address
@@ -42,13 +42,13 @@
             self._update_drain(name, False, now)
 
     def serving_stopped(self, now: float) -> None:
-        """The platform stopped serving; drains it has just declared may be unknown until it is back."""
+        """Suspend drains declared within the grace period: balancers may miss them until serving resumes."""
         for name, since in self._draining_since.items():
             if now - since < self.DECLARATION_GRACE_S:
                 self._draining_since[name] = float("inf")
 
     def serving_resumed(self, now: float) -> None:
-        """The platform serves the latest generation again."""
+        """Resume suspended drains: the platform serves the latest generation again."""
         for name, since in self._draining_since.items():
             if since > now:
                 self._draining_since[name] = now
@@ -60,9 +60,9 @@
             self._draining_since.setdefault(name, now)
 
     def packet_arrived(self, backend: str, packet: BackendPacket, is_new_flow: bool, now: float) -> None:
-        """A packet reached `backend`.
+        """Check a packet that reached `backend`.
 
-        :param is_new_flow: whether it opens a flow the back end did not hold.
+        :param is_new_flow: whether it opens a flow that the back end did not hold.
         """
         if packet.flow.service_address != self._service_of.get(backend):
             detail = f"packet for {packet.flow.service_address} reached {backend}"
--- a/sloepond/lab/checkers/requests.py
+++ b/sloepond/lab/checkers/requests.py
@@ -1,6 +1,6 @@
-"""Requests: whole and own answers, at most one execution, refusals of what has not run.
+"""Requests: complete answers to the right flow, at most one execution, no execution of refused ones.
 
-Owns what was executed and refused.  Relies on seeing every execution and every outcome.
+Owns the executed and the refused requests.  Relies on its user to pass every execution and outcome.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class RequestIdentity(msgspec.Struct, frozen=True, gc=False):
-    """One request of one flow."""
+    """Identifies one request of one flow."""
 
     flow: FlowKey
     request_id: int
 
 
 class RequestChecker:
-    """Compares what back ends ran with what callers were told."""
+    """Compares the executions of back ends with the replies to callers."""
 
     def __init__(self, log: ViolationLog) -> None:
         self._log = log
@@ -31,12 +31,12 @@
         self._not_repeatable: set[RequestIdentity] = set()
 
     def request_sent(self, flow: FlowKey, request_id: int, repeatable: bool | None) -> None:
-        """A caller sent a request for the first time."""
+        """Record a request that a caller sent for the first time."""
         if repeatable is False:
             self._not_repeatable.add(RequestIdentity(flow, request_id))
 
     def executed(self, execution: Execution, now: float) -> None:
-        """A back end started a request."""
+        """Check a request that a back end started."""
         identity = RequestIdentity(execution.flow, execution.request_id)
         previous = self._executed.get(identity)
         if previous is None:
@@ -52,7 +52,7 @@
     def request_ended(
         self, record: FlowRecord, request: RequestRecord, reply: CallerReply, now: float
     ) -> None:
-        """A caller's request came to an end with `reply`."""
+        """Check a request that ended with `reply`."""
         identity = RequestIdentity(record.flow, request.request_id)
         if request.outcome is RequestOutcome.REFUSED:
             self._request_refused(identity, request, now)
@@ -60,16 +60,16 @@
             self._wrong_answer(identity, reply, now)
 
     def request_unknown(self, record: FlowRecord, request: RequestRecord, now: float) -> None:
-        """A caller's request ended without a known outcome."""
+        """Record a request that ended without a known outcome."""
         identity = RequestIdentity(record.flow, request.request_id)
         self._log.add(Promise.OUTCOME_UNKNOWN, now, f"{_request_text(identity)}: {request.reason.name}")
 
     def flow_refused(self, record: FlowRecord, now: float) -> None:
-        """A caller's flow was refused before it was established."""
+        """Record a flow that was refused before it was established."""
         self._log.add(Promise.REFUSED, now, f"flow to {record.service}: {record.reason.name}")
 
     def answered_after_refusal(self, record: FlowRecord, reply: CallerReply, now: float) -> None:
-        """A caller received an answer to a request it had been refused."""
+        """Record an answer to a request that had been refused."""
         identity = RequestIdentity(record.flow, reply.request_id)
         self._log.add(Promise.FALSE_NOT_RUN, now, f"{_request_text(identity)}: answered after it was refused")
 
@@ -89,7 +89,7 @@
             detail = f"{_request_text(identity)}: answer to request {content.request_id} of {content.flow}"
             self._log.add(Promise.ANSWERS_CROSSED, now, detail)
             return
-        detail = f"{_request_text(identity)}: {reply.parts} parts do not make one whole answer"
+        detail = f"{_request_text(identity)}: {reply.parts} parts do not make one complete answer"
         self._log.add(Promise.ANSWERS_INCOMPLETE, now, detail)
 
 
--- a/sloepond/lab/checkers/traffic.py
+++ b/sloepond/lab/checkers/traffic.py
@@ -1,15 +1,15 @@
-"""Control traffic: bytes that balancers send each other, for each balancer and second.
+"""Control traffic: bytes that balancers send to each other, per balancer and second.
 
-Owns the sums of one run.  Relies on the balancers' machines to count what they send.
+Owns the totals of one run.  Relies on the balancer machines to count the bytes they send.
 """
 
 from __future__ import annotations
 
 
 class TrafficMeter:
-    """Collects bytes sent per second.
+    """Collects the control bytes sent per second.
 
-    :ivar control_maximum: most control bytes one balancer sent in one second.
+    :ivar control_maximum: maximum control bytes that one balancer sent in one second.
     :ivar control_by_second: mean over the balancers, for each second.
     """
 
@@ -20,7 +20,7 @@
         self._balancer_seconds = 0
 
     def add_second(self, sent: list[int]) -> None:
-        """Add the bytes each running balancer sent in the past second."""
+        """Add the bytes that each running balancer sent in the past second."""
         if not sent:
             return
         total = sum(sent)
@@ -31,5 +31,5 @@
 
     @property
     def control_mean(self) -> float:
-        """Control bytes per second and balancer."""
+        """Mean control bytes per second and balancer."""
         return self._control_bytes / self._balancer_seconds if self._balancer_seconds else 0.0
--- a/sloepond/lab/checkers/violations.py
+++ b/sloepond/lab/checkers/violations.py
@@ -1,6 +1,6 @@
-"""Broken promises: how often, and the first events of each.
+"""Violations of promises: their number and the first ones of each.
 
-Owns the log of one run, to which all checkers add.
+Owns the violation log of one run, to which all checkers add.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Promise(enum.StrEnum):
-    """What is checked; the values are the names of the result's fields."""
+    """Checked promises; the values are the names of the fields of `Measures`."""
 
     BROKEN_FLOWS = "broken_flows"
     MISROUTED_PACKETS = "misrouted_packets"
@@ -28,7 +28,7 @@
 
 
 TIMED_PROMISES = frozenset({Promise.NEW_WORK_AFTER_DRAIN, Promise.CONFIGURATION_IN_FORCE})
-"""Promises measured by a longest time, in seconds."""
+"""Promises measured by a maximum time, in seconds."""
 COUNTED_PROMISES = tuple(promise for promise in Promise if promise not in TIMED_PROMISES)
 """Promises measured by the number of violations."""
 
@@ -36,7 +36,7 @@
 class Violation(msgspec.Struct, frozen=True):
     """One event that broke a promise.
 
-    :ivar at: seconds after the balancers have started.
+    :ivar at: simulated seconds; in results, seconds after the balancers have started.
     """
 
     promise: Promise
@@ -45,9 +45,9 @@
 
 
 class ViolationLog:
-    """Counts violations and keeps the first few of each promise.
+    """Counts violations and keeps the first ones of each promise.
 
-    :ivar counts: violations of each promise.
+    :ivar counts: number of violations of each promise.
     :ivar first: the first violations of each promise, at most `KEPT`.
     """
 
--- a/sloepond/lab/checks.py
+++ b/sloepond/lab/checks.py
@@ -1,6 +1,6 @@
-"""Checks a scenario beyond its types: every name must be one of the scenario.
+"""Validates a scenario beyond its types: every name it uses must be defined in it.
 
-Owns nothing; gives all findings with their place.
+Owns no state; reports all findings with their place.
 """
 
 from __future__ import annotations
@@ -15,8 +15,9 @@
 
 
 def require_valid(scenario: Scenario, place: str) -> Scenario:
-    """Return the scenario.
+    """Return the scenario if it is valid.
 
+    :param place: name put before each finding.
     :raises ScenarioError: with all findings.
     """
     findings = [*_check_services(scenario, place), *_check_load(scenario, place)]
@@ -35,11 +36,11 @@
 def _check_load(scenario: Scenario, place: str) -> Iterator[ScenarioFinding]:
     services = {service.name for service in scenario.services}
     for number, load in enumerate(scenario.load, start=1):
-        where = f"{place}: load[{number}]"
+        load_place = f"{place}: load[{number}]"
         if load.service not in services:
-            yield ScenarioFinding(where, f"no service is named {load.service}")
+            yield ScenarioFinding(load_place, f"no service is named {load.service}")
         if load.kind not in _LOAD_KINDS:
-            yield ScenarioFinding(where, f"kind {load.kind} is none of {', '.join(_LOAD_KINDS)}")
+            yield ScenarioFinding(load_place, f"kind {load.kind} must be one of {', '.join(_LOAD_KINDS)}")
 
 
 def _check_faults(scenario: Scenario, place: str) -> Iterator[ScenarioFinding]:
@@ -47,7 +48,7 @@
     for number, fault in enumerate(scenario.faults, start=1):
         for name in _names_used_by(fault):
             if name not in known:
-                yield ScenarioFinding(f"{place}: faults[{number}]", f"nothing is named {name}")
+                yield ScenarioFinding(f"{place}: faults[{number}]", f"no machine or hall is named {name}")
 
 
 def _names_used_by(fault: faults.Fault) -> Iterator[str]:
@@ -64,7 +65,7 @@
 
 
 def _machine_names(scenario: Scenario) -> set[str]:
-    """Return the names of all machines there may be, those that join later included."""
+    """Return the names of all machines that can exist, including those that join later."""
     first = scenario.topology.balancer_names()
     later = sum(_machines_added_by(fault, len(first)) for fault in scenario.faults)
     names = {*first, *(balancer_name(len(first) + number + 1) for number in range(later))}
--- a/sloepond/lab/datagrams.py
+++ b/sloepond/lab/datagrams.py
@@ -1,6 +1,6 @@
-"""What machines of the lab receive, besides packets that need no more than themselves.
+"""Inputs of the lab's machines that carry more than the packet or message alone.
 
-Owns nothing; the world makes these and the machines take them.
+Owns no state; the world creates them and the machines handle them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PeerDatagram(msgspec.Struct, frozen=True, gc=False):
-    """A message from one balancer to another."""
+    """A message from one balancer to another, with the identity of the sender."""
 
     sender: str
     sender_incarnation: int
@@ -29,7 +29,7 @@
 
 
 class ProcessResult(msgspec.Struct, frozen=True, gc=False):
-    """What a read gave, for the process with a number alone."""
+    """The result of a read or a stop request, valid only for the process with this number."""
 
     process_number: int
     event: Event
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -1,6 +1,6 @@
-"""What the operator of a scenario has declared, as resources of growing generations.
+"""The resources that the operator of a scenario has declared, published as numbered generations.
 
-Owns the resources.  Relies on the project's validation: what is not valid is never declared.
+Owns the resources.  Relies on `resources.validation`: invalid resources are never published.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 REGION = "region-1"
 ZONE = "zone-1"
 SERVICE_NETWORK = "10.90"
-"""First half of service addresses."""
+"""First two bytes of service addresses."""
 BACKEND_NETWORK = "10.91"
-"""First half of the addresses of back ends."""
+"""First two bytes of the addresses of back ends."""
 SERVICE_PORT = 9_000
 """Port of every service address."""
 BACKEND_PORT = 9_100
@@ -43,16 +43,16 @@
 
 
 def hall_locations(topology: Topology) -> list[Location]:
-    """Return all halls; they stand in one zone."""
+    """Return the locations of all halls; they belong to one zone."""
     return [Location(REGION, ZONE, f"hall-{number + 1}") for number in range(topology.halls)]
 
 
 class Declaration:
-    """The operator's resources; `next_snapshot` makes each change a generation.
+    """The operator's resources; `next_snapshot` makes a generation of the changes.
 
-    :ivar halls: all of them.
-    :ivar backends: by name.
-    :ivar services: by name.
+    :ivar halls: locations of all halls.
+    :ivar backends: back ends by name.
+    :ivar services: services by name.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -68,10 +68,10 @@
             self._add_service(number, service)
 
     def next_snapshot(self) -> ConfigurationSnapshot | None:
-        """Return the present resources as a new generation, None where they are not valid.
+        """Return the current resources as a new generation, or None if they are invalid.
 
-        As a careful operator does, resources that are not valid are not declared:
-        the former ones stay.
+        Invalid resources are rolled back to the last valid ones, as an operator would do whose
+        change was refused.
         """
         resources = [*self._resources, *self.services.values(), *self.backends.values()]
         if validate_snapshot(resources):
@@ -82,14 +82,14 @@
         return make_snapshot(self._generation, resources)
 
     def set_state(self, backends: tuple[str, ...], state: BackendState) -> None:
-        """Declare back ends as active or draining."""
+        """Set the declared state of back ends."""
         for name in backends:
             backend = self.backends[name]
             spec = msgspec.structs.replace(backend.spec, state=state)
             self.backends[name] = msgspec.structs.replace(backend, spec=spec)
 
     def change_label(self) -> None:
-        """Change something that has no effect on traffic."""
+        """Change a label of the first service, which has no effect on traffic."""
         self._label_changes += 1
         name, service = next(iter(self.services.items()))
         metadata = Metadata(name=name, labels={"change": str(self._label_changes)})
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -1,6 +1,7 @@
-"""Carries out the timeline of a scenario in a world.
+"""Applies the faults and operator actions of a scenario's timeline to a world.
 
-Owns which faults are under way where several may overlap.  Relies on the world for all machines.
+Owns the active partitions and platform faults, of which several may overlap.  Relies on the world for
+all machines.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from sloepond.resources.model import BackendState
 
 STOP_POLL_INTERVAL_S = 0.2
-"""Time between looks whether a stopping process has ended, seconds; not measured."""
+"""Interval between checks whether a stopping process has ended, seconds."""
 
 
 class FaultInjector:
-    """Schedules the faults of a timeline; see `sloepond.lab.faults`.
+    """Schedules and applies the faults of a timeline; see `sloepond.lab.faults`.
 
-    :param world: built, not yet started.
+    :param world: a world that has not been started.
     """
 
     def __init__(self, world: World) -> None:
@@ -49,7 +50,7 @@
         self._blocked_pairs: list[set[tuple[str, str]]] = []
 
     def schedule(self, timeline: tuple[faults.Fault, ...]) -> None:
-        """Schedule all entries."""
+        """Schedule all entries of the timeline."""
         form_s = self._world.scenario.timing.form_s
         for fault in timeline:
             self._queue.schedule(form_s + fault.at, self._apply, fault)
@@ -63,10 +64,10 @@
     # Balancers
 
     def _hosts(self, names: tuple[str, ...]) -> list[BalancerHost]:
-        """Return the balancers named, or standing in the halls named."""
-        wanted = set(names)
+        """Return the balancers with these names or in halls with these names."""
+        selected = set(names)
         hosts = self._world.fleet.balancers.values()
-        return [host for host in hosts if host.name in wanted or host.endpoint.hall in wanted]
+        return [host for host in hosts if host.name in selected or host.endpoint.hall in selected]
 
     def _crash(self, fault: faults.Crash) -> None:
         for host in self._hosts(fault.balancers):
@@ -92,10 +93,10 @@
                 self._run_when_ended(host, host.process_number, partial(self._start, host))
 
     def _request_stop(self, host: BalancerHost) -> bool:
-        """Ask a process to stop; return False where there is none or it is stopping already."""
+        """Request a stop; return False if no process runs or it is already stopping."""
         if host.node is None or host.leaving:
             return False
-        self._world.note(f"{host.name} is asked to stop")
+        self._world.note(f"{host.name} is requested to stop")
         host.leaving = True
         self._world.fleet.fabric.balancer_changed(host, present=False)
         host.receive_result(ProcessResult(host.process_number, StopRequested()))
@@ -168,11 +169,11 @@
         self._world.network.blocked = set().union(*self._blocked_pairs)
 
     def _machines_on_side(self, names: tuple[str, ...], backends: bool) -> set[str]:
-        wanted = set(names)
+        selected = set(names)
         side = {host.name for host in self._hosts(names)}
         for host in self._world.backends.values():
-            in_hall = backends and host.endpoint.hall in wanted
-            if in_hall or host.name in wanted:
+            in_hall = backends and host.endpoint.hall in selected
+            if in_hall or host.name in selected:
                 side.add(host.name)
         return side
 
@@ -227,7 +228,7 @@
 
     def _backend_lie(self, fault: faults.BackendLie) -> None:
         for name in fault.backends:
-            self._world.note(f"{name} misleads for {fault.duration_s:g} s")
+            self._world.note(f"{name} reports a wrong load for {fault.duration_s:g} s")
             host = self._world.backends[name]
             host.set_load_report(fault.load_factor, fault.lag_s)
             self._schedule_after(fault.duration_s, partial(host.set_load_report, 1.0, 0.0))
--- a/sloepond/lab/engine.py
+++ b/sloepond/lab/engine.py
@@ -1,6 +1,6 @@
-"""Simulated time: one queue of events, ordered by time, then by arrival; and random streams.
+"""Discrete-event engine: one queue of events, ordered by time, then by insertion; and random streams.
 
-Owns the clock of the run, which nothing else advances.
+Owns the simulated clock of the run, which only the queue advances.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from typing import Any
 
 Action = Callable[[Any], None]
-"""What is done when an event is due; takes the event's one argument."""
+"""Called with the event's argument when the event is due."""
 
 
 class EventQueue:
-    """Discrete events of one simulation.
+    """Event queue of one simulation.
 
     :ivar now: simulated seconds since the start.
-    :ivar processed: events done so far.
+    :ivar processed: number of events processed.
     """
 
     __slots__ = ("_heap", "_sequence", "now", "processed")
@@ -32,13 +32,13 @@
     def schedule(self, time: float, action: Action, argument: Any = None) -> None:
         """Call `action(argument)` at `time`, in simulated seconds.
 
-        Events of one time are done in the order they were scheduled in.
+        Events with equal times are processed in the order in which they were scheduled.
         """
         self._sequence = sequence = self._sequence + 1
         heappush(self._heap, (time, sequence, action, argument))
 
     def run_until(self, end: float) -> None:
-        """Do all events up to and including time `end`."""
+        """Process all events up to and including time `end`."""
         heap = self._heap
         processed = 0
         while heap and heap[0][0] <= end:
@@ -52,14 +52,14 @@
 
 
 class RandomStreams:
-    """Independent random streams, one for each subject, all from one seed.
+    """Independent random streams, one for each subject, all derived from one seed.
 
-    A subject that draws more or fewer numbers does not move the others.
+    A subject that draws more or fewer numbers does not change the streams of the others.
     """
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def stream(self, subject: str) -> random.Random:
-        """Return a new stream for `subject`; the same one for the same seed."""
+        """Return a new stream for `subject`; equal seeds and subjects give equal streams."""
         return random.Random(f"{self.seed}/{subject}")
--- a/sloepond/lab/fabric.py
+++ b/sloepond/lab/fabric.py
@@ -1,6 +1,6 @@
-"""The fabric: sprays callers' packets evenly over the balancers it knows, with a lag.
+"""The fabric: distributes callers' packets evenly over the balancers; changes take effect after a delay.
 
-Owns which balancers it knows.  Relies on the fleet to report starts, stops and ends.
+Owns the list of balancers that receive packets.  Relies on the fleet to report starts, stops and ends.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class _PresenceChange(msgspec.Struct, frozen=True, eq=False):
-    """A balancer has come or gone."""
+    """A balancer that was added to or removed from the fabric."""
 
     host: BalancerHost
     present: bool
 
 
 class Fabric:
-    """The balancers as the fabric knows them."""
+    """Sends each packet of a caller to a random balancer in its list."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._balancers: list[BalancerHost] = []
 
     def balancer_changed(self, host: BalancerHost, present: bool) -> None:
-        """A balancer has started, or has ended or begun to leave; known after the lag."""
+        """Add a started balancer, or remove one that ended or is leaving, once the lag has passed."""
         self._queue.schedule(
             self._queue.now + self._lag_s, self._apply_change, _PresenceChange(host, present)
         )
@@ -57,7 +57,7 @@
         return host.node is not None and not host.leaving
 
     def spray(self, packet: CallerPacket) -> BalancerHost | None:
-        """Send a caller's packet to any of the balancers and return which one."""
+        """Send a caller's packet to a random balancer and return that balancer; None if there is none."""
         balancers = self._balancers
         if not balancers:
             return None
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -1,8 +1,8 @@
 """Faults and operator actions of a scenario's timeline, as typed records.
 
 Times are seconds after the balancers have started.  Balancers are named
-`balancer-1`, ..., halls `hall-1`, ..., back ends `<service>-1`, ...; a hall in
-place of a balancer means all balancers of that hall.
+`balancer-1`, ..., halls `hall-1`, ..., back ends `<service>-1`, ...; the name of a
+hall instead of a balancer selects all balancers of that hall.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class FaultBase(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
-    """What all entries of a timeline have.
+    """Base of all entries of a timeline.
 
     :ivar at: seconds after the balancers have started.
     """
@@ -20,9 +20,9 @@
 
 
 class Crash(FaultBase, frozen=True, tag="crash"):
-    """Balancers stop at once and lose all state.
+    """Balancers end at once and lose all state.
 
-    :ivar restart_after_s: time until a new process of the same name starts;
+    :ivar restart_after_s: delay until a new process of the same name starts;
         None for never.
     """
 
@@ -33,8 +33,8 @@
 class Stop(FaultBase, frozen=True, tag="stop"):
     """Planned stop of balancers.
 
-    :ivar replace: whether a new machine in the same hall starts as each one ends.
-    :ivar restart: whether the same machine starts again as each one ends.
+    :ivar replace: whether a new machine in the same hall starts after each one ends.
+    :ivar restart: whether the same machine starts again after it ends.
     """
 
     balancers: tuple[str, ...]
@@ -45,8 +45,8 @@
 class RollingReplace(FaultBase, frozen=True, tag="rolling-replace"):
     """Stops and replaces balancers one after the other.
 
-    :ivar balancers: which; empty for all of them.
-    :ivar pause_s: time between a replacement's start and the next stop.
+    :ivar balancers: balancers or halls; empty for all balancers.
+    :ivar pause_s: delay between the start of a replacement and the next stop.
     """
 
     balancers: tuple[str, ...] = ()
@@ -54,28 +54,28 @@
 
 
 class Join(FaultBase, frozen=True, tag="join"):
-    """New balancers start in a hall."""
+    """New balancers start on new machines in a hall."""
 
     hall: str
     count: int = 1
 
 
 class Pause(FaultBase, frozen=True, tag="pause"):
-    """Processes stand still, then handle what has queued, as if no time had passed."""
+    """Processes stall, then handle their queued input as if no time had passed."""
 
     balancers: tuple[str, ...]
     duration_s: float
 
 
 class Partition(FaultBase, frozen=True, tag="partition"):
-    """Machines of one side cannot reach those of the other.
+    """Machines on one side cannot reach those on the other.
 
-    Callers and the platform still reach both.
+    Callers and the platform still reach both sides.
 
-    :ivar side: halls, balancers or back ends of the one side.
-    :ivar other: those of the other side; empty for all the rest.
+    :ivar side: halls, balancers or back ends on one side.
+    :ivar other: halls, balancers or back ends on the other side; empty for all other machines.
     :ivar one_way: whether only packets from `side` to `other` are lost.
-    :ivar backends: whether back ends of the halls are part of the sides.
+    :ivar backends: whether naming a hall includes its back ends.
     """
 
     side: tuple[str, ...]
@@ -86,7 +86,7 @@
 
 
 class Disturb(FaultBase, frozen=True, tag="disturb"):
-    """All links lose, duplicate and reorder datagrams for a while (shares of 1)."""
+    """All links lose, duplicate and reorder these shares of datagrams (0 to 1) for the duration."""
 
     duration_s: float
     loss: float = 0.0
@@ -97,8 +97,8 @@
 class Drain(FaultBase, frozen=True, tag="drain"):
     """The operator declares back ends as draining.
 
-    :ivar notice: whether the back ends themselves refuse new flows from then on.
-    :ivar restore_after_s: time until they are declared active again; None for never.
+    :ivar notice: whether the back ends themselves also refuse new flows.
+    :ivar restore_after_s: delay until they are declared active again; None for never.
     """
 
     backends: tuple[str, ...]
@@ -107,19 +107,19 @@
 
 
 class BackendCrash(FaultBase, frozen=True, tag="backend-crash"):
-    """Back ends stop at once and lose their flows; they start again, cold."""
+    """Back ends end at once and lose their flows; they start again with a cold start."""
 
     backends: tuple[str, ...]
     restart_after_s: float = 5.0
 
 
 class BackendLie(FaultBase, frozen=True, tag="backend-lie"):
-    """Health and load of back ends mislead for a while.
+    """Back ends report wrong health and load for the duration.
 
-    Load reports travel in replies.  No balancer asks a health endpoint, so none is simulated.
+    Load reports are sent in replies.  No balancer requests a health endpoint, so none is simulated.
 
-    :ivar healthy: what the health endpoint claims; None leaves it true.
-    :ivar load_factor: multiplies every load report.
+    :ivar healthy: state that the health endpoint reports; None for the true one.
+    :ivar load_factor: factor applied to every load report.
     :ivar lag_s: age of every load report.
     """
 
@@ -131,7 +131,7 @@
 
 
 class ConfigurationChange(FaultBase, frozen=True, tag="configuration-change"):
-    """The operator declares a new generation that changes a label only."""
+    """The operator declares a new generation that only changes a label."""
 
 
 class PlatformDown(FaultBase, frozen=True, tag="platform-down"):
@@ -141,14 +141,14 @@
 
 
 class PlatformStale(FaultBase, frozen=True, tag="platform-stale"):
-    """The configuration service answers with an older generation."""
+    """The configuration service answers with a generation older by `generations`."""
 
     duration_s: float
     generations: int = 1
 
 
 class ConfigurationDelay(FaultBase, frozen=True, tag="configuration-delay"):
-    """Some balancers get no configuration, neither from the platform nor from peers."""
+    """Some balancers receive no configuration, neither from the platform nor from peers."""
 
     balancers: tuple[str, ...]
     duration_s: float
--- a/sloepond/lab/fleet.py
+++ b/sloepond/lab/fleet.py
@@ -1,6 +1,6 @@
-"""The balancers: their machines, settings and the fabric before them.
+"""The balancers: their machines, their settings and the fabric that sends them callers' packets.
 
-Owns which balancers there are.  Relies on the network, the event queue and the platform's list of
+Owns the balancer machines.  Relies on the network, the event queue and the platform's list of
 machines, which it keeps up to date.
 """
 
@@ -21,19 +21,19 @@
 from sloepond.resources.model import Location
 
 PEER_PORT = 7_000
-"""Port at which balancers take messages of each other."""
+"""Port on which balancers receive messages from each other."""
 PEER_NETWORK = "10.0"
-"""First half of the addresses of balancers."""
+"""First two bytes of the addresses of balancers."""
 INCARNATION_BASE_MS = 1_760_000_000_000
-"""Milliseconds of wall time at simulated time 0."""
+"""Wall-clock time at simulated time 0, from which incarnations are derived."""
 FABRIC_STREAM = "fabric/cell-1"
-"""Random stream of the fabric; its name is part of what a seed stands for."""
+"""Name of the fabric's random stream; another name gives other runs for the same seeds."""
 MAXIMUM_SEEDS = 6
-"""Peer addresses given to a balancer that starts; not measured."""
+"""Maximum number of peer addresses in the settings of a balancer that starts."""
 
 
 class FleetEnvironment(msgspec.Struct, frozen=True, eq=False):
-    """What the balancers run on."""
+    """Parts of the simulation that the fleet uses."""
 
     queue: EventQueue
     network: Network
@@ -45,9 +45,9 @@
 class Fleet:
     """All balancers of a run.
 
-    :ivar balancers: machine name -> machine, those that have ended included.
+    :ivar balancers: machine name -> machine, including machines whose process has ended.
     :ivar by_address: peer address -> machine.
-    :ivar fabric: sends callers' packets to them.
+    :ivar fabric: sends callers' packets to the balancers.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._initial_names = frozenset(self.balancers)
 
     def running(self) -> Iterator[BalancerHost]:
-        """Yield the machines whose process runs or is paused."""
+        """Yield the machines that have a process, paused ones included."""
         return (host for host in self.balancers.values() if host.node is not None)
 
     def _add_machine(self, location: Location) -> BalancerHost:
@@ -98,7 +98,7 @@
         return host
 
     def start(self, host: BalancerHost) -> None:
-        """Start a process on `host`."""
+        """Start a process on `host` unless one runs."""
         if host.node is not None:
             return
         now = self._environment.queue.now
@@ -121,7 +121,7 @@
         self.process_ended(host)
 
     def process_ended(self, host: BalancerHost) -> None:
-        """Let the platform and the fabric learn in time that a process has ended."""
+        """Report the end of a process to the platform and the fabric, which apply it after their lag."""
         self._environment.platform.machine_changed(self._environment.queue.now, host.name, None)
         self.fabric.balancer_changed(host, present=False)
 
@@ -131,7 +131,7 @@
         return msgspec.structs.replace(base, membership=membership)
 
     def _seeds_for(self, host: BalancerHost) -> tuple[str, ...]:
-        """Return addresses from the list of machines, as a deployment would fill them in."""
+        """Return peer addresses from the platform's list of machines, or the initial ones if it is empty."""
         listed = {member.name for member in self._environment.platform.machines(self._environment.queue.now)}
         names = listed or self._initial_names
         peers = [peer for name, peer in self.balancers.items() if name in names and peer is not host]
--- a/sloepond/lab/hosting.py
+++ b/sloepond/lab/hosting.py
@@ -1,6 +1,6 @@
-"""What the lab needs of a node, so that the real one and the broken ones of tests run alike.
+"""The interface of a node in the lab, so that tests can run broken nodes instead of the real one.
 
-The one place in which the lab names the node that balancers run.
+The only module of the lab that refers to the node that balancers run.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class ConfigurationHolder(Protocol):
-    """Holds the configuration in force."""
+    """Provides the configuration in force."""
 
     @property
     def in_force(self) -> CompiledConfiguration:
-        """The configuration in force; generation 0 for none."""
+        """The configuration in force; its generation is 0 if there is none."""
 
 
 class LabNode(Protocol):
@@ -34,20 +34,20 @@
 
     @property
     def configuration(self) -> ConfigurationHolder:
-        """What configuration it uses."""
+        """The holder of the configuration in force."""
 
     def start(self, now: float) -> list[Command]:
-        """Return the first commands."""
+        """Start the node and return its first commands."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an event and return the commands that follow from it."""
+        """Handle an event and return the resulting commands."""
 
     def next_deadline(self) -> float:
-        """Return when a `TimerFired` is needed next, `NEVER` if not."""
+        """Return the time at which the next `TimerFired` is due; `NEVER` for none."""
 
 
 NodeFactory = Callable[[Member, NodeSettings, random.Random], LabNode]
-"""Makes the node of one process."""
+"""Creates the node of one process."""
 
 BALANCER_NODE: NodeFactory = Node
 """The node that balancers run."""
--- a/sloepond/lab/machine_clock.py
+++ b/sloepond/lab/machine_clock.py
@@ -1,6 +1,6 @@
-"""The clock of one simulated machine: it starts anywhere and runs a little fast or slow.
+"""The clock of one simulated machine: it has a random offset and a small drift.
 
-Owns the reading of one process, which never goes back.  Relies on the simulated time alone.
+Owns the clock reading of one process, which never decreases.  Relies only on the simulated time.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 import random
 
 MAXIMUM_CLOCK_OFFSET_S = 100_000.0
-"""Clocks start between 0 and this, seconds, so that times of two machines cannot be compared."""
+"""Clocks start between 0 and this, seconds, so that times of different machines cannot be compared."""
 MAXIMUM_DRIFT = 50e-6
-"""Largest share a clock runs fast or slow, 50 ppm; not measured."""
+"""Maximum relative error of a clock's rate, fast or slow: 50 ppm."""
 
 
 class MachineClock:
-    """Turns simulated time into a machine's own and back; both in seconds."""
+    """Converts between simulated time and a machine's local time; both in seconds."""
 
     __slots__ = ("_latest", "_rate", "_start")
 
@@ -24,13 +24,13 @@
         self._latest = 0.0
 
     def local(self, now: float) -> float:
-        """Return the machine's time at simulated time `now`."""
+        """Return the local time at simulated time `now`."""
         return max(self._start + now * self._rate, self._latest)
 
     def simulated(self, local: float) -> float:
-        """Return the simulated time at which the machine's clock shows `local`."""
+        """Return the simulated time at which the local time is `local`."""
         return (local - self._start) / self._rate
 
     def advance_to(self, local: float) -> None:
-        """Note that a timer for `local` has fired: rounding must not show an earlier time after it."""
+        """Advance the clock to at least `local`, the time of a timer that fires; rounding could give less."""
         self._latest = max(self._latest, local)
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -1,6 +1,6 @@
 """The simulated network: latency, loss, duplication, reordering and partitions.
 
-Owns the links and what is blocked.  Relies on the event queue: a datagram is a scheduled call.
+Owns the latencies and the blocked links.  Relies on the event queue: a delivery is a scheduled call.
 """
 
 from __future__ import annotations
@@ -14,13 +14,12 @@
 from sloepond.resources.model import Location
 
 HOSTS_PER_SUBNET = 250
-"""Numbers used in the last byte of an address, from 1."""
+"""Values used for the last byte of an address, from 1."""
 _S_PER_MS = 0.001
-"""Seconds."""
 
 
 def make_address(network: str, number: int, port: int) -> str:
-    """Return an address `ip:port` in `network`, the first two bytes of it; numbers are from 0."""
+    """Return the address `ip:port` of a machine; `network` is its first two bytes, `number` starts at 0."""
     third, last = divmod(number, HOSTS_PER_SUBNET)
     return f"{network}.{third}.{last + 1}:{port}"
 
@@ -28,9 +27,9 @@
 class Endpoint:
     """One machine on the network.
 
-    :ivar location: None for the callers, which stand outside the halls.
+    :ivar location: None for the callers, which are outside the halls.
     :ivar hall: name of its hall; empty for the callers.
-    :ivar location_index: index of its place in the latency table.
+    :ivar location_index: index of its location in the latency table.
     """
 
     __slots__ = ("hall", "location", "name", "location_index")
@@ -43,9 +42,9 @@
 
 
 class Network:
-    """Moves datagrams between endpoints by scheduling their delivery.
+    """Delivers datagrams between endpoints after a delay, or drops them.
 
-    :ivar blocked: pairs (sender, receiver) of names that cannot be reached.
+    :ivar blocked: pairs (sender, receiver) of endpoint names between which datagrams are dropped.
     """
 
     def __init__(self, queue: EventQueue, model: NetworkModel, random_source: random.Random) -> None:
@@ -63,25 +62,25 @@
         self.disturb(model.loss, model.duplicate, model.reorder)
 
     def endpoint(self, name: str, location: Location | None) -> Endpoint:
-        """Return a new endpoint."""
+        """Return a new endpoint at a location."""
         location_index = self._location_indexes.get(location)
         if location_index is None:
             location_index = self._add_location(location)
         return Endpoint(name, location, location_index)
 
     def disturb(self, loss: float, duplicate: float, reorder: float) -> None:
-        """Set the shares of datagrams lost, delivered twice and held back."""
+        """Set the shares of datagrams lost, duplicated and reordered."""
         self._loss = loss
         self._duplicate = duplicate
         self._reorder = reorder
         self._disturbed = bool(loss or duplicate or reorder)
 
     def reset_disturbance(self) -> None:
-        """Return to the shares of the scenario."""
+        """Restore the shares of the scenario."""
         self.disturb(self._model.loss, self._model.duplicate, self._model.reorder)
 
     def is_blocked(self, source: str, destination: str) -> bool:
-        """Return whether datagrams from `source` do not reach `destination`."""
+        """Return whether datagrams from `source` to `destination` are dropped."""
         return (source, destination) in self.blocked
 
     def transmit(
@@ -92,10 +91,10 @@
         argument: Any,
         may_duplicate: bool = True,
     ) -> None:
-        """Deliver a datagram by calling `action(argument)` later, or lose it.
+        """Schedule the delivery of a datagram, a call of `action(argument)`, or drop it.
 
-        :param may_duplicate: False where a copy could not be told from a second
-            sending by any balancer (the last link to a back end).
+        :param may_duplicate: False for the link between a balancer and a back end, where
+            no balancer could distinguish a duplicate from a second transmission.
         """
         if self.blocked and (source.name, destination.name) in self.blocked:
             return
--- a/sloepond/lab/platform.py
+++ b/sloepond/lab/platform.py
@@ -1,6 +1,6 @@
-"""The platform: a configuration service that can be read, and a list of machines that lags.
+"""The platform: a configuration service and a delayed list of machines.
 
-Owns the generations published and the changes of machines.  Relies on its callers for the time.
+Owns the published generations and the changes of machines.  Relies on its users to pass the time.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class Platform:
-    """What the platform answers at a moment.
+    """State of the platform, from which its answers follow.
 
     :ivar down: whether reads of the configuration fail.
-    :ivar stale_generations: how many generations old the answer is.
+    :ivar stale_generations: by how many generations the answer is older than the latest one.
     """
 
     def __init__(self, machine_list_lag_s: float) -> None:
@@ -35,22 +35,22 @@
         self.stale_generations = 0
 
     def publish(self, snapshot: ConfigurationSnapshot) -> None:
-        """Declare a new generation."""
+        """Publish a new generation."""
         self._snapshots.append(snapshot)
 
     def read(self) -> ConfigurationSnapshot | None:
-        """Return the configuration, None where the read fails."""
+        """Return the configuration; None if the read fails."""
         if self.down:
             return None
         index = max(0, len(self._snapshots) - 1 - self.stale_generations)
         return self._snapshots[index]
 
     def machine_changed(self, now: float, name: str, member: Member | None) -> None:
-        """A machine has started, or ended (None)."""
+        """Record that a process on a machine started, or ended if `member` is None."""
         self._changes.append(_MachineChange(now, name, member))
 
     def machines(self, now: float) -> tuple[Member, ...]:
-        """Return the machines as of `machine_list_lag_s` ago, sorted by name."""
+        """Return the list of machines as of `machine_list_lag_s` before `now`, sorted by name."""
         while self._changes and self._changes[0].at <= now - self._lag_s:
             change = self._changes.popleft()
             if change.member is None:
--- a/sloepond/lab/plot.py
+++ b/sloepond/lab/plot.py
@@ -1,6 +1,6 @@
-"""Draws one result: load of each back end, broken flows and control bytes over time.
+"""Plots one result: load of each back end, broken flows and control bytes over time.
 
-Owns nothing.  Relies on matplotlib, an optional dependency, imported when a plot is drawn.
+Owns no state.  Relies on matplotlib, an optional dependency that is imported only when a plot is drawn.
 """
 
 from __future__ import annotations
@@ -14,13 +14,12 @@
 _HEIGHT_INCHES = 9.0
 _PANELS = 3
 _MARKER_SIZE_POINTS = 3.0
-"""Points."""
 
 
 def plot_result(result: LabResult, path: Path) -> None:
-    """Write a PNG of `result` to `path`.
+    """Write a PNG plot of `result` to `path`.
 
-    :raises ImportError: where matplotlib is not installed.
+    :raises ImportError: if matplotlib is not installed.
     """
     from matplotlib.backends.backend_agg import FigureCanvasAgg
     from matplotlib.figure import Figure
--- a/sloepond/lab/random_faults.py
+++ b/sloepond/lab/random_faults.py
@@ -1,6 +1,6 @@
-"""Timelines of faults drawn at random, for scenarios that ask for them.
+"""Generates random timelines of faults for scenarios with `random_faults`.
 
-Owns nothing; the same random source gives the same faults.
+Owns no state; the same state of the random source gives the same faults.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from sloepond.lab.scenario import Scenario
 
 CLUSTERED_FAULT_SHARE = 0.4
-"""Share of the faults that come right after another one; not measured."""
+"""Share of the faults that shortly follow another one."""
 MAXIMUM_CLUSTER_GAP_S = 1.5
-"""Longest time between such two, seconds: shorter than any fault is noticed in; not measured."""
+"""Maximum time between two such faults, seconds: less than any fault takes to be detected."""
 
 
 class RandomFaultGenerator:
-    """Draws faults that fit a scenario's topology."""
+    """Generates faults of the balancers, back ends and halls of a scenario."""
 
     def __init__(self, scenario: Scenario, random_source: random.Random) -> None:
         self._random = random_source
@@ -28,11 +28,11 @@
         self._backends = [name for service in scenario.services for name in service.backend_names()]
 
     def next_fault(self, at: float) -> faults.Fault:
-        """Return a fault of any kind at time `at`."""
+        """Return a fault of a random kind at time `at`."""
         return self._random.choice(self._fault_factories())(round(at, 2))
 
     def _fault_factories(self) -> tuple[Callable[[float], faults.Fault], ...]:
-        """Return a maker for each kind of fault, with the ranges its values are drawn from."""
+        """Return a factory for each kind of fault; its arguments are random within the ranges given here."""
         balancer, backend, duration_s = self._random_balancer, self._random_backend, self._random_duration_s
         return (
             lambda at: faults.Crash(at, balancer(), restart_after_s=duration_s(0.5, 10.0)),
@@ -77,16 +77,16 @@
 
 
 def generate_faults(scenario: Scenario, random_source: random.Random) -> tuple[faults.Fault, ...]:
-    """Return the random faults a scenario asks for, in order of time."""
-    wanted = scenario.random_faults
+    """Return the random faults of a scenario, in order of time."""
+    parameters = scenario.random_faults
     generator = RandomFaultGenerator(scenario, random_source)
     times: list[float] = []
-    for _ in range(wanted.count):
+    for _ in range(parameters.count):
         is_clustered = bool(times) and random_source.random() < CLUSTERED_FAULT_SHARE
         at = (
             times[-1] + random_source.random() * MAXIMUM_CLUSTER_GAP_S
             if is_clustered
-            else random_source.random() * wanted.over_s
+            else random_source.random() * parameters.over_s
         )
         times.append(at)
-    return tuple(generator.next_fault(wanted.start_s + at) for at in sorted(times))
+    return tuple(generator.next_fault(parameters.start_s + at) for at in sorted(times))
--- a/sloepond/lab/reach.py
+++ b/sloepond/lab/reach.py
@@ -1,6 +1,6 @@
-"""Who can reach whom: what the checkers ask about faults.
+"""Reachability between machines, by which the checkers attribute failures to injected faults.
 
-Owns the time of the last partition.  Relies on the network for what is blocked.
+Owns the start time of the last partition.  Relies on the network for the blocked links.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from sloepond.lab.network import Network
 
 PARTITION_DETECTION_S = 2.0
-"""Time after the start of a partition in which balancers may still send into it, seconds; not measured."""
+"""Time that balancers may take to detect a partition, during which they still send into it, seconds."""
 
 
 class Reachability:
-    """Reach of the machines at the moment.
+    """Current reachability between machines, and past crashes and isolations of back ends.
 
-    :ivar partitioned_at: simulated time the last partition began.
+    :ivar partitioned_at: simulated time at which the last partition began.
     """
 
     def __init__(
@@ -36,19 +36,20 @@
         self.partitioned_at = -float("inf")
 
     def is_connected(self, first: str, second: str) -> bool:
-        """Return whether datagrams pass between two machines both ways."""
+        """Return whether datagrams pass between two machines in both directions."""
         network = self._network
         return not (network.is_blocked(first, second) or network.is_blocked(second, first))
 
     def is_reachable_peer(self, host: BalancerHost, peer: BalancerHost) -> bool:
-        """Return whether `peer` runs and datagrams pass between it and `host`."""
+        """Return whether `peer` runs without a pause and is connected to `host`."""
         runs = peer.node is not None and not peer.paused
         return runs and self.is_connected(host.name, peer.name)
 
     def can_serve(self, host: BalancerHost, backend: str) -> bool:
-        """Return whether `host`, alone or through one other balancer, can reach the back end.
+        """Return whether `host` can reach the back end, directly or through one other balancer.
 
-        No balancer can know of a partition before `PARTITION_DETECTION_S` has passed.
+        False for `PARTITION_DETECTION_S` after the start of a partition, because no balancer can have
+        detected it.
         """
         if host.node is None or host.paused:
             return False
@@ -67,13 +68,13 @@
         return not any(self.is_connected(host.name, backend) for host in running)
 
     def was_killed_since(self, backend: str, time: float) -> bool:
-        """Return whether the back end was killed after `time` or is not running."""
+        """Return whether the back end was killed at or after `time`, or is not running."""
         host = self._backends.get(backend)
         if host is None:
             return False
         return host.model is None or any(killed >= time for killed in host.kill_times)
 
     def was_isolated_since(self, backend: str, time: float) -> bool:
-        """Return whether no balancer could reach the back end at a moment after `time`."""
+        """Return whether at any sample since `time` no balancer could reach the back end."""
         host = self._backends.get(backend)
         return host is not None and host.last_isolated_at >= time
--- a/sloepond/lab/result.py
+++ b/sloepond/lab/result.py
@@ -1,6 +1,6 @@
-"""The outcome of one run: measures, broken promises, timeline and series for plots.
+"""The result of one run: measures, broken promises, timeline and series for plots.
 
-Owns the form of `--json` and of result files.
+Owns the schema of the output of `--json` and of result files.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 
 class Measures(msgspec.Struct, frozen=True):
-    """What one run measured; the one JSON object of `--json`.
+    """Measures of one run; `--json` prints them as one JSON object.
 
-    The same scenario and seed give the same values but for `wall_seconds`.
+    The same scenario and seed give the same values except for `wall_seconds`.
     """
 
     flows: int
@@ -43,8 +43,9 @@
     """A promise that did not hold.
 
     :ivar name: name of the expectation.
-    :ivar measured: what was measured, and `limit` what was expected at most.
-    :ivar first: the first events that broke it, at most 20.
+    :ivar measured: measured value.
+    :ivar limit: highest value expected.
+    :ivar first: the first violations, at most 20.
     """
 
     name: str
@@ -54,18 +55,18 @@
 
 
 class TimelineEntry(msgspec.Struct, frozen=True):
-    """Something the scenario did; seconds after the balancers have started."""
+    """A fault or an action of the scenario; `at` is in seconds after the balancers have started."""
 
     at: float
     text: str
 
 
 class Series(msgspec.Struct, frozen=True):
-    """Values over time for plots, one for each simulated second.
+    """Values for plots, one for each simulated second, except `broken_at`.
 
     :ivar in_flight: back end -> requests running or queued, mean over the second.
-    :ivar control_bytes: control bytes sent per balancer.
-    :ivar broken_at: times of broken flows.
+    :ivar control_bytes: control bytes sent, mean over the balancers.
+    :ivar broken_at: times at which flows broke, seconds after the balancers have started.
     """
 
     in_flight: dict[str, list[float]]
@@ -74,7 +75,7 @@
 
 
 class LabResult(msgspec.Struct, frozen=True):
-    """Everything of one run."""
+    """Complete result of one run."""
 
     scenario: str
     seed: int
@@ -82,7 +83,7 @@
     broken_promises: tuple[BrokenPromise, ...]
     timeline: tuple[TimelineEntry, ...]
     flows_cut: int
-    """Flows that faults left no way to their back end; they do not count as broken."""
+    """Flows that faults cut off from their back end; they do not count as broken."""
     series: Series
 
     @property
--- a/sloepond/lab/runner.py
+++ b/sloepond/lab/runner.py
@@ -1,7 +1,7 @@
-"""Runs one scenario with one seed, and judges it.
+"""Runs one scenario with one seed and evaluates the result.
 
-Owns one run from its start to its result.  Relies on the world to simulate, and on the scenario's
-expectations for what is broken.
+Owns one run from its start to its result.  Relies on the world for the simulation and on the
+scenario's expectations to determine broken promises.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from sloepond.lab.world import World
 
 PROGRESS_INTERVAL_S = 0.5
-"""Simulated time between reports of progress, seconds."""
+"""Simulated time between progress reports, seconds."""
 _MEASURE_DECIMALS = 4
-"""Decimals of the measures."""
+"""Decimal places of the measures."""
 
 ProgressCallback = Callable[[float, float], None]
-"""Called with the simulated seconds done and those in all."""
+"""Called with the simulated seconds completed and their total."""
 
 
 def run_scenario(
@@ -36,10 +36,10 @@
 ) -> LabResult:
     """Run a scenario to its end.
 
-    :param factory: makes the nodes.
-    :param ordered_flows: whether flows are streams, in which a back end answers a copy of a request
-        without running it.
-    :raises ValueError: where the scenario's resources or settings are not valid.
+    :param factory: creates the nodes.
+    :param ordered_flows: whether flows are ordered streams, in which a back end answers a duplicate
+        request without running it again.
+    :raises ValueError: if the scenario's resources or settings are invalid.
     """
     return LabRun(scenario, seed, factory, ordered_flows).run(progress)
 
@@ -47,7 +47,7 @@
 class LabRun:
     """One run; see `run_scenario`.
 
-    :ivar world: the simulated machines, for tests and tools to look at.
+    :ivar world: the simulated machines, for use by tests and tools.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._end = load_end(scenario) + scenario.timing.settle_s
 
     def run(self, progress: ProgressCallback | None = None) -> LabResult:
-        """Simulate until the end; return what was measured and which promises broke."""
+        """Simulate until the end and return the measures and the broken promises."""
         started = time.perf_counter()
         self.world.start()
         self._sampler.start()
--- a/sloepond/lab/sampler.py
+++ b/sloepond/lab/sampler.py
@@ -1,6 +1,6 @@
-"""Looks at the world at fixed times: configurations, balance, bytes and isolation.
+"""Samples the world at fixed intervals: configurations, balance, control bytes and isolation.
 
-Owns the meters of balance and traffic.  Relies on the world for what to look at.
+Owns the meters of balance and traffic.  Relies on the world for the sampled state.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
 from sloepond.lab.world import World
 
 CONFIGURATION_INTERVAL_S = 0.1
-"""Time between looks at configurations: a fortieth of the limit of 4 s that is checked."""
+"""Interval between checks of configurations, seconds: a fortieth of the checked limit of 4 s."""
 IN_FLIGHT_INTERVAL_S = 0.1
-"""Time between readings of the work in flight; ten make one sample of balance."""
+"""Interval between readings of the requests in flight, seconds; ten make one sample of balance."""
 SAMPLE_INTERVAL_S = 1.0
-"""Time between samples, seconds."""
+"""Interval between samples of balance, traffic and isolation, seconds."""
 
 
 class Sampler:
-    """Samples a world until the end of a run; see the module."""
+    """Samples a world until the end of a run.
+
+    :ivar in_flight: back end -> requests in flight, one mean for each second.
+    """
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -37,7 +40,7 @@
         self._balance_until = load_end(world.scenario)
 
     def start(self) -> None:
-        """Begin to sample, the balance and bytes once the balancers have started."""
+        """Schedule the samples: configurations at once, the others once the balancers have started."""
         self._queue.schedule(self._queue.now + CONFIGURATION_INTERVAL_S, self._check_configurations)
         self._queue.schedule(self._world.scenario.timing.form_s, self._start_sampling)
 
@@ -65,7 +68,7 @@
         self._queue.schedule(now + CONFIGURATION_INTERVAL_S, self._check_configurations)
 
     def _reachable_since(self, host: BalancerHost) -> float:
-        """Return since when the process runs and configurations can reach it."""
+        """Return the simulated time since which the process runs and configurations can reach it."""
         now = self._queue.now
         if host.paused or host.configuration_blocks:
             self._last_unreachable_at[host.name] = now
@@ -73,7 +76,7 @@
         return max(host.available_since, self._last_unreachable_at.get(host.name, 0.0))
 
     def _peer_generation(self, host: BalancerHost) -> int:
-        """Return the highest generation in force at the peers that a process can reach now."""
+        """Return the highest generation in force at the peers that `host` can reach now; 0 for none."""
         generations = [
             peer.node.configuration.in_force.generation
             for peer in self._world.fleet.running()
@@ -100,7 +103,7 @@
         self.traffic.add_second(sent)
 
     def _read_in_flight(self, _: None) -> None:
-        """Read the work of all back ends; the mean over a second becomes one sample."""
+        """Read the requests in flight of all back ends; the mean over a second becomes one sample."""
         backends = self._world.backends.items()
         self._means.add({name: float(host.model.in_flight) for name, host in backends if host.model})
         self._queue.schedule(self._queue.now + IN_FLIGHT_INTERVAL_S, self._read_in_flight)
--- a/sloepond/lab/scenario.py
+++ b/sloepond/lab/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios: what world is simulated, what happens in it, what must hold.
+"""Scenarios: the simulated system, the load and faults applied to it, and the expected limits.
 
-A scenario is one TOML document.  Owns its form; unknown keys are refused, and all findings are
+A scenario is one TOML document.  Owns its schema; unknown keys are refused, and all findings are
 collected with their place and reported together.
 """
 
@@ -20,15 +20,15 @@
 
 
 def balancer_name(number: int) -> str:
-    """Return the name of the balancer with a number, from 1 in the order of their starts."""
+    """Return the name of the balancer with this number; numbers start at 1, in the order of creation."""
     return f"balancer-{number}"
 
 
 class Topology(Strict, frozen=True):
-    """Balancers and the places they stand in.
+    """Number of balancers and their halls.
 
     :ivar halls: number of halls, all in one zone.
-    :ivar balancers_per_hall: balancers started in each hall.
+    :ivar balancers_per_hall: balancers started in each hall at the beginning.
     """
 
     halls: int = 3
@@ -40,13 +40,16 @@
 
 
 class NetworkModel(Strict, frozen=True):
-    """Links between machines; one-way times in milliseconds.
+    """Links between machines; latencies are one-way, in milliseconds.
 
-    :ivar jitter: largest extra delay as a share of the latency.
+    :ivar local_latency_ms: latency between machines of one hall.
+    :ivar hall_latency_ms: latency between halls.
+    :ivar caller_latency_ms: latency between callers and any machine.
+    :ivar jitter: maximum extra delay as a share of the latency.
     :ivar loss: share of datagrams lost on every link.
     :ivar duplicate: share of datagrams delivered twice.
-    :ivar reorder: share of datagrams held back for up to `reorder_ms`.
-    :ivar lifetime_ms: longest time a datagram stays in the network.
+    :ivar reorder: share of datagrams delayed by up to `reorder_ms`, so that later ones overtake them.
+    :ivar lifetime_ms: maximum delay of a datagram that is reordered or duplicated.
     """
 
     local_latency_ms: float = 0.1
@@ -63,14 +66,14 @@
 class ServiceModel(Strict, frozen=True):
     """One service and its back ends.
 
-    :ivar backends: number of back ends, spread over the halls in turn.
-    :ivar slots: requests a back end runs at the same time.
-    :ivar queue: requests a back end lets wait; it sheds those beyond.
-    :ivar connections: flows a back end holds.
-    :ivar service_time_ms: mean time a request runs, in milliseconds.
-    :ivar cold_start_s: seconds after a start over which a back end is slower.
-    :ivar cold_factor: times slower at the moment of the start.
-    :ivar denied_hall: number of a hall, from 1, that traffic may not enter; 0 for none.
+    :ivar backends: number of back ends, assigned to the halls in round-robin order.
+    :ivar slots: maximum concurrent requests of a back end.
+    :ivar queue: maximum queued requests of a back end; it sheds further ones.
+    :ivar connections: maximum flows of a back end.
+    :ivar service_time_ms: mean execution time of a request, in milliseconds.
+    :ivar cold_start_s: seconds after a start during which a back end is slower.
+    :ivar cold_factor: factor by which service times are longer right after a start.
+    :ivar denied_hall: number of a hall, from 1, that the service denies; 0 for none.
     """
 
     name: str
@@ -91,18 +94,18 @@
 class LoadModel(Strict, frozen=True):
     """Flows of one kind to one service.
 
-    :ivar kind: `session` (requests over a while), `feed` (pushed data) or
+    :ivar kind: `session` (requests at intervals), `feed` (pushed data) or
         `download` (one repeatable request with an answer of many parts).
     :ivar flows: number of flows.
-    :ivar start_s: when the first may arrive, after the balancers have started.
-    :ivar over_s: they arrive at random times over this many seconds.
-    :ivar duration_s: mean time a session or feed stays open.
+    :ivar start_s: earliest arrival, seconds after the balancers have started.
+    :ivar over_s: period over which flows arrive at random times, seconds.
+    :ivar duration_s: mean time for which a session or feed stays open, seconds.
     :ivar requests: mean number of requests of a session.
     :ivar not_repeatable: share of requests that may not be repeated.
-    :ivar push_interval_s: time between pushes of a feed.
-    :ivar keepalive_s: time between keepalives of a session.
-    :ivar feed_keepalive_s: the same for a feed.
-    :ivar parts: parts of the answer of a download.
+    :ivar push_interval_s: interval between pushes of a feed.
+    :ivar keepalive_s: interval between keepalives of a session.
+    :ivar feed_keepalive_s: interval between keepalives of a feed.
+    :ivar parts: number of parts in the answer to a download.
     """
 
     service: str
@@ -120,11 +123,11 @@
 
 
 class CallerModel(Strict, frozen=True):
-    """How callers behave.
+    """Retransmission, timeout and cancellation of callers.
 
-    :ivar retransmit_s: time to the first retransmission; doubles each time.
-    :ivar retransmit_maximum_s: longest time between retransmissions.
-    :ivar patience_s: time after which a caller gives a packet up.
+    :ivar retransmit_s: delay before the first retransmission; doubles each time.
+    :ivar retransmit_maximum_s: maximum delay between retransmissions.
+    :ivar patience_s: timeout after which a caller gives up on a packet.
     :ivar cancel: share of requests cancelled soon after they are sent.
     """
 
@@ -135,11 +138,11 @@
 
 
 class PlatformModel(Strict, frozen=True):
-    """What the platform gives.
+    """Delays of the platform.
 
-    :ivar fabric_lag_s: time after which the fabric knows of a change of machines.
+    :ivar fabric_lag_s: delay until the fabric applies a start or end of a balancer.
     :ivar machine_list_lag_s: age of the list of live machines.
-    :ivar read_latency_ms: time a read of the configuration takes.
+    :ivar read_latency_ms: latency of a read of the configuration or of the list of machines.
     """
 
     fabric_lag_s: float = 2.0
@@ -148,10 +151,10 @@
 
 
 class Timing(Strict, frozen=True):
-    """Parts of the run in simulated seconds.
+    """Phases of the run, in simulated seconds.
 
-    :ivar form_s: time given to the balancers to start before callers arrive.
-    :ivar settle_s: time after the last arrival until the run ends.
+    :ivar form_s: time for the balancers to start before callers arrive.
+    :ivar settle_s: time from the last arrival to the end of the run.
     """
 
     form_s: float = 8.0
@@ -159,11 +162,11 @@
 
 
 class RandomFaults(Strict, frozen=True):
-    """Faults drawn from the seed.
+    """Faults generated from the seed.
 
     :ivar count: number of faults; 0 for none.
     :ivar start_s: earliest time, seconds after the balancers have started.
-    :ivar over_s: they are spread over this many seconds.
+    :ivar over_s: period over which the faults are spread, seconds.
     """
 
     count: int = 0
@@ -172,7 +175,7 @@
 
 
 class Expectations(Strict, frozen=True):
-    """Limits; each is the largest value at which the promise holds, None is unchecked."""
+    """Limits of the measures: a promise holds up to and including its limit; None disables the check."""
 
     broken_flows: int | None = 0
     misrouted_packets: int | None = 0
@@ -191,7 +194,7 @@
 
 
 class Scenario(Strict, frozen=True):
-    """One scenario; see the module."""
+    """One scenario: the system, its load, its faults and the expected limits."""
 
     name: str
     description: str
@@ -206,18 +209,18 @@
     random_faults: RandomFaults = RandomFaults()
     expect: Expectations = Expectations()
     settings: dict[str, Any] = {}
-    """Changes to `NodeSettings`, as nested tables."""
+    """Overrides of `NodeSettings`, as nested tables."""
 
 
 class ScenarioFinding(msgspec.Struct, frozen=True):
-    """Something wrong with a scenario, and where."""
+    """One error in a scenario, and its place in the document."""
 
     place: str
     message: str
 
 
 class ScenarioError(Exception):
-    """A scenario was refused; carries all findings."""
+    """A scenario is invalid; carries all findings."""
 
     def __init__(self, findings: list[ScenarioFinding]) -> None:
         super().__init__("; ".join(f"{finding.place}: {finding.message}" for finding in findings))
@@ -225,7 +228,7 @@
 
 
 def parse_scenario(text: str, place: str) -> Scenario:
-    """Return the scenario in `text`; only its types are checked.
+    """Parse the scenario in `text`; checks types only, `checks` validates the names.
 
     :param place: name put before each finding.
     :raises ScenarioError: with all findings.
@@ -245,7 +248,7 @@
 
 
 def _key_findings(key: str, value: Any, types: dict[str, Any], place: str) -> Iterator[ScenarioFinding]:
-    """Yield the findings of one top-level key; items of a list are checked one by one."""
+    """Yield the findings of one top-level key; items of a list are checked separately."""
     if key not in types:
         yield ScenarioFinding(f"{place}: {key}", "unknown key")
         return
@@ -259,12 +262,12 @@
 
 
 def scaled(scenario: Scenario, share: float) -> Scenario:
-    """Return the scenario with this share of the flows, over the same time.
+    """Return the scenario with the number of flows multiplied by `share`, over the same time.
 
-    :raises ValueError: where the share is not above 0.
+    :raises ValueError: if the share is not greater than 0.
     """
     if share <= 0:
-        raise ValueError(f"share {share} is not above 0")
+        raise ValueError(f"share {share} must be greater than 0")
     if share == 1:
         return scenario
     load = tuple(
--- a/sloepond/lab/socket_buffers.py
+++ b/sloepond/lab/socket_buffers.py
@@ -1,6 +1,6 @@
-"""Datagrams that wait at the sockets of a process that stands still.
+"""Receive buffers of the sockets of a paused process.
 
-Owns the waiting events of one process.  Relies on nothing else of the lab.
+Owns the queued events of one process.  Relies on nothing else of the lab.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from sloepond.core.events import Event
 
 SOCKET_BUFFER_DATAGRAMS = 512
-"""Datagrams that wait at one socket; more are lost.  Not measured."""
+"""Maximum number of datagrams buffered at one socket; further ones are lost."""
 
 
 class Socket(enum.IntEnum):
@@ -23,7 +23,7 @@
 
 
 class SocketBuffers:
-    """What has come and was not read yet."""
+    """Received events that the process has not read yet."""
 
     def __init__(self) -> None:
         self._buffers: tuple[collections.deque[Event], ...] = tuple(collections.deque() for _ in Socket)
@@ -32,16 +32,16 @@
         return sum(map(len, self._buffers))
 
     def add(self, socket: Socket, event: Event) -> None:
-        """Keep a datagram; it is lost where the socket's buffer is full."""
+        """Buffer a datagram; it is lost if the socket's buffer is full."""
         if len(self._buffers[socket]) < SOCKET_BUFFER_DATAGRAMS:
             self._buffers[socket].append(event)
 
     def add_result(self, event: Event) -> None:
-        """Keep the result of a read; those are never lost."""
+        """Buffer the result of a read, which is never lost."""
         self._buffers[Socket.BACKENDS].append(event)
 
     def drain(self) -> list[Event]:
-        """Return what has queued, one datagram of each socket in turn."""
+        """Remove and return all queued events, one of each socket in turn."""
         events: list[Event] = []
         while len(self):
             events += [buffer.popleft() for buffer in self._buffers if buffer]
--- a/sloepond/lab/trace.py
+++ b/sloepond/lab/trace.py
@@ -1,7 +1,7 @@
-"""Prints every packet of one flow as it is sent and as it arrives, to find out why a promise broke.
+"""Prints every packet of one flow when it is sent and when it arrives, to debug a broken promise.
 
-Owns nothing of the run: it stands between the machines and the network.  Relies on the text of every
-packet naming its flow.
+Owns no state of the run: it wraps the transmit method of the network.  Relies on the `repr` of every
+packet containing its flow.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from sloepond.lab.world import World
 
 PAYLOAD_PATTERN = re.compile(r"payload=b('[^']*'|\"[^\"]*\")")
-"""The payload in the text of a packet; it is left out of the trace."""
+"""Matches the payload in the `repr` of a packet; the trace omits it."""
 
 LinePrinter = Callable[[str], None]
-"""Takes one line."""
+"""Prints one line."""
 
 
 class FlowTracer:
-    """Watches a world for one flow; lost packets are sent and never arrive.
+    """Traces the packets of one flow; a lost packet is printed as sent, but not as arrived.
 
-    :param incarnation: the flow's incarnation, as named by violations.
+    :param incarnation: the flow's incarnation, as violations show it.
     """
 
     def __init__(self, world: World, incarnation: int, printer: LinePrinter) -> None:
@@ -33,7 +33,7 @@
         self._printer = printer
 
     def watch(self) -> None:
-        """Print from now on what the network is given to carry."""
+        """Start to print the packets of the flow that pass through the network."""
         network = self._world.network
         transmit = network.transmit
 
--- a/sloepond/lab/world.py
+++ b/sloepond/lab/world.py
@@ -1,7 +1,7 @@
-"""The simulated world: builds machines from a scenario and carries datagrams between them.
+"""The simulated world: creates machines from a scenario and passes datagrams between them.
 
 Owns all machines, the network, the platform and the checkers of one run.  Relies on nothing outside
-the run: the same scenario and seed give the same course.
+the run: the same scenario and seed give the same events.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 from sloepond.standins.content import BackendIdentity
 
 READ_TIMEOUT_S = 1.0
-"""Time after which a read of a configuration service that is down fails, seconds; not measured."""
+"""Time after which a read of a configuration service that is down fails, seconds."""
 
 
 class World:
-    """All machines of one run; see the module."""
+    """All machines of one run, and the handler of their commands and output."""
 
     def __init__(self, scenario: Scenario, seed: int, factory: NodeFactory, ordered_flows: bool) -> None:
         self.scenario = scenario
@@ -75,10 +75,10 @@
         )
 
     def note(self, text: str) -> None:
-        """Add a line to the timeline."""
+        """Add an entry to the timeline."""
         self.timeline.append(TimelineEntry(round(self.queue.now - self.scenario.timing.form_s, 3), text))
 
-    # Building
+    # Construction
 
     def _build_backends(self, ordered_flows: bool) -> None:
         for model in self.scenario.services:
@@ -102,7 +102,7 @@
         self._backends_by_address[host.address] = host
 
     def start(self) -> None:
-        """Publish the first generation, start all balancers and announce the callers."""
+        """Publish the first generation and schedule the starts of balancers and the arrivals of callers."""
         self._publish_compiled()
         random_source = self.streams.stream("start")
         for host in self.fleet.balancers.values():
@@ -126,7 +126,7 @@
         self.network.transmit(host.endpoint, self._callers_endpoint, self.callers.receive, reply)
 
     def balancer_to_backend(self, host: BalancerHost, address: str, packet: BackendPacket) -> None:
-        """Send a packet to a back end; the network makes no copies on this link."""
+        """Send a packet to a back end; the network does not duplicate on this link."""
         target = self._backends_by_address.get(address)
         if target is not None:
             datagram = BackendDatagram(host.address, packet)
@@ -141,7 +141,7 @@
     # Back ends
 
     def backend_output(self, host: BackendHost, outputs: list[BackendOutput]) -> None:
-        """Send the replies of a back end to the balancers they answer."""
+        """Send the replies of a back end to their balancers."""
         for output in outputs:
             target = self.fleet.by_address.get(output.destination)
             if target is not None:
@@ -151,23 +151,23 @@
                 )
 
     def backend_received(self, host: BackendHost, packet: BackendPacket, is_new_flow: bool) -> None:
-        """Have the place of a back end that got a packet checked."""
+        """Check the service and, for a new flow, the place of the back end."""
         self.place_checker.packet_arrived(host.name, packet, is_new_flow, self.queue.now)
 
     def backend_accepted(self, host: BackendHost, packet: BackendPacket) -> None:
-        """Note which back end holds a flow."""
+        """Record which back end accepted a flow."""
         self.flow_checker.flow_accepted(packet.flow, host.name, self.queue.now)
 
     def backend_executed(self, execution: Execution) -> None:
-        """Have a request that was started checked."""
+        """Check a request that a back end started."""
         now = self.queue.now
         self.request_checker.executed(execution, now)
         self.flow_checker.executed(execution, now)
 
-    # Reads and ends of balancers
+    # Balancers' reads and ends
 
     def read_configuration(self, host: BalancerHost) -> None:
-        """Answer a read of the configuration after its latency."""
+        """Answer a read of the configuration after its latency, or fail it after the timeout."""
         snapshot = None if host.configuration_blocks else self.platform.read()
         delay = self.scenario.platform.read_latency_ms / 1000
         if snapshot is None:
@@ -181,7 +181,7 @@
         self.queue.schedule(self.queue.now + delay, host.receive_result, result)
 
     def read_machine_list(self, host: BalancerHost) -> None:
-        """Answer a read of the list of machines."""
+        """Answer a read of the list of machines after its latency."""
         delay = self.scenario.platform.read_latency_ms / 1000
         event = MachineListRead(self.platform.machines(self.queue.now))
         self.queue.schedule(
@@ -189,17 +189,17 @@
         )
 
     def balancer_ended(self, host: BalancerHost) -> None:
-        """A process ends after a planned stop."""
+        """Record the end of a process after a planned stop."""
         self.note(f"{host.name} has stopped")
         self.fleet.process_ended(host)
 
     # The operator
 
     def publish(self) -> None:
-        """Declare the present resources as the next generation."""
+        """Publish the current resources as the next generation, if they are valid."""
         snapshot = self.declaration.next_snapshot()
         if snapshot is None:
-            self.note("the declaration is refused as not valid")
+            self.note("the declared resources are refused as invalid")
             return
         self.compiled = CompiledConfiguration(snapshot)
         self._publish_compiled()
@@ -216,12 +216,12 @@
             self.place_checker.generation_published(self.compiled, now)
 
     def platform_serving_stopped(self) -> None:
-        """The platform has gone down or stale."""
+        """Handle that the platform no longer serves the latest generation."""
         self.configuration_checker.serving_stopped()
         self.place_checker.serving_stopped(self.queue.now)
 
     def platform_serving_resumed(self) -> None:
-        """The platform serves the latest generation again."""
+        """Handle that a platform fault ended; no effect while another one is active."""
         if self.platform.down or self.platform.stale_generations:
             return
         now = self.queue.now
@@ -231,18 +231,18 @@
 
 
 def first_configuration(declaration: Declaration) -> CompiledConfiguration:
-    """Return the first generation.
+    """Return the first generation of the declared resources.
 
-    :raises ValueError: where the scenario's resources are not valid.
+    :raises ValueError: if the scenario's resources are invalid.
     """
     snapshot = declaration.next_snapshot()
     if snapshot is None:
-        raise ValueError("the resources of the scenario are not valid")
+        raise ValueError("the resources of the scenario are invalid")
     return CompiledConfiguration(snapshot)
 
 
 def backend_settings(model: ServiceModel, scenario: Scenario, ordered_flows: bool) -> BackendSettings:
-    """Return the settings of the back ends of a service."""
+    """Return the settings of a service's back ends; feeds use the shortest push interval of its load."""
     intervals = [load.push_interval_s for load in scenario.load if load.service == model.name]
     return BackendSettings(
         slots=model.slots,
