--- a/sloepond/lab/balancer.py
+++ b/sloepond/lab/balancer.py
@@ -78,19 +78,19 @@
 class _PendingCommands(msgspec.Struct, frozen=True):
     """Commands that a process returned just before a pause and has not carried out.
 
-    :ivar decided_at: simulated time at which the node returned them, seconds.
+    :ivar issued_at: simulated time at which the node returned them, seconds.
     """
 
-    decided_at: float
+    issued_at: float
     commands: list[Command]
 
     def unexpired_commands(self, now: float) -> list[Command]:
         """Return the commands that a process resumed at `now` carries out.
 
-        Like the daemon's dispatcher, drops packets to back ends that were decided more than
+        Like the daemon's dispatcher, drops packets to back ends that were issued more than
         `MAXIMUM_HANDLING_S` ago: a back end may have been declared draining since then.
         """
-        if now - self.decided_at <= MAXIMUM_HANDLING_S:
+        if now - self.issued_at <= MAXIMUM_HANDLING_S:
             return self.commands
         return [command for command in self.commands if not isinstance(command, SendToBackend)]
 
--- a/sloepond/lab/checkers/flows.py
+++ b/sloepond/lab/checkers/flows.py
@@ -18,11 +18,11 @@
 from sloepond.standins.caller_record import BreakReason, FlowRecord
 
 REPLY_MARGIN_S = 3.0
-"""Minimum seconds from a packet that can be served to the end of its flow, so that the flow counts as
-left without a reply: more than the interval between items of a feed, 2 s."""
+"""Seconds before the end of a flow whose packets do not count as unanswered: the next item of a feed
+comes only after the feed's interval, 2 s."""
 LAST_REPLY_MARGIN_S = 1.0
-"""Seconds after the start of the timeout during which packets are ignored: the flow was still served
-then."""
+"""Seconds around the last reply whose packets do not count as unanswered either: they belong to what was
+served before the timeout."""
 
 
 class ServiceTimes(msgspec.Struct, frozen=True):
--- a/sloepond/lab/director.py
+++ b/sloepond/lab/director.py
@@ -220,9 +220,9 @@
                 continue
             self._world.note(f"{name} crashes")
             host.kill()
-            self._schedule_after(fault.restart_after_s, partial(self._backend_start, name))
+            self._schedule_after(fault.restart_after_s, partial(self._start_backend, name))
 
-    def _backend_start(self, name: str) -> None:
+    def _start_backend(self, name: str) -> None:
         self._world.note(f"{name} starts")
         self._world.backends[name].start()
 
--- a/sloepond/lab/network.py
+++ b/sloepond/lab/network.py
@@ -113,8 +113,8 @@
         heappush(queue._heap, (queue.now + delay, sequence, action, argument))
 
     def _reordered_delay(self, delay: float) -> float:
-        held = delay + self._draw() * self._model.reorder_ms * _S_PER_MS
-        return min(held, self._lifetime)
+        reordered = delay + self._draw() * self._model.reorder_ms * _S_PER_MS
+        return min(reordered, self._lifetime)
 
     def _add_location(self, location: Location | None) -> int:
         self._location_indexes[location] = len(self._locations)
