--- a/features/lab/runs.feature
+++ b/features/lab/runs.feature
@@ -13,22 +13,22 @@
     When the command lab run no-such-scenario is given
     Then the lab command exits with 2 and names rolling-replace-balancers
 
-  Scenario: The lab's network keeps its word on partitions and lifetimes
-    Then datagrams of the lab never cross a partition and never outlive their lifetime
+  Scenario: The lab's network respects partitions and datagram lifetimes
+    Then datagrams in the lab never cross a partition and never exceed their lifetime
 
   Scenario: The balancer's node keeps its promises in the lab's small scenario
     Given a small lab scenario
     When the lab runs it with the balancer's node
     Then the lab finds no broken promise
 
-  Scenario: The balancer's node keeps its promises whatever fails in the lab
-    Then the lab finds no broken promise under any drawn timeline of faults
+  Scenario: The balancer's node keeps its promises under random faults in the lab
+    Then the lab finds no broken promise under any generated timeline of faults
 
-  Scenario: The lab command draws a result
-    When the lab draws the result of a small run
-    Then the lab has written a PNG
+  Scenario: The lab command plots a result
+    When the lab plots the result of a small run
+    Then the lab writes a PNG
 
-  Scenario Outline: The lab command takes the name of a former policy with a warning
+  Scenario Outline: The lab command accepts the name of a former policy with a warning
     When the command lab run steady --json --share 0.0005 --policy <policy> is given
     Then the lab command exits with 0 and prints one object with every measure
     And the lab command exits with 0 and names <policy>
@@ -47,7 +47,7 @@
     When the command lab run steady --share 0.0005 --policy no-such-policy is given
     Then the lab command exits with 2 and names no-such-policy
 
-  Scenario: A balancer that wakes drops packets to back ends that it decided on before it slept
+  Scenario: A resumed balancer drops packets to back ends that it issued before its pause
     When the command lab run pause-and-wake --json --share 0.1 --seed 1 is given
     Then the lab command exits with 0 and prints one object with every measure
 
--- a/features/lab/scenarios.feature
+++ b/features/lab/scenarios.feature
@@ -1,4 +1,4 @@
-Feature: Scenarios of the lab are typed documents
+Feature: Scenarios of the lab are typed and validated documents
 
   Scenario: The lab refuses unknown keys and reports all findings
     When the lab reads a scenario with three mistakes
--- a/features/steps/lab_broken_nodes.py
+++ b/features/steps/lab_broken_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that break one promise each, to prove that the lab's checkers see it."""
+"""Nodes that break one promise each, to verify that the lab's checkers detect it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from sloepond.resources.compiled import CompiledConfiguration
 
-_SHARED_FLOWS: list[FlowKey] = []
-"""Flows whose answers `Crossing` swaps."""
+_ANSWERED_FLOWS: list[FlowKey] = []
+"""Flows of the latest answers, shared by all nodes of class `Misdelivering`."""
 
 
 class Moving(StatelessNode):
@@ -37,10 +37,10 @@
         return commands
 
 
-class Forgetting(StatelessNode):
-    """Draws a back end for each packet."""
+class RandomChoice(StatelessNode):
+    """Selects a random back end for each packet."""
 
-    def _choose(self, flow: FlowKey) -> str | None:
+    def _select_backend(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address[flow.service_address]
         return self._random.choice(service.eligible_backends).address
 
@@ -59,42 +59,42 @@
 class Misrouting(StatelessNode):
     """Sends every packet to a back end of any service."""
 
-    def _choose(self, flow: FlowKey) -> str | None:
+    def _select_backend(self, flow: FlowKey) -> str | None:
         backends = sorted(self.configuration.in_force.backends_by_address)
         return backends[flow.incarnation % len(backends)]
 
 
 class PlaceIgnoring(StatelessNode):
-    """Takes back ends in places that are not permitted."""
+    """Also selects back ends in places that are not permitted."""
 
-    def _choose(self, flow: FlowKey) -> str | None:
+    def _select_backend(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address[flow.service_address]
         return service.backends[flow.incarnation % len(service.backends)].address
 
 
-class Crossing(StatelessNode):
-    """Gives the answer of one flow to another that waits for the same request id."""
+class Misdelivering(StatelessNode):
+    """Sends each answer also to other flows, which may have a request with the same id."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Swap the flows of answers."""
+        """Handle an event and send an answer to further flows too."""
         commands = super().handle(event, now)
         if not isinstance(event, BackendReplyReceived) or event.reply.kind is not BackendReplyKind.ANSWER:
             return commands
-        _SHARED_FLOWS.append(event.reply.flow)
-        other = _SHARED_FLOWS[-2] if len(_SHARED_FLOWS) > 1 else event.reply.flow
+        _ANSWERED_FLOWS.append(event.reply.flow)
+        other = _ANSWERED_FLOWS[-2] if len(_ANSWERED_FLOWS) > 1 else event.reply.flow
         reply = commands[0].reply  # type: ignore[union-attr]
-        return [*commands, SendToCaller(msgspec.structs.replace(reply, flow=other)), *self._cross(reply)]
+        return [*commands, SendToCaller(msgspec.structs.replace(reply, flow=other)), *self._misdeliver(reply)]
 
-    def _cross(self, reply: CallerReply) -> list[Command]:
+    def _misdeliver(self, reply: CallerReply) -> list[Command]:
         recent = [flow for flow in self._cache if flow != reply.flow][-5:]
         return [SendToCaller(msgspec.structs.replace(reply, flow=flow)) for flow in recent]
 
 
-class Cutting(StatelessNode):
-    """Leaves out the last part of every answer."""
+class Truncating(StatelessNode):
+    """Omits the last part of every answer."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Cut answers short."""
+        """Handle an event and shorten answers by one part."""
         commands = super().handle(event, now)
         if isinstance(event, BackendReplyReceived) and event.reply.parts > 1:
             reply = msgspec.structs.replace(commands[0].reply, parts=event.reply.parts - 1)  # type: ignore[union-attr]
@@ -102,16 +102,16 @@
         return commands
 
 
-class Doubling(StatelessNode):
-    """Hands every request over twice."""
+class Duplicating(StatelessNode):
+    """Sends every request to the back end twice."""
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         commands = super()._caller_packet(packet)
         return commands * 2 if packet.kind is CallerPacketKind.REQUEST else commands
 
 
-class Denying(StatelessNode):
-    """Says of every request that it was not run, and hands it over."""
+class FalselyRefusing(StatelessNode):
+    """Refuses every request as not run, but sends it to the back end."""
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         commands = super()._caller_packet(packet)
@@ -122,8 +122,8 @@
         return [SendToCaller(reply), *commands]
 
 
-class Doubting(StatelessNode):
-    """Says of every request that its outcome is unknown."""
+class ResultLosing(StatelessNode):
+    """Replies to every request that its outcome is unknown."""
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         if packet.kind is not CallerPacketKind.REQUEST:
@@ -132,8 +132,8 @@
         return [SendToCaller(CallerReply(kind, packet.flow, packet.request_id, packet.attempt))]
 
 
-class Outdated(StatelessNode):
-    """Never takes a second generation."""
+class Stale(StatelessNode):
+    """Never applies a second generation."""
 
     def _configuration_read(self, event: ConfigurationRead) -> None:
         if not self.configuration.in_force.generation:
@@ -141,41 +141,41 @@
 
 
 class Reverting(StatelessNode):
-    """Takes whatever generation it reads, older ones too."""
+    """Applies any generation it reads, including older ones."""
 
     def _configuration_read(self, event: ConfigurationRead) -> None:
         self.configuration.in_force = CompiledConfiguration(event.snapshot)
 
 
-class Talkative(StatelessNode):
-    """Sends itself an offer of a configuration for each packet."""
+class Chatty(StatelessNode):
+    """Sends itself a large configuration offer for each packet."""
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
         offer = ConfigurationOffered(0, "x" * 4_000)
         return [*super()._caller_packet(packet), SendToPeer(self.identity.address, offer)]
 
 
-class Lopsided(StatelessNode):
-    """Places everything at the first back end."""
+class Skewed(StatelessNode):
+    """Places all flows at the first back end."""
 
-    def _choose(self, flow: FlowKey) -> str | None:
+    def _select_backend(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address[flow.service_address]
         return service.eligible_backends[0].address
 
 
 BROKEN_NODES: dict[str, type[StatelessNode]] = {
     "moving": Moving,
-    "forgetting": Forgetting,
+    "random-choice": RandomChoice,
     "silent": Silent,
     "misrouting": Misrouting,
     "place-ignoring": PlaceIgnoring,
-    "crossing": Crossing,
-    "cutting": Cutting,
-    "doubling": Doubling,
-    "denying": Denying,
-    "doubting": Doubting,
-    "outdated": Outdated,
+    "misdelivering": Misdelivering,
+    "truncating": Truncating,
+    "duplicating": Duplicating,
+    "falsely-refusing": FalselyRefusing,
+    "result-losing": ResultLosing,
+    "stale": Stale,
     "reverting": Reverting,
-    "talkative": Talkative,
-    "lopsided": Lopsided,
+    "chatty": Chatty,
+    "skewed": Skewed,
 }
--- a/features/steps/lab_stateless_node.py
+++ b/features/steps/lab_stateless_node.py
@@ -1,8 +1,8 @@
-"""A node that the broken nodes of the lab's tests are made from.
+"""The base class of the broken nodes in the lab's tests.
 
-Each process decides alone: it picks a back end by rendezvous hashing over the configuration it
-has read, remembers the pick, and knows no other balancer.  Where nothing fails it keeps every
-promise, so a broken promise in a test comes from what the test's node does wrong.
+Each process decides alone: it selects a back end by rendezvous hashing over the configuration it
+has read, caches the selection, and does not communicate with other balancers.  Without faults it
+keeps every promise, so a broken promise in a test is caused by the subclass.
 """
 
 from __future__ import annotations
@@ -40,19 +40,19 @@
 from sloepond.resources.compiled_items import CompiledBackend
 
 HASH_BYTES = 8
-STOP_AFTER_S = 3.0
-"""Seconds a planned stop goes on, so that the fabric learns of it."""
+STOP_DELAY_S = 3.0
+"""Duration of a planned stop, seconds: more than the lag after which the fabric applies it, 2 s."""
 
 
 class StatelessConfiguration:
-    """Holds the newest generation read."""
+    """Holds the latest generation read."""
 
     def __init__(self) -> None:
         self.in_force: CompiledConfiguration = EMPTY_CONFIGURATION
 
 
 class StatelessNode:
-    """See the module; a `sloepond.lab.hosting.LabNode`."""
+    """A stateless node; implements `sloepond.lab.hosting.LabNode`."""
 
     def __init__(self, identity: Member, settings: NodeSettings, random_source: random.Random) -> None:
         self.identity = identity
@@ -65,7 +65,7 @@
         self._stop_at = NEVER
 
     def start(self, now: float) -> list[Command]:
-        """Begin to read the configuration."""
+        """Read the configuration."""
         return self._read(now)
 
     def next_deadline(self) -> float:
@@ -73,21 +73,21 @@
         return min(self._next_read, self._stop_at)
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event."""
+        """Handle one event."""
         if isinstance(event, CallerPacketReceived):
             self.counters.caller_packets += 1
             return self._caller_packet(event.packet)
         if isinstance(event, BackendReplyReceived):
             return [SendToCaller(caller_reply(event.reply))]
         if isinstance(event, TimerFired):
-            return self._on_time(now)
+            return self._on_timer(now)
         if isinstance(event, ConfigurationRead):
             self._configuration_read(event)
         elif isinstance(event, StopRequested):
-            self._stop_at = now + STOP_AFTER_S
+            self._stop_at = now + STOP_DELAY_S
         return []
 
-    def _on_time(self, now: float) -> list[Command]:
+    def _on_timer(self, now: float) -> list[Command]:
         if now >= self._stop_at:
             return [CompleteStop()]
         return self._read(now) if now >= self._next_read else []
@@ -101,7 +101,7 @@
             self.configuration.in_force = CompiledConfiguration(event.snapshot)
 
     def _caller_packet(self, packet: CallerPacket) -> list[Command]:
-        address = self._cache.get(packet.flow) or self._choose(packet.flow)
+        address = self._cache.get(packet.flow) or self._select_backend(packet.flow)
         if address is None:
             return [SendToCaller(refusal_of(packet))]
         if packet.kind is CallerPacketKind.CLOSE:
@@ -110,7 +110,7 @@
             self._cache[packet.flow] = address
         return [SendToBackend(address, backend_packet(packet))]
 
-    def _choose(self, flow: FlowKey) -> str | None:
+    def _select_backend(self, flow: FlowKey) -> str | None:
         service = self.configuration.in_force.services_by_address.get(flow.service_address)
         if service is None or not service.eligible_backends:
             return None
@@ -118,9 +118,9 @@
 
 
 def rendezvous_choice(flow: FlowKey, backends: Sequence[CompiledBackend]) -> CompiledBackend:
-    """Return the back end that draws the largest hash of its name and the flow."""
+    """Return the back end with the highest hash of its name and the flow."""
 
-    def draw(backend: CompiledBackend) -> bytes:
+    def score(backend: CompiledBackend) -> bytes:
         return blake2b(f"{backend.name} {flow}".encode(), digest_size=HASH_BYTES).digest()
 
-    return max(backends, key=draw)
+    return max(backends, key=score)
--- a/features/steps/lab_steps.py
+++ b/features/steps/lab_steps.py
@@ -13,7 +13,7 @@
 import msgspec
 from behave import given, then, when
 from hypothesis import HealthCheck, Phase, settings, strategies
-from hypothesis import given as drawn
+from hypothesis import given as hypothesis_given
 from lab_broken_nodes import BROKEN_NODES
 from lab_stateless_node import StatelessNode
 
@@ -74,12 +74,12 @@
     callers=CallerModel(cancel=0.05),
     expect=Expectations(control_bytes_per_second_mean=None),
 )
-TROUBLED_FAULTS = (
+CONFIGURATION_FAULTS = (
     faults.ConfigurationChange(1.0),
     faults.Drain(5.0, ("playback-1",)),
     faults.PlatformStale(8.0, 5.0, generations=1),
 )
-BAD_SCENARIO = """
+INVALID_SCENARIO = """
 name = "bad"
 description = ""
 colour = "red"
@@ -94,7 +94,7 @@
 kind = "flood"
 at = 1.0
 """
-ABSENT_SCENARIO = """
+UNDEFINED_NAMES_SCENARIO = """
 name = "absent"
 description = ""
 services = [{name = "playback", backends = 1}]
@@ -112,9 +112,9 @@
 
 
 @given("a small lab scenario with a drain, a stale configuration service and a denied hall")
-def step_troubled(context: Any) -> None:
+def step_small_with_faults(context: Any) -> None:
     expect = Expectations(refused=0, outcome_unknown=0)
-    context.lab_scenario = msgspec.structs.replace(SMALL, faults=TROUBLED_FAULTS, expect=expect)
+    context.lab_scenario = msgspec.structs.replace(SMALL, faults=CONFIGURATION_FAULTS, expect=expect)
 
 
 @given("a small lab scenario that expects balance")
@@ -122,26 +122,26 @@
     context.lab_scenario = msgspec.structs.replace(SMALL, expect=Expectations(imbalance_p99=3.9))
 
 
-@given("a small lab scenario that cuts all balancers from the playback back ends for {seconds:d} s")
-def step_cut(context: Any, seconds: int) -> None:
+@given("a small lab scenario that partitions all balancers from the playback back ends for {seconds:d} s")
+def step_partition(context: Any, seconds: int) -> None:
     balancers = ("balancer-1", "balancer-2", "balancer-3")
     backends = tuple(f"playback-{number}" for number in range(1, 5))
-    cut = faults.Partition(4.0, balancers, float(seconds), other=backends)
-    context.lab_scenario = msgspec.structs.replace(SMALL, faults=(cut,))
+    partition = faults.Partition(4.0, balancers, float(seconds), other=backends)
+    context.lab_scenario = msgspec.structs.replace(SMALL, faults=(partition,))
 
 
 @then("the lab counts flows as cut off")
-def step_counts_cut(context: Any) -> None:
+def step_counts_cut_off(context: Any) -> None:
     assert context.lab_result.flows_cut > 0
 
 
-@then("the lab measures an imbalance of 1 for even work and of {most:d} for work at one of {count:d}")
-def step_imbalance(context: Any, most: int, count: int) -> None:
-    even, lopsided = BalanceMeter(), BalanceMeter()
+@then("the lab measures an imbalance of 1 for even load and of {maximum:d} for load at one of {count:d}")
+def step_imbalance(context: Any, maximum: int, count: int) -> None:
+    even, skewed = BalanceMeter(), BalanceMeter()
     even.sample([2.0] * count)
-    lopsided.sample([0.0] * (count - 1) + [3.0])
+    skewed.sample([0.0] * (count - 1) + [3.0])
     assert even.percentile(0.5) == 1.0
-    assert lopsided.percentile(0.99) == most
+    assert skewed.percentile(0.99) == maximum
 
 
 @when("the lab runs it with the stateless node")
@@ -173,13 +173,13 @@
 
 
 @when("the lab reads a scenario with three mistakes")
-def step_read_bad(context: Any) -> None:
-    context.lab_findings = findings_of(BAD_SCENARIO, "bad.toml")
+def step_read_invalid(context: Any) -> None:
+    context.lab_findings = findings_of(INVALID_SCENARIO, "bad.toml")
 
 
 @when("the lab reads a scenario with a crash of balancer-99 and load for a service that is not declared")
-def step_read_absent(context: Any) -> None:
-    context.lab_findings = findings_of(ABSENT_SCENARIO, "absent.toml")
+def step_read_undefined_names(context: Any) -> None:
+    context.lab_findings = findings_of(UNDEFINED_NAMES_SCENARIO, "absent.toml")
 
 
 @then("the lab reports these findings")
@@ -195,22 +195,26 @@
     assert len(context.lab_findings) == count, context.lab_findings
 
 
-@then("every shipped lab scenario is valid and has at least {least:d} flows")
-def step_shipped(context: Any, least: int) -> None:
+@then("every shipped lab scenario is valid and has at least {minimum:d} flows")
+def step_shipped(context: Any, minimum: int) -> None:
     scenarios = all_scenarios()
     assert len(scenarios) >= 14, len(scenarios)
     for scenario in scenarios:
-        assert sum(load.flows for load in scenario.load) >= least, scenario.name
+        assert sum(load.flows for load in scenario.load) >= minimum, scenario.name
 
 
 @then("two lab runs with seed {seed:d} differ in wall_seconds only")
 def step_same_seed(context: Any, seed: int) -> None:
-    assert fixed_measures(context.lab_scenario, seed) == fixed_measures(context.lab_scenario, seed)
+    assert deterministic_measures(context.lab_scenario, seed) == deterministic_measures(
+        context.lab_scenario, seed
+    )
 
 
 @then("lab runs with seeds {first:d} and {second:d} differ")
 def step_other_seed(context: Any, first: int, second: int) -> None:
-    assert fixed_measures(context.lab_scenario, first) != fixed_measures(context.lab_scenario, second)
+    assert deterministic_measures(context.lab_scenario, first) != deterministic_measures(
+        context.lab_scenario, second
+    )
 
 
 @when("the command lab {arguments} is given")
@@ -234,37 +238,37 @@
     assert word in context.lab_errors, context.lab_errors
 
 
-@when("the lab draws the result of a small run")
-def step_draw(context: Any) -> None:
+@when("the lab plots the result of a small run")
+def step_plot(context: Any) -> None:
     with tempfile.TemporaryDirectory() as directory:
         source = Path(directory) / "result.json"
         run_command(["lab", "run", "steady", "--share", "0.0005", "--result", str(source)])
         run_command(["lab", "plot", str(source)])
-        context.lab_picture = source.with_suffix(".png").read_bytes()
+        context.lab_plot = source.with_suffix(".png").read_bytes()
 
 
-@then("the lab has written a PNG")
-def step_picture(context: Any) -> None:
-    assert context.lab_picture.startswith(b"\x89PNG")
+@then("the lab writes a PNG")
+def step_plot_written(context: Any) -> None:
+    assert context.lab_plot.startswith(b"\x89PNG")
 
 
-@then("datagrams of the lab never cross a partition and never outlive their lifetime")
+@then("datagrams in the lab never cross a partition and never exceed their lifetime")
 def step_network(context: Any) -> None:
     check_network()
 
 
-@then("the lab finds no broken promise under any drawn timeline of faults")
+@then("the lab finds no broken promise under any generated timeline of faults")
 def step_any_timeline(context: Any) -> None:
     check_timelines()
 
 
 def run_unordered(scenario: Scenario, factory: NodeFactory) -> LabResult:
-    """Run a node of the tests, on flows in which a back end does not notice a repeated request."""
+    """Run a test node on flows in which a back end does not detect a duplicate request."""
     return run_scenario(scenario, seed=1, factory=factory, ordered_flows=False)
 
 
 def findings_of(text: str, place: str) -> list[Any]:
-    """Return the findings of a scenario that must be refused."""
+    """Return the findings of a scenario that must be invalid."""
     try:
         require_valid(parse_scenario(text, place), place)
     except ScenarioError as invalid:
@@ -272,14 +276,14 @@
     raise AssertionError("the scenario was accepted")
 
 
-def fixed_measures(scenario: Scenario, seed: int) -> Measures:
-    """Run and return all that must not vary from run to run."""
+def deterministic_measures(scenario: Scenario, seed: int) -> Measures:
+    """Run and return the measures that are equal for equal seeds."""
     measures = run_scenario(scenario, seed=seed).measures
     return msgspec.structs.replace(measures, wall_seconds=0.0)
 
 
 def describe(result: LabResult) -> str:
-    """Return what broke, and the timeline that led to it."""
+    """Return the timeline of a run and its broken promises as text."""
     lines = [f"seed {result.seed}"]
     lines += [f"{item.at:8.2f} s  {item.text}" for item in result.timeline]
     for promise in result.broken_promises:
@@ -292,7 +296,7 @@
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
-@drawn(loss=shares, duplicate=shares, reorder=shares, seed=strategies.integers(0, 1000))
+@hypothesis_given(loss=shares, duplicate=shares, reorder=shares, seed=strategies.integers(0, 1000))
 def check_network(loss: float, duplicate: float, reorder: float, seed: int) -> None:
     """Send datagrams both ways across a one-way cut and look at what arrives when."""
     queue = EventQueue()
@@ -316,29 +320,31 @@
     assert len(ages) <= 40 if not duplicate else True
 
 
-names = strategies.sampled_from(["balancer-1", "balancer-2", "balancer-3"])
+balancer_names = strategies.sampled_from(["balancer-1", "balancer-2", "balancer-3"])
 backend_names = strategies.sampled_from(["playback-1", "playback-2", "archive-1"])
 times = strategies.floats(0.5, 20.0).map(lambda value: round(value, 1))
-spans = strategies.floats(0.5, 8.0).map(lambda value: round(value, 1))
+durations = strategies.floats(0.5, 8.0).map(lambda value: round(value, 1))
 
 
-def one(items: strategies.SearchStrategy[str]) -> strategies.SearchStrategy[tuple[str, ...]]:
-    """Return tuples of one drawn name."""
+def single_name(items: strategies.SearchStrategy[str]) -> strategies.SearchStrategy[tuple[str, ...]]:
+    """Return a strategy for tuples of one generated name."""
     return strategies.tuples(items)
 
 
 any_fault: strategies.SearchStrategy[faults.Fault] = strategies.one_of(
     strategies.builds(faults.ConfigurationChange, times),
-    strategies.builds(faults.Drain, times, one(backend_names), strategies.booleans(), spans),
-    strategies.builds(faults.Stop, times, one(names), replace=strategies.just(True)),
+    strategies.builds(faults.Drain, times, single_name(backend_names), strategies.booleans(), durations),
+    strategies.builds(faults.Stop, times, single_name(balancer_names), replace=strategies.just(True)),
     strategies.builds(faults.Join, times, strategies.sampled_from(["hall-1", "hall-2"])),
-    strategies.builds(faults.Crash, times, one(names), spans),
-    strategies.builds(faults.Pause, times, one(names), spans),
-    strategies.builds(faults.Partition, times, one(names), spans, one_way=strategies.booleans()),
-    strategies.builds(faults.PlatformDown, times, spans),
-    strategies.builds(faults.PlatformStale, times, spans),
-    strategies.builds(faults.BackendCrash, times, one(backend_names), spans),
-    strategies.builds(faults.Disturb, times, spans, shares, shares, shares),
+    strategies.builds(faults.Crash, times, single_name(balancer_names), durations),
+    strategies.builds(faults.Pause, times, single_name(balancer_names), durations),
+    strategies.builds(
+        faults.Partition, times, single_name(balancer_names), durations, one_way=strategies.booleans()
+    ),
+    strategies.builds(faults.PlatformDown, times, durations),
+    strategies.builds(faults.PlatformStale, times, durations),
+    strategies.builds(faults.BackendCrash, times, single_name(backend_names), durations),
+    strategies.builds(faults.Disturb, times, durations, shares, shares, shares),
 )
 
 
@@ -350,7 +356,7 @@
     suppress_health_check=list(HealthCheck),
     phases=(Phase.explicit, Phase.generate, Phase.shrink),
 )
-@drawn(
+@hypothesis_given(
     timeline=strategies.lists(any_fault, max_size=5),
     seed=strategies.integers(0, 1000),
 )
