--- a/features/steps/lab_broken_nodes.py
+++ b/features/steps/lab_broken_nodes.py
@@ -20,7 +20,7 @@
 from sloepond.resources.compiled import CompiledConfiguration
 
 _ANSWERED_FLOWS: list[FlowKey] = []
-"""Flows of the latest answers, shared by all nodes of class `Misdelivering`."""
+"""Flows of all answers in order, shared by all nodes of class `Misdelivering`."""
 
 
 class Moving(StatelessNode):
--- a/sloepond/lab/declaration.py
+++ b/sloepond/lab/declaration.py
@@ -70,8 +70,8 @@
     def next_snapshot(self) -> ConfigurationSnapshot | None:
         """Return the current resources as a new generation, or None if they are invalid.
 
-        Invalid resources are rolled back to the last valid ones, as an operator would do whose
-        change was refused.
+        Invalid resources are replaced by the last valid ones, because an operator whose change is
+        refused keeps the previous declaration.
         """
         resources = [*self._resources, *self.services.values(), *self.backends.values()]
         if validate_snapshot(resources):
--- a/sloepond/lab/faults.py
+++ b/sloepond/lab/faults.py
@@ -20,7 +20,7 @@
 
 
 class Crash(FaultBase, frozen=True, tag="crash"):
-    """Balancers end at once and lose all state.
+    """Balancers crash and lose all state.
 
     :ivar restart_after_s: delay until a new process of the same name starts;
         None for never.
@@ -107,7 +107,7 @@
 
 
 class BackendCrash(FaultBase, frozen=True, tag="backend-crash"):
-    """Back ends end at once and lose their flows; they start again with a cold start."""
+    """Back ends crash and lose their flows; they restart with a cold start."""
 
     backends: tuple[str, ...]
     restart_after_s: float = 5.0
