--- a/features/standins/checking.feature
+++ b/features/standins/checking.feature
@@ -1,6 +1,6 @@
-Feature: Comparing what callers were told with what back ends ran
+Feature: Comparing the replies to callers with the executions of back ends
 
-  Scenario: A run without faults gives no finding
+  Scenario: A run without faults produces no finding
     Given standins evidence of one request that was answered
     Then the standins checks find nothing
 
@@ -12,20 +12,20 @@
     Examples:
       | fault                                 | promise          |
       | the flow broke                        | flow-kept        |
-      | a foreign service replied             | service-kept     |
+      | a back end of another service replied | service-kept     |
       | a back end of another service ran it  | service-kept     |
       | a back end in a denied place ran it   | place-kept       |
-      | the answer was not whole              | own-answer       |
-      | nobody ran it                         | own-answer       |
-      | the caller was told it was not run    | refused-not-run  |
-      | the caller was later told it was not  | refused-not-run  |
+      | the answer was incomplete             | own-answer       |
+      | no back end ran it                    | own-answer       |
+      | it was refused                        | refused-not-run  |
+      | a refusal followed the answer         | refused-not-run  |
       | it ran twice                          | run-at-most-once |
-      | the back end had left before          | leaving-idle     |
+      | the back end was drained before       | leaving-idle     |
 
-  Scenario: Imbalance compares requests per slot
+  Scenario: Imbalance is measured in requests per slot
     Given standins evidence of one request that was answered
     Then the standins balance of its service is 2 over 2 back ends
 
-  Scenario: A run in which nothing was run is found
+  Scenario: A run without any execution produces a finding
     Given standins evidence of one request that was answered
-    Then standins find that it was served, and that the same evidence without executions was not
+    Then the standins checks find it served, and not served without executions
--- a/features/steps/standins_checking_steps.py
+++ b/features/steps/standins_checking_steps.py
@@ -30,7 +30,7 @@
 FLOW = FlowKey(BOOKING, "127.0.0.1:4000", 7)
 
 
-def declared():
+def compiled_configuration():
     def back_end(name, service, hall, address):
         return Backend(API_VERSION, Metadata(name), BackendSpec(service, address, hall))
 
@@ -60,7 +60,7 @@
         FLOW, "booking", FlowState.CLOSED, backend="booking-1", opened_at=20.0, requests=[answered]
     )
     ran = Execution("booking-1", 1, FLOW, 1, 0, NOTE.payload, started_at=2.0)
-    context.evidence = Evidence(declared(), (flow,), (ran,))
+    context.evidence = Evidence(compiled_configuration(), (flow,), (ran,))
 
 
 def break_flow(evidence):
@@ -89,12 +89,12 @@
     return with_executions(evidence, *evidence.executions, stray)
 
 
-def run_nowhere(evidence):
+def remove_executions(evidence):
     return with_executions(evidence)
 
 
-def outcome(evidence, told):
-    evidence.flows[0].requests[0].outcome = told
+def set_outcome(evidence, new_outcome):
+    evidence.flows[0].requests[0].outcome = new_outcome
     return evidence
 
 
@@ -108,22 +108,22 @@
     return with_executions(evidence, *evidence.executions, again)
 
 
-def leave_before(evidence):
+def drain_before(evidence):
     departure = Departure("booking-1", evidence.flows[0].opened_at - NEW_WORK_GRACE_S - 0.1)
     return msgspec.structs.replace(evidence, departures=(departure,))
 
 
 FAULTS = {
     "the flow broke": break_flow,
-    "a foreign service replied": reply_from_foreign_service,
+    "a back end of another service replied": reply_from_foreign_service,
     "a back end of another service ran it": run_at_foreign_service,
     "a back end in a denied place ran it": lambda evidence: run_at(evidence, "booking-3"),
-    "the answer was not whole": lambda evidence: outcome(evidence, RequestOutcome.WRONG),
-    "nobody ran it": run_nowhere,
-    "the caller was told it was not run": lambda evidence: outcome(evidence, RequestOutcome.REFUSED),
-    "the caller was later told it was not": refuse_later,
+    "the answer was incomplete": lambda evidence: set_outcome(evidence, RequestOutcome.WRONG),
+    "no back end ran it": remove_executions,
+    "it was refused": lambda evidence: set_outcome(evidence, RequestOutcome.REFUSED),
+    "a refusal followed the answer": refuse_later,
     "it ran twice": run_twice,
-    "the back end had left before": leave_before,
+    "the back end was drained before": drain_before,
 }
 
 
@@ -154,7 +154,7 @@
     assert measured["roster"].executed == 0
 
 
-@then("standins find that it was served, and that the same evidence without executions was not")
+@then("the standins checks find it served, and not served without executions")
 def step_served(context):
     assert check_served(context.evidence) == []
     assert [found.promise for found in check_served(with_executions(context.evidence))] == ["served"]
--- a/features/steps/standins_process_steps.py
+++ b/features/steps/standins_process_steps.py
@@ -30,19 +30,19 @@
     async with trio.open_nursery() as nursery:
         url = await nursery.start(run_platform, "127.0.0.1:0", PlatformState())
         async with httpx.AsyncClient(base_url=url, trust_env=False) as http:
-            answers = await ask_platform(http, msgspec.to_builtins(resources))
+            answers = await query_platform(http, msgspec.to_builtins(resources))
         nursery.cancel_scope.cancel()
     return answers
 
 
-async def ask_platform(http, resources):
+async def query_platform(http, resources):
     async def write(content, base):
         return await http.put(CONFIGURATION_PATH, json={"resources": content, "base_generation": base})
 
     async def read(known):
         return await http.get(CONFIGURATION_PATH, params={"known_generation": known})
 
-    async def fail(mode, generation=None):
+    async def set_mode(mode, generation=None):
         return await http.put(MODE_PATH, json={"mode": mode, "generation": generation})
 
     return {
@@ -52,11 +52,11 @@
         "old base": await write(resources, 0),
         "invalid": await write([{"kind": "Zone"}], 1),
         "second write": await write(resources[1:], None),
-        "mode down": await fail("down"),
+        "mode down": await set_mode("down"),
         "read while down": await read(0),
-        "mode stale": await fail("stale", 1),
+        "mode stale": await set_mode("stale", 1),
         "read while stale": await read(2),
-        "mode up": await fail("up"),
+        "mode up": await set_mode("up"),
         "read again": await read(0),
     }
 
@@ -72,7 +72,7 @@
     assert answers["second write"].json()["generation"] == 2
 
 
-@then("the standins platform refuses invalid resources with findings and an old base with a conflict")
+@then("the standins platform refuses invalid resources with findings and an outdated base with a conflict")
 def invalid_is_refused(context):
     assert context.answers["old base"].status_code == 409
     invalid = context.answers["invalid"]
@@ -80,7 +80,9 @@
     assert {item["field"] for item in invalid.json()["findings"]} >= {"apiVersion", "metadata"}
 
 
-@then("the standins platform answers nothing while it is down and an older generation while it is stale")
+@then(
+    "the standins platform is unavailable while it is down and returns an older generation while it is stale"
+)
 def faults_show(context):
     assert context.answers["read while down"].status_code == 503
     assert context.answers["read while stale"].json()["generation"] == 1
@@ -105,7 +107,7 @@
         run_small_demo(context)
 
 
-@then("flows were opened in it after the drain")
+@then("flows were opened in the standins demo after the drain")
 def opened_after_drain(context):
     [departure] = context.demo.evidence.departures
     assert any(flow.opened_at > departure.at for flow in context.demo.evidence.flows)
@@ -120,7 +122,7 @@
     context.demo = trio.run(run_demo, settings, Console(file=context.output))
 
 
-@then("the standins demo ran to its end and broke no promise")
+@then("the standins demo completed and broke no promise")
 def demo_kept_promises(context):
     assert context.demo is not None, context.output.getvalue()
     findings = check_promises(context.demo.evidence)
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -36,7 +36,7 @@
 FOREIGN_IDENTITY = BackendIdentity("roster-1", "roster")
 SOURCE = "127.0.0.2:7200"
 NEW_SOURCE = "127.0.0.3:7200"
-PATIENCE = CallerSettings(patience_s=5.0, feed_patience_s=5.0)
+CALLER_SETTINGS = CallerSettings(patience_s=5.0, feed_patience_s=5.0)
 
 
 def back_end(**fields) -> BackendModel:
@@ -72,14 +72,14 @@
     return outputs
 
 
-# Steps of the back end's stream: seconds until the packet, its request id, deadline, and whether it cancels.
+# Packets sent to the back end: pause before the packet, request id, timeout in ms, whether it cancels.
 STREAM = st.lists(
     st.tuples(st.floats(0, 0.01), st.integers(1, 4), st.sampled_from((0, 1, 20, 1000)), st.booleans()),
     max_size=60,
 )
 
 
-def feed_stream(model: BackendModel, stream, observe) -> list:
+def send_stream(model: BackendModel, stream, observe) -> list:
     now = 0.0
     outputs = model.handle(BackendPacket(CallerPacketKind.OPEN, FLOW), SOURCE, now)
     for attempt, (pause, request_id, timeout_ms, cancels) in enumerate(stream):
@@ -93,7 +93,7 @@
     return outputs + run_until_idle(model, now)
 
 
-@then("standins back end property: running requests stay within the slots and waiting ones within the queue")
+@then("standins back end property: running requests stay within the slots and queued ones within the queue")
 def slots_are_kept(_):
     @PROPERTY
     @for_all(STREAM, st.integers(1, 3), st.integers(0, 4))
@@ -104,7 +104,7 @@
         def observe(observed):
             assert observed.in_flight <= slots + queue
 
-        for output in feed_stream(model, stream, observe):
+        for output in send_stream(model, stream, observe):
             if output.reply.kind is BackendReplyKind.ANSWER:
                 answered.add(output.reply.attempt)
         events = [(item.started_at, 1) for item in model.executions]
@@ -119,13 +119,13 @@
     check()
 
 
-@then("standins back end property: every request packet is either run and answered whole or refused")
+@then("standins back end property: every request packet is either run and answered completely or refused")
 def every_packet_ends_once(_):
     @PROPERTY
     @for_all(STREAM)
     def check(stream):
         model = back_end(slots=1, queue=2, part_bytes=100)
-        outputs = feed_stream(model, stream, lambda _: None)
+        outputs = send_stream(model, stream, lambda _: None)
         run = {item.attempt for item in model.executions}
         refused = {o.reply.attempt for o in outputs if o.reply.kind is BackendReplyKind.REFUSED}
         assert not run & refused
@@ -143,7 +143,7 @@
     check()
 
 
-@given("a standins back end that holds a flow")
+@given("a standins back end with an open flow")
 def back_end_holds_flow(context):
     context.model = back_end()
     context.model.handle(BackendPacket(CallerPacketKind.OPEN, FLOW), SOURCE, 0.0)
@@ -154,7 +154,7 @@
     context.model.draining = True
 
 
-@then("the standins back end refuses a new flow and answers the one it holds")
+@then("the standins back end refuses a new flow and answers the open one")
 def draining_serves_held_flow(context):
     opened = context.model.handle(BackendPacket(CallerPacketKind.OPEN, OTHER_FLOW), SOURCE, 1.0)
     assert [output.reply.kind for output in opened] == [BackendReplyKind.REFUSED]
@@ -177,7 +177,7 @@
     context.moved_items = [item for _ in range(10) for item in model.on_timer(model.next_deadline())]
 
 
-@then("the standins feed goes on at the new address without a gap")
+@then("the standins feed continues at the new address without a gap")
 def feed_moves(context):
     items = [item for item in context.items if item.reply.kind is BackendReplyKind.PUSH]
     assert {item.destination for item in items} == {SOURCE}
@@ -197,39 +197,39 @@
 
 
 class Exchange:
-    """A caller's flow and a back end, with a network that drops, copies and reorders.
+    """A caller's flow and a back end on a network that drops, duplicates and reorders packets.
 
-    As a balancer does, it hands over each attempt of a request only once.
+    Like a balancer, it hands over each attempt of a request only once.
     """
 
-    def __init__(self, seed: int, loss: float, copies: float):
+    def __init__(self, seed: int, loss: float, duplication: float):
         self.random = random.Random(seed)
         self.loss = loss
-        self.copies = copies
+        self.duplication = duplication
         self.model = back_end(part_bytes=200)
-        self.caller = CallerFlow(FLOW, SERVICE, PLAN, PATIENCE)
-        self.underway = []
+        self.caller = CallerFlow(FLOW, SERVICE, PLAN, CALLER_SETTINGS)
+        self.in_transit = []
         self.handed_over = set()
 
-    def put(self, item, now):
+    def transmit(self, item, now):
         if self.random.random() < self.loss:
             return
-        for _ in range(2 if self.random.random() < self.copies else 1):
-            self.underway.append((now + self.random.uniform(0.001, 0.1), item))
+        for _ in range(2 if self.random.random() < self.duplication else 1):
+            self.in_transit.append((now + self.random.uniform(0.001, 0.1), item))
 
     def run(self):
         now = 0.0
         for packet in self.caller.start(now):
-            self.put(packet, now)
+            self.transmit(packet, now)
         while not self.caller.is_finished:
-            arrival = min((due for due, _ in self.underway), default=float("inf"))
+            arrival = min((due for due, _ in self.in_transit), default=float("inf"))
             now = max(now, min(arrival, self.model.next_deadline(), self.caller.next_deadline()))
             self.step(now)
         return self.caller.record
 
     def step(self, now):
-        arrived = [item for due, item in self.underway if due <= now]
-        self.underway = [entry for entry in self.underway if entry[0] > now]
+        arrived = [item for due, item in self.in_transit if due <= now]
+        self.in_transit = [entry for entry in self.in_transit if entry[0] > now]
         packets = []
         outputs = self.model.on_timer(now)
         for item in arrived:
@@ -240,15 +240,17 @@
                 outputs += self.model.handle(to_back_end(item), SOURCE, now)
         packets += self.caller.on_timer(now)
         for item in packets + [to_caller(output.reply) for output in outputs]:
-            self.put(item, now)
+            self.transmit(item, now)
 
 
-@then("standins caller property: over a network with loss, copies and disorder it takes no foreign answer")
+@then(
+    "standins caller property: with loss, duplication and reordering it accepts no answer to another request"
+)
 def answers_are_own(_):
     @PROPERTY
     @for_all(st.integers(0, 2**32), st.sampled_from((0.0, 0.1, 0.3)), st.sampled_from((0.0, 0.3)))
-    def check(seed, loss, copies):
-        exchange = Exchange(seed, loss, copies)
+    def check(seed, loss, duplication):
+        exchange = Exchange(seed, loss, duplication)
         record = exchange.run()
         run = {item.number: item for item in exchange.model.executions}
         assert record.misrouted == 0
@@ -265,7 +267,7 @@
 
 
 def established(plan: FlowPlan = PLAN) -> CallerFlow:
-    caller = CallerFlow(FLOW, SERVICE, plan, PATIENCE)
+    caller = CallerFlow(FLOW, SERVICE, plan, CALLER_SETTINGS)
     caller.start(0.0)
     caller.handle(CallerReply(CallerReplyKind.OPENED, FLOW, payload=encode_content(IDENTITY)), 0.0)
     caller.on_timer(0.2)
@@ -273,7 +275,7 @@
 
 
 def answer_parts(payload: bytes, request_id: int, executions: int) -> list:
-    """Return the replies of the last of so many executions of one request."""
+    """Run one request `executions` times and return the replies of the last execution."""
     model = back_end(part_bytes=200)
     model.handle(BackendPacket(CallerPacketKind.OPEN, FLOW), SOURCE, 0.0)
     for _ in range(executions):
@@ -282,7 +284,7 @@
     return [to_caller(output.reply) for output in outputs]
 
 
-@then("standins caller property: an answer mixed from two executions or cut is never taken")
+@then("standins caller property: a truncated answer or one mixed from two executions is never accepted")
 def mixed_answers_are_refused(_):
     plan = FlowPlan((RequestPlan(download_payload(900)),))
     first = answer_parts(plan.requests[0].payload, 1, executions=1)
@@ -290,13 +292,13 @@
 
     @PROPERTY
     @for_all(st.lists(st.booleans(), min_size=len(first), max_size=len(first)), st.booleans())
-    def check(choices, cuts):
+    def check(choices, truncates):
         parts = [two if choice else one for one, two, choice in zip(first, second, choices, strict=True)]
         caller = established(plan)
-        for part in parts[:-1] if cuts else parts:
+        for part in parts[:-1] if truncates else parts:
             caller.handle(part, 0.3)
         (item,) = caller.record.requests
-        if cuts:
+        if truncates:
             assert item.outcome is RequestOutcome.PENDING
         elif len(set(choices)) == 1:
             assert item.outcome is RequestOutcome.ANSWERED
@@ -348,7 +350,9 @@
     assert item.outcome is RequestOutcome.ANSWERED and item.told_refused
 
 
-@then("standins fabric property: each datagram is delivered, lost or copied as counted, to listed balancers")
+@then(
+    "standins fabric property: each datagram is delivered, lost or duplicated as counted, to live balancers"
+)
 def fabric_counts(_):
     balancers = [Balancer(f"balancer-{index}", f"127.0.0.{index}:7100") for index in range(1, 5)]
 
--- a/sloepond/demo/summary.py
+++ b/sloepond/demo/summary.py
@@ -61,11 +61,11 @@
 
 def _balance_table(result: DemoResult) -> Table:
     evidence = result.evidence
-    left_out = [departure.backend for departure in evidence.departures]
-    table = Table(title=f"Requests per slot of eligible back ends (without {', '.join(left_out)})")
+    excluded = [departure.backend for departure in evidence.departures]
+    table = Table(title=f"Requests per slot of eligible back ends (without {', '.join(excluded)})")
     for column in ("service", "back ends", "executed", "imbalance (max/mean)"):
         table.add_column(column, justify="left" if column == "service" else "right")
-    for balance in measure_balance(evidence.configuration, evidence.executions, left_out):
+    for balance in measure_balance(evidence.configuration, evidence.executions, excluded):
         table.add_row(
             balance.service, str(balance.backends), str(balance.executed), f"{balance.imbalance:.2f}"
         )
--- a/sloepond/standins/__init__.py
+++ b/sloepond/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the fabric, back ends and callers, for tests and demos."""
+"""Simulated platform, fabric, back ends and callers, used by tests and demos."""
--- a/sloepond/standins/backend.py
+++ b/sloepond/standins/backend.py
@@ -1,7 +1,7 @@
-"""Stand-in back ends: each a UDP socket in front of a `BackendModel`.
+"""Stand-in back ends: each is a UDP socket in front of a `BackendModel`.
 
-One process may run several.  `GET /executions` gives every request that was
-started, so that a checker can compare with what callers were told.
+One process may run several.  `GET /executions` returns every request that was
+started, so that a checker can compare it with the replies callers received.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class HostedBackend(msgspec.Struct, frozen=True):
-    """A back end and the address `ip:port` it is to listen on."""
+    """A back end and the address `ip:port` it listens on."""
 
     address: str
     model: BackendModel
@@ -56,7 +56,7 @@
 
 
 class BackendStatus(msgspec.Struct, frozen=True):
-    """State of one back end as its own process sees it."""
+    """State of one back end as reported by its own process."""
 
     name: str
     service: str
@@ -73,7 +73,10 @@
 
 
 class BackendHost:
-    """Runs back ends in one process and serves the control interface."""
+    """Runs back ends in one process and serves the control interface.
+
+    :ivar malformed: datagrams that could not be decoded.
+    """
 
     def __init__(self, backends: Sequence[HostedBackend]) -> None:
         self._backends = tuple(backends)
@@ -91,32 +94,34 @@
         control_address: str,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run until cancelled; `started` gives the URL of the control interface."""
+        """Run until cancelled; the started value is the URL of the control interface."""
         async with trio.open_nursery() as nursery:
             for backend in self._backends:
-                bound = DatagramSocket(backend.address, MAXIMUM_PACKET_BYTES)
-                nursery.start_soon(self._serve, backend.model, bound)
+                udp_socket = DatagramSocket(backend.address, MAXIMUM_PACKET_BYTES)
+                nursery.start_soon(self._serve, backend.model, udp_socket)
             url = await nursery.start(serve_http, self.application, control_address)
             task_status.started(url)
 
-    async def _serve(self, model: BackendModel, bound: DatagramSocket) -> None:
+    async def _serve(self, model: BackendModel, udp_socket: DatagramSocket) -> None:
         while True:
             with trio.move_on_after(seconds_until(model.next_deadline())):
-                await bound.wait_readable()
-            for datagram, source in bound.receive_batch():
-                self._send(self._take(model, datagram, source), bound)
-            self._send(model.on_timer(monotonic_seconds()), bound)
-
-    def _take(self, model: BackendModel, datagram: bytes, source: SocketAddress) -> list[BackendOutput]:
+                await udp_socket.wait_readable()
+            for datagram, source in udp_socket.receive_batch():
+                self._send(self._handle_datagram(model, datagram, source), udp_socket)
+            self._send(model.on_timer(monotonic_seconds()), udp_socket)
+
+    def _handle_datagram(
+        self, model: BackendModel, datagram: bytes, source: SocketAddress
+    ) -> list[BackendOutput]:
         packet = decode_backend_packet(datagram)
         if isinstance(packet, DecodeFailure):
             self.malformed += 1
             return []
         return model.handle(packet, format_address(source), monotonic_seconds())
 
-    def _send(self, outputs: list[BackendOutput], bound: DatagramSocket) -> None:
+    def _send(self, outputs: list[BackendOutput], udp_socket: DatagramSocket) -> None:
         for output in outputs:
-            bound.send(encode_packet(output.reply), parse_address(output.destination))
+            udp_socket.send(encode_packet(output.reply), parse_address(output.destination))
 
     async def _read_executions(self, _request: Request) -> Response:
         executions = [item for backend in self._backends for item in backend.model.executions]
--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -1,9 +1,9 @@
 """A back end without I/O: packets and time in, replies out.
 
-Owns the flows it holds, the requests that wait or run, and the list of all it has run.  Without
-`ordered_flows` it does not compare requests with each other, so a request that comes twice is
-run twice and `executions` shows it.  Whoever runs it gives the time and moves the packets; all
-random choices come from the given source.
+Owns: the open flows, the queued and running requests, and the list of all executions.  Without
+`ordered_flows` requests are not deduplicated: a request that arrives twice is run twice, and
+`executions` shows both.  Relies on: its host for the time and the transport of packets, and on
+the given source for all random choices.
 """
 
 from __future__ import annotations
@@ -31,9 +31,10 @@
 
 
 class _HeldFlow(msgspec.Struct):
-    """A flow, the address and token of its last packet and the requests it started.
+    """An open flow, the address and token of its last packet and its requests.
 
-    :ivar accepted: requests taken, and their answers once there are any.
+    :ivar started: ids of the requests that were started.
+    :ivar accepted: accepted requests by id, with the parts of their answers sent so far.
     """
 
     address: str
@@ -42,8 +43,8 @@
     accepted: dict[int, list[BackendReply]] = msgspec.field(default_factory=dict)
 
 
-class _WaitingRequest(msgspec.Struct, frozen=True):
-    """An accepted request; `deadline` is the last moment it may start."""
+class _QueuedRequest(msgspec.Struct, frozen=True):
+    """An accepted request that has no slot yet; it is refused if not started by `deadline`."""
 
     packet: BackendPacket
     source: str
@@ -68,8 +69,8 @@
         self._random = random_source
         self._identity_payload = encode_content(identity)
         self._flows: dict[FlowKey, _HeldFlow] = {}
-        self._waiting: collections.deque[_WaitingRequest] = collections.deque()
-        self._running: list[tuple[float, int, _WaitingRequest]] = []
+        self._queue: collections.deque[_QueuedRequest] = collections.deque()
+        self._running: list[tuple[float, int, _QueuedRequest]] = []
         self._feeds = FeedSchedule()
         self._started_at: float | None = None
         self._load = LoadReport(0, 0)
@@ -77,16 +78,16 @@
 
     @property
     def flows(self) -> int:
-        """Flows held open."""
+        """Number of open flows."""
         return len(self._flows)
 
     @property
     def in_flight(self) -> int:
-        """Requests running or waiting."""
-        return len(self._running) + len(self._waiting)
+        """Number of running and queued requests."""
+        return len(self._running) + len(self._queue)
 
     def holds(self, flow: FlowKey) -> bool:
-        """Return whether `flow` is held open."""
+        """Return whether `flow` is open."""
         return flow in self._flows
 
     def next_deadline(self) -> float:
@@ -95,17 +96,17 @@
         return min(finish, self._feeds.next_deadline())
 
     def on_timer(self, now: float) -> list[BackendOutput]:
-        """Finish requests, start waiting ones and push feeds that are due."""
+        """Finish requests, start queued ones and push the feed items that are due."""
         outputs: list[BackendOutput] = []
         while self._running and self._running[0][0] <= now:
             _, number, request = heapq.heappop(self._running)
             self._answer(request, number, now, outputs)
-        self._start_waiting(now, outputs)
+        self._start_queued(now, outputs)
         self._push_due(now, outputs)
         return outputs
 
     def handle(self, packet: BackendPacket, source: str, now: float) -> list[BackendOutput]:
-        """Take one packet that came from `source` and return the replies.
+        """Handle one packet from `source` and return the replies.
 
         :param source: address `ip:port` of the balancer.
         :param now: seconds on the back end's clock.
@@ -158,26 +159,26 @@
             outputs.extend(BackendOutput(source, reply) for reply in held.accepted[packet.request_id])
             return
         has_slot = len(self._running) < self.settings.slots
-        if not has_slot and len(self._waiting) >= self.settings.queue:
+        if not has_slot and len(self._queue) >= self.settings.queue:
             self.counters.shed += 1
             self._reply(BackendReplyKind.REFUSED, packet, source, now, outputs)
-            self._keep_answer(outputs[-1].reply)
+            self._store_answer(outputs[-1].reply)
             return
         held.accepted[packet.request_id] = []
         deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else NEVER
-        self._waiting.append(_WaitingRequest(packet, source, deadline))
-        self._start_waiting(now, outputs)
+        self._queue.append(_QueuedRequest(packet, source, deadline))
+        self._start_queued(now, outputs)
 
-    def _start_waiting(self, now: float, outputs: list[BackendOutput]) -> None:
-        while self._waiting and len(self._running) < self.settings.slots:
-            request = self._waiting.popleft()
+    def _start_queued(self, now: float, outputs: list[BackendOutput]) -> None:
+        while self._queue and len(self._running) < self.settings.slots:
+            request = self._queue.popleft()
             if request.deadline < now:
                 self.counters.deadline_passed += 1
                 self._reply(BackendReplyKind.REFUSED, request.packet, request.source, now, outputs)
                 continue
             self._start(request, now)
 
-    def _start(self, request: _WaitingRequest, now: float) -> None:
+    def _start(self, request: _QueuedRequest, now: float) -> None:
         self.counters.executed += 1
         number = self.counters.executed
         packet = request.packet
@@ -207,35 +208,33 @@
         coldness = 1 - age / settings.cold_s
         return duration * (1 + (settings.cold_factor - 1) * coldness)
 
-    def _answer(
-        self, request: _WaitingRequest, number: int, now: float, outputs: list[BackendOutput]
-    ) -> None:
+    def _answer(self, request: _QueuedRequest, number: int, now: float, outputs: list[BackendOutput]) -> None:
         packet = request.packet
         load = self._load_report(now)
         for reply in answer_parts(self.identity, packet, number, self.settings.part_bytes, load):
             outputs.append(BackendOutput(request.source, reply))
-            self._keep_answer(reply)
+            self._store_answer(reply)
         if packet.payload == FEED_PAYLOAD and packet.flow in self._flows:
             self._feeds.subscribe(packet.flow, packet.request_id, now + self.settings.push_interval_s)
 
-    def _keep_answer(self, reply: BackendReply) -> None:
+    def _store_answer(self, reply: BackendReply) -> None:
         held = self._flows.get(reply.flow)
         if self.settings.ordered_flows and held is not None:
             held.accepted.setdefault(reply.request_id, []).append(reply)
 
     def _push_due(self, now: float, outputs: list[BackendOutput]) -> None:
-        for item in self._feeds.take_due(now, self.settings.push_interval_s):
+        for item in self._feeds.pop_due(now, self.settings.push_interval_s):
             self.counters.pushes += 1
             held = self._flows[item.flow]
             reply = pushed_item(self.identity, item, held.token, self._load_report(now))
             outputs.append(BackendOutput(held.address, reply))
 
     def _cancel(self, packet: BackendPacket, source: str, now: float, outputs: list[BackendOutput]) -> None:
-        kept = [item for item in self._waiting if not _is_same_request(item.packet, packet)]
-        if len(kept) == len(self._waiting):
+        kept = [item for item in self._queue if not _is_same_request(item.packet, packet)]
+        if len(kept) == len(self._queue):
             return
-        self.counters.cancelled += len(self._waiting) - len(kept)
-        self._waiting = collections.deque(kept)
+        self.counters.cancelled += len(self._queue) - len(kept)
+        self._queue = collections.deque(kept)
         if packet.request_id in self._flows[packet.flow].started:
             return
         self._reply(BackendReplyKind.CANCELLED, packet, source, now, outputs)
--- a/sloepond/standins/backend_record.py
+++ b/sloepond/standins/backend_record.py
@@ -1,6 +1,6 @@
-"""What a stand-in back end sends, runs and counts.
+"""Replies, executions and counters of a stand-in back end.
 
-Plain values; `BackendModel` makes them, checkers and the control interface read them.
+Plain values; `BackendModel` creates them, checkers and the control interface read them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class BackendOutput(msgspec.Struct, frozen=True, gc=False):
-    """A reply and the address `ip:port` it goes to."""
+    """A reply and the address `ip:port` it is sent to."""
 
     destination: str
     reply: BackendReply
@@ -20,8 +20,8 @@
 class Execution(msgspec.Struct, frozen=True):
     """One request that was started.
 
-    :ivar number: counts executions of this back end from 1.
-    :ivar started_at: the back end's own clock, in seconds.
+    :ivar number: sequence number of the execution at this back end, from 1.
+    :ivar started_at: time on the back end's own clock, in seconds.
     """
 
     backend: str
@@ -34,7 +34,7 @@
 
 
 class BackendCounters(msgspec.Struct):
-    """What a back end counted; each field only grows."""
+    """Counters of a back end since its start."""
 
     packets: int = 0
     opened: int = 0
--- a/sloepond/standins/backend_replies.py
+++ b/sloepond/standins/backend_replies.py
@@ -1,6 +1,6 @@
-"""Replies of a stand-in back end that carry content: the parts of an answer, items of a feed.
+"""Replies of a stand-in back end that carry content: parts of answers and items of feeds.
 
-Holds no state; relies on `standins.content` for what the payloads say.
+Stateless.  Relies on: `standins.content` for the encoding of the payloads.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 def answer_parts(
     identity: BackendIdentity, packet: BackendPacket, execution: int, part_bytes: int, load: LoadReport
 ) -> list[BackendReply]:
-    """Return the answer to a request, cut into parts that all carry its attempt.
+    """Return the answer to a request, split into parts that all carry its attempt.
 
     :param execution: number of the execution at this back end, from 1.
     :param part_bytes: payload bytes of one part.
@@ -45,7 +45,7 @@
 
 
 def pushed_item(identity: BackendIdentity, item: FeedItem, token: int, load: LoadReport) -> BackendReply:
-    """Return an item of a feed as it is sent to the flow that subscribed.
+    """Return the reply that carries a feed item to the subscribed flow.
 
     :param token: routing token of the flow, 0 for none.
     """
--- a/sloepond/standins/backend_settings.py
+++ b/sloepond/standins/backend_settings.py
@@ -1,4 +1,4 @@
-"""How a stand-in back end behaves."""
+"""Settings of a stand-in back end."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 class BackendSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Behaviour of one back end.
 
-    :ivar slots: requests run at the same time.
-    :ivar connections: flows held at the same time.
-    :ivar queue: requests that may wait for a slot; more are shed.
+    :ivar slots: maximum number of requests running at the same time.
+    :ivar connections: maximum number of open flows.
+    :ivar queue: maximum number of requests queued for a slot; further ones are shed.
     :ivar service_s: mean time a request runs, in seconds.
-    :ivar service_spread: the time is drawn evenly within this share of the mean.
+    :ivar service_spread: the time is drawn uniformly within this share above and below the mean.
     :ivar part_bytes: payload bytes of one part of an answer.
     :ivar push_interval_s: time between items of a feed, in seconds.
-    :ivar cold_s: time after the start during which requests run slower.
+    :ivar cold_s: time after the start during which requests run slower, in seconds.
     :ivar cold_factor: how many times slower requests run at the start.
-    :ivar load_lag_s: age a reported load may have, in seconds.
-    :ivar load_factor: multiplies the reported load; 0 claims to be idle.
-    :ivar ordered_flows: whether a flow is a stream of bytes, in which a copy of a
-        request is no second request: it is answered again, not run again.
+    :ivar load_lag_s: maximum age of a reported load, in seconds.
+    :ivar load_factor: multiplies the reported load; with 0 the back end reports itself idle.
+    :ivar ordered_flows: whether a flow is an ordered byte stream, in which a retransmitted
+        request is recognised: it is answered again, not run again.
     """
 
     slots: int = 2
--- a/sloepond/standins/balance.py
+++ b/sloepond/standins/balance.py
@@ -1,6 +1,6 @@
-"""How evenly the back ends of each service were loaded.
+"""Measures how evenly the back ends of each service were loaded.
 
-Relies on the executions that back ends report and on the configuration that was declared.
+Relies on: the executions that back ends report and the declared configuration.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class ServiceBalance(msgspec.Struct, frozen=True):
-    """Executed requests of one service over its eligible back ends.
+    """Distribution of the requests of one service over its eligible back ends.
 
     :ivar backends: number of eligible back ends.
-    :ivar executed: requests they executed.
-    :ivar imbalance: largest number of requests per slot over the mean; 1 is even.
+    :ivar executed: number of requests they executed.
+    :ivar imbalance: maximum number of requests per slot divided by the mean; 1 is perfectly even.
     """
 
     service: str
@@ -30,21 +30,21 @@
 
 
 def measure_balance(
-    configuration: CompiledConfiguration, executions: Collection[Execution], left_out: Collection[str] = ()
+    configuration: CompiledConfiguration, executions: Collection[Execution], excluded: Collection[str] = ()
 ) -> list[ServiceBalance]:
     """Return the balance of each service.
 
-    :param left_out: back ends that were drained, and so not eligible all the time.
+    :param excluded: back ends that were drained, so that they were not eligible all the time.
     """
     executed = collections.Counter(execution.backend for execution in executions)
     services = sorted(configuration.services_by_name.values(), key=lambda service: service.name)
-    return [_balance(service, executed, left_out) for service in services]
+    return [_balance(service, executed, excluded) for service in services]
 
 
 def _balance(
-    service: CompiledService, executed: collections.Counter[str], left_out: Collection[str]
+    service: CompiledService, executed: collections.Counter[str], excluded: Collection[str]
 ) -> ServiceBalance:
-    eligible = [backend for backend in service.eligible_backends if backend.name not in left_out]
+    eligible = [backend for backend in service.eligible_backends if backend.name not in excluded]
     total = sum(executed[backend.name] for backend in eligible)
     slots = sum(backend.slots for backend in eligible)
     if not total:
--- a/sloepond/standins/caller_model.py
+++ b/sloepond/standins/caller_model.py
@@ -1,9 +1,9 @@
 """One flow of a caller without I/O: replies and time in, packets out.
 
-The caller opens its flow, sends the requests of its plan, checks each answer and notices when
-the flow breaks.  `CallerFlow` owns the record of all this, which a checker compares with the
-executions of the back ends.  It relies on `CallerRequests` for what is sent and sent again, and
-on `Liveness` for silence; whoever runs it gives the time and moves the packets.
+The caller opens its flow, sends the requests of its plan, checks each answer and detects when
+the flow breaks.  Owns: the record of the flow, which a checker compares with the executions of
+the back ends.  Relies on: `CallerRequests` for requests and their retransmission, `Liveness` for
+keepalives and timeouts, and its host for the time and the transport of packets.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, flow: FlowKey, service: str, plan: FlowPlan, settings: CallerSettings) -> None:
-        """Prepare a flow to `service`, the name its back ends must give."""
+        """Prepare a flow to `service`; replies that name another service count as misrouted."""
         self.record = FlowRecord(flow=flow, service=service)
         self._flow = flow
         self._settings = settings
@@ -57,7 +57,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the flow sends nothing more."""
+        """Whether the flow has ended and sends no more packets."""
         return self.record.is_finished
 
     def start(self, now: float) -> list[CallerPacket]:
@@ -83,33 +83,34 @@
         return min(self._requests.next_deadline(), self._liveness.next_deadline())
 
     def on_timer(self, now: float) -> list[CallerPacket]:
-        """Do all that is due: retransmit, give up, send, keep alive, close."""
+        """Perform all actions that are due: retransmit, give up, send, keep alive, close."""
         if self.is_finished:
             return []
         if self.record.state is FlowState.OPENING:
-            return self._on_time_opening(now)
+            return self._on_timer_opening(now)
         self._check_liveness(now)
         due = self._requests.on_timer(now, self._token)
         if due.went_silent:
             self._break(BreakReason.SILENT, now)
-        return due.packets + self._on_time_established(now)
+        return due.packets + self._on_timer_established(now)
 
-    def _on_time_established(self, now: float) -> list[CallerPacket]:
+    def _on_timer_established(self, now: float) -> list[CallerPacket]:
         if self.is_finished:
             return []
         packets = self._requests.send_due(now, self._token)
         if self._liveness.is_keepalive_due(now):
             self._liveness.keepalive_sent(now)
             packets.append(CallerPacket(kind=CallerPacketKind.KEEPALIVE, flow=self._flow, token=self._token))
-        if self._requests.are_over(now):
+        if self._requests.are_finished(now):
             packets += self.close(now)
         return packets
 
     def handle(self, reply: CallerReply, now: float) -> list[CallerPacket]:
-        """Take one reply of this flow and return the packets it leads to.
+        """Handle one reply and return the packets to send in response.
 
-        A flow is open at the back end whose reply came first; what another one that
-        was given a copy of the opening packet says is dropped.
+        The flow is open at the back end whose reply came first.  Replies of another back
+        end, which received a retransmission of the opening packet, carry another token and
+        are dropped.
         """
         if reply.flow != self._flow:
             return []
@@ -124,7 +125,7 @@
             handler(self, reply, now)
         return self.on_timer(now) if self.next_deadline() <= now else []
 
-    def _on_time_opening(self, now: float) -> list[CallerPacket]:
+    def _on_timer_opening(self, now: float) -> list[CallerPacket]:
         if now >= self._opening.give_up_at:
             self._finish(FlowState.UNOPENED, now)
             return []
--- a/sloepond/standins/caller_plan.py
+++ b/sloepond/standins/caller_plan.py
@@ -1,4 +1,7 @@
-"""What a stand-in caller does and how long it waits: plain values, drawn by whoever starts it."""
+"""Timeouts of a stand-in caller and the plan of its flows.
+
+Plain values; `standins.workload` draws the plans.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,15 @@
 
 
 class CallerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a caller waits; all times in seconds.
-
-    :ivar retransmit_s: time until the first retransmission.
-    :ivar retransmit_factor: growth of that time with each retransmission.
-    :ivar retransmit_maximum_s: its upper limit.
-    :ivar patience_s: time after which an open flow or a request is given up.
-    :ivar keepalive_s: time between keepalives of a flow.
-    :ivar feed_keepalive_s: the same for a flow with a feed.
-    :ivar feed_patience_s: silence of a feed after which the flow is broken.
+    """Timeouts and intervals of a caller, in seconds.
+
+    :ivar retransmit_s: delay of the first retransmission.
+    :ivar retransmit_factor: growth of the delay with each retransmission.
+    :ivar retransmit_maximum_s: upper limit of the delay.
+    :ivar patience_s: timeout of the opening, of a request and of an unanswered keepalive.
+    :ivar keepalive_s: interval between keepalives of a flow.
+    :ivar feed_keepalive_s: interval between keepalives of a flow with a feed.
+    :ivar feed_patience_s: time without a feed item after which the flow counts as broken.
     """
 
     retransmit_s: float = 0.4
@@ -29,7 +32,8 @@
 class RequestPlan(msgspec.Struct, frozen=True):
     """One request to send.
 
-    :ivar pause_s: seconds between the end of the request before and this one.
+    :ivar repeatable: whether it may be run more than once; None for the default of the service.
+    :ivar pause_s: seconds between the end of the previous request and this one.
     :ivar cancel_after_s: seconds after which the request is cancelled; None for never.
     """
 
@@ -40,7 +44,7 @@
 
 
 class FlowPlan(msgspec.Struct, frozen=True):
-    """What a flow does: requests in order, then waiting, then closing.
+    """Plan of a flow: its requests in order, then an idle time, then the close.
 
     :ivar hold_s: seconds the flow stays open after its last request.
     """
--- a/sloepond/standins/caller_record.py
+++ b/sloepond/standins/caller_record.py
@@ -1,7 +1,7 @@
-"""What became of the flows and requests of a stand-in caller.
+"""Records of the flows and requests of a stand-in caller.
 
-`CallerFlow` owns and fills the records; reports carry them and checkers compare them with the
-executions of back ends.
+`CallerFlow` owns and updates the records.  They are sent in reports, and checkers compare them
+with the executions of back ends.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request ended for the caller."""
+    """Outcome of a request from the caller's point of view."""
 
     PENDING = "pending"
     ANSWERED = "answered"
@@ -24,22 +24,22 @@
     UNKNOWN = "unknown"
     SILENT = "silent"
     WRONG = "wrong"
-    """The answer was cut, mixed or of another request."""
+    """The answer was truncated, mixed from several executions or that of another request."""
     ABANDONED = "abandoned"
     """The flow ended before the request did."""
 
 
 class FlowState(enum.StrEnum):
-    """Where a flow stands."""
+    """State of a flow."""
 
     NEW = "new"
     OPENING = "opening"
     ESTABLISHED = "established"
     CLOSED = "closed"
     REFUSED = "refused"
-    """The flow was never established and the caller was told so."""
+    """The flow was never established and the caller received a refusal."""
     UNOPENED = "unopened"
-    """The flow was never established and the caller was told nothing."""
+    """The flow was never established and the caller received no reply."""
     BROKEN = "broken"
 
 
@@ -57,10 +57,11 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """What became of one request; times on the caller's clock, in seconds.
+    """Record of one request; times on the caller's clock, in seconds.
 
-    :ivar told_refused: whether the caller was ever told that it was not run,
-        also after the outcome was decided.
+    :ivar execution: number of the execution that produced the answer.
+    :ivar told_refused: whether any reply said that the request was not run,
+        including replies after the outcome was decided.
     """
 
     request_id: int
@@ -74,18 +75,18 @@
     told_refused: bool = False
 
     def end(self, outcome: RequestOutcome, now: float) -> None:
-        """Note how the request ended."""
+        """Record the outcome of the request."""
         self.outcome = outcome
         self.ended_at = now
 
 
 class FlowRecord(msgspec.Struct):
-    """What became of one flow.
+    """Record of one flow.
 
-    :ivar backend: the back end that first spoke on the flow.
-    :ivar misrouted: replies that a back end of another service made.
-    :ivar answered_after_refusal: parts of answers to requests refused as not run before.
-    :ivar feed_gaps: feed items skipped when a later one came.
+    :ivar backend: name of the back end that sent the first reply.
+    :ivar misrouted: number of replies from back ends of another service.
+    :ivar answered_after_refusal: number of answer parts for requests that had been refused as not run.
+    :ivar feed_gaps: number of feed items skipped before a later one arrived.
     """
 
     flow: FlowKey
@@ -105,11 +106,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the flow sends nothing more."""
+        """Whether the flow has ended and sends no more packets."""
         return self.state in _FINISHED_STATES
 
     def note_contradiction(self, reply: CallerReply) -> None:
-        """Record a refusal or an answer that comes after the other for the same request."""
+        """Record a refusal, or an answer to a request that was already refused."""
         if not 1 <= reply.request_id <= len(self.requests):
             return
         request = self.requests[reply.request_id - 1]
@@ -119,7 +120,7 @@
             self.answered_after_refusal += 1
 
     def note_feed_item(self, sequence: int) -> None:
-        """Record an item of a feed, and those that it shows were skipped."""
+        """Record a feed item and the number of items skipped before it."""
         self.feed_items += 1
         missed = sequence - self.feed_sequence - 1
         if missed >= 0:
@@ -127,7 +128,7 @@
             self.feed_sequence = sequence
 
     def note_backend(self, identity: BackendIdentity) -> bool:
-        """Record which back end spoke; return whether another one spoke before."""
+        """Record which back end replied; return whether another one of the service replied first."""
         if identity.service != self.service:
             self.misrouted += 1
             return False
--- a/sloepond/standins/caller_report.py
+++ b/sloepond/standins/caller_report.py
@@ -1,6 +1,6 @@
-"""What a stand-in client reports: every flow, and the numbers of outcomes.
+"""Report of a stand-in client: the record of every flow and counts of outcomes.
 
-Relies on the records of its flows and holds nothing itself.
+Stateless.  Relies on: the records of the client's flows.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 class CallerReport(msgspec.Struct, frozen=True):
-    """Everything a client did; the body of `GET /report`."""
+    """Records of all flows of a client; the body of `GET /report`."""
 
     flows: tuple[FlowRecord, ...]
 
 
 class CallerProgress(msgspec.Struct, frozen=True):
-    """How far a client has come; the body of `GET /progress`.
+    """Progress of a client; the body of `GET /progress`.
 
-    :ivar planned: flows to open in all.
+    :ivar planned: total number of flows to open.
     :ivar started: flows whose first packet was sent.
-    :ivar open: flows established and not ended.
-    :ivar ended: flows ended in any way.
-    :ivar answered: requests answered.
+    :ivar open: flows that are established.
+    :ivar ended: flows in any final state.
+    :ivar answered: requests that were answered.
     """
 
     planned: int
--- a/sloepond/standins/caller_requests.py
+++ b/sloepond/standins/caller_requests.py
@@ -1,7 +1,7 @@
-"""The requests of a stand-in caller's flow: sent in turn, sent again, cancelled, given up.
+"""The requests of a stand-in caller's flow: sending, retransmission, cancellation and timeout.
 
-`CallerRequests` owns the requests in progress and when the next one of the plan is due.  What a
-reply means for a request is decided by `CallerFlow`, which ends it here.
+Owns: the requests in progress and the time at which the next one of the plan is due.  Relies on:
+`CallerFlow`, which interprets the replies and ends the requests here.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class DueRequests(msgspec.Struct, frozen=True):
-    """What the passing of time leads to.
+    """Result of handling the timer.
 
     :ivar packets: retransmissions and cancellations to send.
-    :ivar went_silent: whether a request was given up that nobody had said anything of.
+    :ivar went_silent: whether a request timed out without any reply.
     """
 
     packets: list[CallerPacket]
@@ -42,11 +42,11 @@
         self._close_at = NEVER
 
     def pending(self, request_id: int) -> PendingRequest | None:
-        """Return a request in progress, None where there is none of this id."""
+        """Return the request in progress with this id, None if there is none."""
         return self._pending.get(request_id)
 
-    def are_over(self, now: float) -> bool:
-        """Return whether all of the plan is done, so that the flow may be closed."""
+    def are_finished(self, now: float) -> bool:
+        """Return whether the plan is finished, so that the flow can be closed."""
         return now >= self._close_at and not self._pending
 
     def next_deadline(self) -> float:
@@ -87,7 +87,7 @@
         return pending.packet(self._record.flow, now, token)
 
     def on_timer(self, now: float, token: int) -> DueRequests:
-        """Retransmit, cancel and give up what is due; stops at the first request that went silent.
+        """Retransmit, cancel and time out requests that are due; stop at the first one without any reply.
 
         :param token: routing token of the flow, 0 for none.
         """
@@ -122,7 +122,7 @@
         self.schedule_next(now)
 
     def abandon(self, now: float) -> None:
-        """End all requests in progress with the flow."""
+        """End all requests in progress because the flow has ended."""
         for pending in self._pending.values():
             pending.record.end(RequestOutcome.ABANDONED, now)
         self._pending.clear()
--- a/sloepond/standins/checking.py
+++ b/sloepond/standins/checking.py
@@ -1,7 +1,7 @@
-"""Compares what callers were told with what back ends executed.
+"""Compares the replies that callers received with the requests that back ends executed.
 
-Each promise that does not hold gives a finding.  The inputs come from the
-callers and back ends alone, so no balancer can hide its own fault.
+Each promise that does not hold produces a finding.  Relies on: records of callers and back ends
+alone, so that a faulty balancer cannot hide its fault.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from sloepond.standins.caller_report import count_outcomes
 
 NEW_WORK_GRACE_S = 5.0
-"""Seconds after which a leaving back end must get no new flow."""
+"""Time after a drain from which the back end must receive no new flow."""
 
 
 class Promise(enum.StrEnum):
-    """What must always hold."""
+    """Guarantees that must hold in every run."""
 
     FLOW_KEPT = "flow-kept"
     SERVICE_KEPT = "service-kept"
@@ -36,23 +36,23 @@
 
 
 class PromiseBroken(msgspec.Struct, frozen=True):
-    """One finding; `detail` says which flow, request or back end."""
+    """One finding; `detail` names the flow, request or back end."""
 
     promise: Promise
     detail: str
 
 
 class Departure(msgspec.Struct, frozen=True):
-    """A back end that was drained at `at`, in seconds on the machine's clock."""
+    """A back end that was drained at `at`, in seconds of the machine's monotonic clock."""
 
     backend: str
     at: float
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """Everything the checks look at.
+    """Input of the checks.
 
-    :ivar configuration: what was declared before anything was drained.
+    :ivar configuration: the declared configuration before any drain.
     """
 
     configuration: CompiledConfiguration
@@ -62,7 +62,7 @@
 
 
 class _RequestKey(msgspec.Struct, frozen=True):
-    """Names a request of any flow."""
+    """Identifies a request among those of all flows."""
 
     flow: FlowKey
     request_id: int
@@ -86,9 +86,9 @@
 
 
 def check_served(evidence: Evidence) -> list[PromiseBroken]:
-    """Return a finding where callers asked and nothing at all was answered.
+    """Return a finding if no request was answered or no request was run.
 
-    Without it a run in which nothing works would keep every other promise.
+    Without this check a run in which nothing works would keep every other promise.
     """
     answered = count_outcomes(evidence.flows)[RequestOutcome.ANSWERED]
     if answered and evidence.executions:
@@ -98,7 +98,7 @@
 
 
 def count_duplicates(evidence: Evidence) -> int:
-    """Return how many requests that must not be repeated ran more than once."""
+    """Return the number of requests that are not repeatable but ran more than once."""
     return len(_check_repeats(evidence, _by_request(evidence.executions)))
 
 
@@ -137,7 +137,7 @@
     used |= {flow.backend for flow in evidence.flows if flow.backend}
     backends = evidence.configuration.backends_by_name
     return [
-        PromiseBroken(Promise.PLACE_KEPT, f"{name} in {backends[name].location.hall} got traffic")
+        PromiseBroken(Promise.PLACE_KEPT, f"{name} in {backends[name].location.hall} received traffic")
         for name in sorted(used)
         if not backends[name].permitted
     ]
@@ -147,27 +147,27 @@
     findings = []
     for flow, request in _requests(flows):
         if request.outcome is RequestOutcome.WRONG:
-            detail = f"{_name(flow)} request {request.request_id}: answer cut, mixed or of another"
+            detail = f"{_name(flow)} request {request.request_id}: answer truncated, mixed or misdelivered"
             findings.append(PromiseBroken(Promise.OWN_ANSWER, detail))
         elif request.outcome is RequestOutcome.ANSWERED:
-            ran = by_request.get(_RequestKey(flow.flow, request.request_id), [])
-            if not any(_made(execution, flow, request) for execution in ran):
-                detail = f"{_name(flow)} request {request.request_id}: answered without being run"
+            executions = by_request.get(_RequestKey(flow.flow, request.request_id), [])
+            if not any(_produced_answer(execution, flow, request) for execution in executions):
+                detail = f"{_name(flow)} request {request.request_id}: answered but not run"
                 findings.append(PromiseBroken(Promise.OWN_ANSWER, detail))
     return findings
 
 
-def _made(execution: Execution, flow: FlowRecord, request: RequestRecord) -> bool:
+def _produced_answer(execution: Execution, flow: FlowRecord, request: RequestRecord) -> bool:
     return execution.backend == flow.backend and execution.number == request.execution
 
 
 def _check_refusals(flows: Sequence[FlowRecord], by_request: ExecutionsByRequest) -> list[PromiseBroken]:
     findings = []
     for flow, request in _requests(flows):
-        ran = by_request.get(_RequestKey(flow.flow, request.request_id), [])
+        executions = by_request.get(_RequestKey(flow.flow, request.request_id), [])
         was_refused = request.told_refused or request.outcome is RequestOutcome.REFUSED
-        if was_refused and ran:
-            detail = f"{_name(flow)} request {request.request_id}: refused, but run at {ran[0].backend}"
+        if was_refused and executions:
+            detail = f"{_name(flow)} request {request.request_id}: refused but run at {executions[0].backend}"
             findings.append(PromiseBroken(Promise.REFUSED_NOT_RUN, detail))
     return findings
 
@@ -175,10 +175,10 @@
 def _check_repeats(evidence: Evidence, by_request: ExecutionsByRequest) -> list[PromiseBroken]:
     findings = []
     for flow, request in _requests(evidence.flows):
-        ran = by_request.get(_RequestKey(flow.flow, request.request_id), [])
-        if len(ran) > 1 and not _is_repeatable(flow, request, evidence.configuration):
-            places = ", ".join(execution.backend for execution in ran)
-            detail = f"{_name(flow)} request {request.request_id}: run {len(ran)} times ({places})"
+        executions = by_request.get(_RequestKey(flow.flow, request.request_id), [])
+        if len(executions) > 1 and not _is_repeatable(flow, request, evidence.configuration):
+            places = ", ".join(execution.backend for execution in executions)
+            detail = f"{_name(flow)} request {request.request_id}: run {len(executions)} times ({places})"
             findings.append(PromiseBroken(Promise.RUN_AT_MOST_ONCE, detail))
     return findings
 
@@ -195,7 +195,7 @@
         for flow in evidence.flows:
             late_s = flow.opened_at - departure.at
             if flow.backend == departure.backend and late_s > NEW_WORK_GRACE_S:
-                detail = f"{departure.backend} got {_name(flow)} {late_s:.1f} s after it was drained"
+                detail = f"{departure.backend} received {_name(flow)} {late_s:.1f} s after it was drained"
                 findings.append(PromiseBroken(Promise.LEAVING_IDLE, detail))
     return findings
 
--- a/sloepond/standins/client.py
+++ b/sloepond/standins/client.py
@@ -1,6 +1,6 @@
-"""Stand-in client: many callers' flows over one UDP socket, through the fabric.
+"""Stand-in client: the flows of many callers over one UDP socket, through the fabric.
 
-Owns the socket, the flows and when each is next woken; `CallerFlow` decides what a flow sends.
+Owns: the socket, the flows and their deadlines.  Relies on: `CallerFlow` for what a flow sends.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 REPORT_PATH = "/report"
 
 _INCARNATION_BITS = 48
-"""Random bits of a flow key: with 300 flows two meet with a chance below 2**-31."""
+"""Random bits of a flow key: among 300 flows the probability of a collision is below 2**-31."""
 
 
 class Client:
     """Runs planned flows until all have ended.
 
-    :ivar malformed: datagrams that were no reply.
-    :ivar unmatched: replies of flows this client did not open.
+    :ivar malformed: datagrams that could not be decoded as a reply.
+    :ivar unmatched: replies for flows that this client did not open.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         )
 
     def report(self) -> CallerReport:
-        """Return what became of all flows so far."""
+        """Return the records of all flows opened so far."""
         return CallerReport(tuple(flow.record for flow in self._flows.values()))
 
     async def run(self, address: str, fabric_address: str) -> None:
@@ -75,15 +75,15 @@
 
         :param address: `ip:port` to send from; port 0 takes a free port.
         """
-        bound = DatagramSocket(address, MAXIMUM_PACKET_BYTES)
+        udp_socket = DatagramSocket(address, MAXIMUM_PACKET_BYTES)
         self._started_at = monotonic_seconds()
         try:
             while not self._is_finished():
                 with trio.move_on_after(seconds_until(self._next_deadline())):
-                    await bound.wait_readable()
-                self._send(self._step(bound), bound, fabric_address)
+                    await udp_socket.wait_readable()
+                self._send(self._step(udp_socket), udp_socket, fabric_address)
         finally:
-            bound.close()
+            udp_socket.close()
 
     def _is_finished(self) -> bool:
         return len(self._flows) == len(self._planned) and not self._open
@@ -98,19 +98,19 @@
             return NEVER
         return self._started_at + self._planned[opened].opens_at
 
-    def _step(self, bound: DatagramSocket) -> list[CallerPacket]:
+    def _step(self, udp_socket: DatagramSocket) -> list[CallerPacket]:
         packets: list[CallerPacket] = []
-        for datagram, _ in bound.receive_batch():
-            packets += self._take(datagram)
+        for datagram, _ in udp_socket.receive_batch():
+            packets += self._handle_datagram(datagram)
         now = monotonic_seconds()
         while self._next_opening() <= now:
-            packets += self._open_next(format_address(bound.local_address), now)
+            packets += self._open_next(format_address(udp_socket.local_address), now)
         while self._deadlines and self._deadlines[0][0] <= now:
             due, _, flow = heapq.heappop(self._deadlines)
-            packets += self._wake(flow, due, now)
+            packets += self._handle_deadline(flow, due, now)
         return packets
 
-    def _wake(self, flow: CallerFlow, due: float, now: float) -> list[CallerPacket]:
+    def _handle_deadline(self, flow: CallerFlow, due: float, now: float) -> list[CallerPacket]:
         if self._scheduled.get(flow.record.flow) != due:
             return []
         del self._scheduled[flow.record.flow]
@@ -118,7 +118,7 @@
         self._schedule(flow)
         return packets
 
-    def _take(self, datagram: bytes) -> list[CallerPacket]:
+    def _handle_datagram(self, datagram: bytes) -> list[CallerPacket]:
         reply = decode_caller_reply(datagram)
         if isinstance(reply, DecodeFailure):
             self.malformed += 1
@@ -143,7 +143,7 @@
         return packets
 
     def _schedule(self, flow: CallerFlow) -> None:
-        """Make sure that `flow` is woken at its next deadline or before."""
+        """Schedule `flow` at its next deadline, unless it is scheduled earlier already."""
         key = flow.record.flow
         if flow.is_finished:
             self._open.discard(key)
@@ -155,9 +155,9 @@
         self._number += 1
         heapq.heappush(self._deadlines, (deadline, self._number, flow))
 
-    def _send(self, packets: list[CallerPacket], bound: DatagramSocket, fabric_address: str) -> None:
+    def _send(self, packets: list[CallerPacket], udp_socket: DatagramSocket, fabric_address: str) -> None:
         for packet in packets:
-            bound.send(encode_packet(packet), parse_address(fabric_address))
+            udp_socket.send(encode_packet(packet), parse_address(fabric_address))
 
     async def _read_progress(self, _request: Request) -> Response:
         records = [flow.record for flow in self._flows.values()]
--- a/sloepond/standins/content.py
+++ b/sloepond/standins/content.py
@@ -1,8 +1,9 @@
-"""What the stand-in callers ask for and the stand-in back ends answer.
+"""Payloads of the requests of stand-in callers and of the replies of stand-in back ends.
 
 An answer names the back end, its service, the request and the execution that
-made it, and carries a body derived from all of these.  So a caller can tell an
-answer that is cut, crossed, mixed from two executions or of another service.
+produced it, and carries a body derived from the request and the execution.  So a
+caller can detect an answer that is truncated, that belongs to another request, that
+mixes two executions or that comes from another service.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 """Payload of a request that subscribes to a feed."""
 
 DOWNLOAD_PREFIX = b"download "
-"""Start of the payload of a request for an answer of so many bytes."""
+"""Prefix of the payload of a request for an answer of a given size; the size follows in decimal."""
 
 MAXIMUM_DOWNLOAD_BYTES = 1_000_000
-"""Largest answer a back end makes, in bytes."""
+"""Maximum size of an answer's body; larger requests are answered with this size."""
 
 _SHORT_BODY_BYTES = 32
-"""Body of an answer to a request that asks for no size."""
+"""Size of the body if the request gives no valid size."""
 
 
 class BackendIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Which back end speaks, and for which service."""
+    """The back end that sent a reply, and its service."""
 
     name: str
     service: str
@@ -48,7 +49,7 @@
 
 
 class PushContent(msgspec.Struct, frozen=True, array_like=True):
-    """One numbered item of a feed; numbers start at 1."""
+    """One item of a feed; sequence numbers start at 1."""
 
     backend: BackendIdentity
     flow: FlowKey
@@ -62,12 +63,12 @@
 
 
 def encode_content(content: BackendIdentity | AnswerContent | PushContent) -> bytes:
-    """Return the encoded form of any content."""
+    """Return the encoded content."""
     return _ENCODER.encode(content)
 
 
 def decode_identity(payload: bytes) -> BackendIdentity | None:
-    """Return the identity in the payload of OPENED or ALIVE, None where there is none."""
+    """Return the identity in the payload of OPENED or ALIVE, None if it is malformed."""
     try:
         return _IDENTITY_DECODER.decode(payload)
     except (msgspec.MsgspecError, ValueError):
@@ -75,7 +76,7 @@
 
 
 def decode_answer(payload: bytes) -> AnswerContent | None:
-    """Return the content of a joined answer, None where it is malformed."""
+    """Return the content of a reassembled answer, None if it is malformed."""
     try:
         return _ANSWER_DECODER.decode(payload)
     except (msgspec.MsgspecError, ValueError):
@@ -83,7 +84,7 @@
 
 
 def decode_push(payload: bytes) -> PushContent | None:
-    """Return the content of a feed item, None where it is malformed."""
+    """Return the content of a feed item, None if it is malformed."""
     try:
         return _PUSH_DECODER.decode(payload)
     except (msgspec.MsgspecError, ValueError):
@@ -91,12 +92,12 @@
 
 
 def download_payload(size: int) -> bytes:
-    """Return the payload that asks for an answer with a body of `size` bytes."""
+    """Return the payload that requests an answer with a body of `size` bytes."""
     return DOWNLOAD_PREFIX + str(size).encode()
 
 
 def body_size(request_payload: bytes) -> int:
-    """Return how many bytes the body of the answer to `request_payload` has."""
+    """Return the size in bytes of the body of the answer to `request_payload`."""
     if not request_payload.startswith(DOWNLOAD_PREFIX):
         return _SHORT_BODY_BYTES
     digits = request_payload[len(DOWNLOAD_PREFIX) :]
@@ -106,13 +107,13 @@
 
 
 def answer_body(flow: FlowKey, request_id: int, execution: int, request_payload: bytes) -> bytes:
-    """Return the body that belongs to one execution of one request."""
+    """Return the answer body for one execution of one request."""
     seed = _ENCODER.encode((flow, request_id, execution, request_payload))
     return hashlib.shake_128(seed).digest(body_size(request_payload))
 
 
 def is_own_answer(content: AnswerContent, flow: FlowKey, request_id: int, request_payload: bytes) -> bool:
-    """Return whether `content` is the whole answer to this very request."""
+    """Return whether `content` is the complete answer to exactly this request."""
     if content.flow != flow or content.request_id != request_id:
         return False
     return content.body == answer_body(flow, request_id, content.execution, request_payload)
--- a/sloepond/standins/fabric.py
+++ b/sloepond/standins/fabric.py
@@ -1,8 +1,8 @@
 """Stand-in for the fabric: a UDP socket that sprays callers' datagrams over balancers.
 
-Balancers reply to callers directly.  The set of balancers is changed by
-`PUT /standin/balancers`; where a platform is given, its list of live machines
-is polled too, so that the fabric learns of changes late.
+Balancers reply to callers directly.  `PUT /standin/balancers` replaces the set of balancers.
+If a platform is given, its list of live machines is polled as well, so that changes reach the
+fabric with a delay.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 
 
 class FabricStarted(msgspec.Struct, frozen=True):
-    """Where a fabric listens: UDP `ip:port` and HTTP URL."""
+    """Addresses at which a fabric listens: UDP `ip:port` and HTTP URL."""
 
     address: str
     control_url: str
 
 
 class Fabric:
-    """Moves datagrams and serves the control interface."""
+    """Forwards datagrams and serves the control interface."""
 
     def __init__(self, model: FabricModel, platform_url: str, poll_interval_s: float) -> None:
         """Prepare a fabric.
@@ -59,7 +59,7 @@
         self._model = model
         self._platform_url = platform_url
         self._poll_interval_s = poll_interval_s
-        self._held: list[tuple[float, int, Delivery]] = []
+        self._pending: list[tuple[float, int, Delivery]] = []
         self._number = 0
         self.application = make_application(
             [
@@ -74,33 +74,33 @@
         control_address: str,
         task_status: trio.TaskStatus[FabricStarted] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run until cancelled; `started` gives the addresses."""
-        bound = DatagramSocket(address, MAXIMUM_PACKET_BYTES)
+        """Run until cancelled; the started value contains the addresses."""
+        udp_socket = DatagramSocket(address, MAXIMUM_PACKET_BYTES)
         async with trio.open_nursery() as nursery:
             url = await nursery.start(serve_http, self.application, control_address)
             if self._platform_url:
                 nursery.start_soon(self._poll_machines)
-            task_status.started(FabricStarted(format_address(bound.local_address), url))
-            await self._move_datagrams(bound)
+            task_status.started(FabricStarted(format_address(udp_socket.local_address), url))
+            await self._move_datagrams(udp_socket)
 
-    async def _move_datagrams(self, bound: DatagramSocket) -> None:
+    async def _move_datagrams(self, udp_socket: DatagramSocket) -> None:
         while True:
-            deadline = self._held[0][0] if self._held else NEVER
+            deadline = self._pending[0][0] if self._pending else NEVER
             with trio.move_on_at(deadline):
-                await bound.wait_readable()
-            for datagram, _ in bound.receive_batch():
-                self._hold(self._model.deliver(datagram, trio.current_time()))
-            self._send_due(bound)
+                await udp_socket.wait_readable()
+            for datagram, _ in udp_socket.receive_batch():
+                self._enqueue(self._model.deliver(datagram, trio.current_time()))
+            self._send_due(udp_socket)
 
-    def _hold(self, deliveries: list[Delivery]) -> None:
+    def _enqueue(self, deliveries: list[Delivery]) -> None:
         for delivery in deliveries:
             self._number += 1
-            heapq.heappush(self._held, (delivery.due, self._number, delivery))
+            heapq.heappush(self._pending, (delivery.due, self._number, delivery))
 
-    def _send_due(self, bound: DatagramSocket) -> None:
-        while self._held and self._held[0][0] <= trio.current_time():
-            _, _, delivery = heapq.heappop(self._held)
-            bound.send(delivery.datagram, parse_address(delivery.address))
+    def _send_due(self, udp_socket: DatagramSocket) -> None:
+        while self._pending and self._pending[0][0] <= trio.current_time():
+            _, _, delivery = heapq.heappop(self._pending)
+            udp_socket.send(delivery.datagram, parse_address(delivery.address))
 
     async def _poll_machines(self) -> None:
         async with httpx.AsyncClient(base_url=self._platform_url) as client:
@@ -114,7 +114,7 @@
             response.raise_for_status()
             machines = msgspec.json.decode(response.content, type=MachineList)
         except (httpx.HTTPError, msgspec.MsgspecError):
-            return  # The stand-in platform may be down on purpose; the list that was read last stays.
+            return  # The stand-in platform may be down on purpose; the last list that was read stays in use.
         self._model.set_live_names([member.name for member in machines.members])
 
     async def _set_balancers(self, request: Request) -> Response:
--- a/sloepond/standins/fabric_model.py
+++ b/sloepond/standins/fabric_model.py
@@ -1,7 +1,7 @@
-"""The fabric without I/O: each datagram goes to some balancer, with faults.
+"""The fabric without I/O: sends each datagram to a random balancer and injects faults.
 
-Owns the list of balancers and which of them are believed to be live.  It keeps no flow at its
-balancer: every datagram is sent to one chosen at random.
+Owns: the list of balancers and the set of those known as live.  There is no flow affinity: a
+balancer is chosen at random for every datagram.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 class FabricSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Faults of the fabric.
 
-    :ivar loss: share of datagrams that vanish.
-    :ivar duplication: share of datagrams that come twice.
-    :ivar reordering: share of datagrams that are held back.
-    :ivar delay_s: time each datagram takes, in seconds.
-    :ivar reordering_delay_s: longest time one is held back, in seconds.
+    :ivar loss: share of datagrams that are lost.
+    :ivar duplication: share of datagrams that are delivered twice.
+    :ivar reordering: share of datagrams that are delayed beyond `delay_s`.
+    :ivar delay_s: delay of every datagram, in seconds.
+    :ivar reordering_delay_s: maximum additional delay of a reordered datagram, in seconds.
     """
 
     loss: float = 0.0
@@ -30,7 +30,7 @@
 
 
 class Balancer(msgspec.Struct, frozen=True):
-    """A balancer and the address `ip:port` where it takes callers' packets."""
+    """A balancer and the address `ip:port` at which it receives callers' packets."""
 
     name: str
     address: str
@@ -45,7 +45,7 @@
 
 
 class FabricCounters(msgspec.Struct):
-    """What the fabric counted."""
+    """Counters of the fabric."""
 
     received: int = 0
     delivered: int = 0
@@ -56,7 +56,7 @@
 
 
 class FabricModel:
-    """Sprays datagrams over the balancers it believes to be live."""
+    """Sprays datagrams over the balancers known as live."""
 
     def __init__(self, settings: FabricSettings, random_source: random.Random) -> None:
         self.settings = settings
@@ -68,16 +68,16 @@
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """Addresses that get datagrams now."""
+        """Addresses that datagrams are currently sent to."""
         return self._targets
 
     def set_balancers(self, balancers: Collection[Balancer]) -> None:
-        """Replace all known balancers."""
+        """Replace the list of balancers."""
         self._balancers = tuple(balancers)
         self._select_targets()
 
     def set_live_names(self, names: Collection[str] | None) -> None:
-        """Use only balancers of these names; None uses all."""
+        """Use only the balancers with these names; None uses all."""
         self._live_names = None if names is None else frozenset(names)
         self._select_targets()
 
@@ -89,7 +89,7 @@
         )
 
     def deliver(self, datagram: bytes, now: float) -> list[Delivery]:
-        """Return where and when copies of `datagram` arrive; none where it is lost."""
+        """Return the deliveries of `datagram`: none if it is lost, two if it is duplicated."""
         self.counters.received += 1
         if not self._targets:
             self.counters.without_balancer += 1
--- a/sloepond/standins/feed_schedule.py
+++ b/sloepond/standins/feed_schedule.py
@@ -1,6 +1,6 @@
-"""When a stand-in back end pushes the next item of each feed.
+"""Schedule of the feed items that a stand-in back end pushes.
 
-Owns the subscriptions of one back end; whoever runs it gives the time.
+Owns: the subscriptions of one back end.  Relies on: the back end for the time.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class FeedItem(msgspec.Struct, frozen=True):
-    """An item to push now.
+    """An item that is due.
 
     :ivar request_id: request that subscribed the flow.
-    :ivar sequence: number of the item, from 1.
+    :ivar sequence: sequence number of the item, from 1.
     """
 
     flow: FlowKey
@@ -26,7 +26,7 @@
 
 
 class _Feed(msgspec.Struct):
-    """A subscribed flow; `number` names its present entry in the schedule."""
+    """A subscribed flow; `number` identifies its current entry in the schedule, older ones are ignored."""
 
     request_id: int
     number: int = 0
@@ -34,7 +34,7 @@
 
 
 class FeedSchedule:
-    """Subscribed flows and the time of their next items, in seconds."""
+    """Subscribed flows and the times of their next items, in seconds."""
 
     def __init__(self) -> None:
         self._feeds: dict[FlowKey, _Feed] = {}
@@ -42,21 +42,21 @@
         self._number = 0
 
     def subscribe(self, flow: FlowKey, request_id: int, first_at: float) -> None:
-        """Push items to `flow` from `first_at` on; a second subscription changes nothing."""
+        """Schedule items for `flow` from `first_at` on; a second subscription has no effect."""
         if flow not in self._feeds:
             self._feeds[flow] = _Feed(request_id)
             self._add(flow, first_at)
 
     def unsubscribe(self, flow: FlowKey) -> None:
-        """Push nothing more to `flow`."""
+        """Cancel the items for `flow`."""
         self._feeds.pop(flow, None)
 
     def next_deadline(self) -> float:
         """Return when the next item is due, infinity if never."""
         return self._schedule[0][0] if self._schedule else NEVER
 
-    def take_due(self, now: float, interval_s: float) -> list[FeedItem]:
-        """Return the items due by `now` and schedule the following ones."""
+    def pop_due(self, now: float, interval_s: float) -> list[FeedItem]:
+        """Return the items that are due and schedule the next item of each of their flows."""
         items: list[FeedItem] = []
         while self.next_deadline() <= now:
             _, number, flow = heapq.heappop(self._schedule)
--- a/sloepond/standins/hosting.py
+++ b/sloepond/standins/hosting.py
@@ -1,6 +1,6 @@
-"""Back ends and services of declared resources, as the stand-ins need them.
+"""Converts declared resources to the back ends and services that the stand-ins run and call.
 
-Holds no state; relies on the resource types.
+Stateless.  Relies on: the resource types.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
     """Return a model for each declared back end.
 
     :param names: back ends to host; empty for all.
-    :param settings: slots and connections are taken from the resource instead.
+    :param settings: settings of all back ends, except slots and connections, which each resource gives.
+    :param seed: seed of the back ends' random sources, each combined with the name.
     """
     return [
         _host(resource, settings, seed)
--- a/sloepond/standins/http.py
+++ b/sloepond/standins/http.py
@@ -1,7 +1,7 @@
-"""HTTP service of the stand-ins: hypercorn and starlette on trio, JSON by msgspec.
+"""HTTP server of the stand-ins: hypercorn and starlette on trio, JSON by msgspec.
 
-Holds no state.  All stand-ins answer `/readyz`, refuse a malformed body with its reason and
-speak JSON in the same way, since they share these functions.
+Stateless.  All stand-ins use these functions, so that they serve `/readyz`, reject malformed
+bodies and encode JSON in the same way.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 
 
 class RequestRefused(msgspec.Struct, frozen=True):
-    """Body of an answer that refuses a request."""
+    """Body of the response to a refused request."""
 
     reason: str
 
 
 def json_response(content: object, status: int = STATUS_OK) -> Response:
-    """Return `content` (a msgspec struct) as a JSON answer."""
+    """Return `content` (a msgspec struct) as a JSON response."""
     return Response(msgspec.json.encode(content), status, media_type="application/json")
 
 
 async def read_json(request: Request, expected: type[_Content]) -> _Content | RequestRefused:
-    """Return the body of `request` as `expected`, or why it is not one."""
+    """Return the body of `request` decoded as `expected`, or the reason why it cannot be decoded."""
     try:
         return msgspec.json.decode(await request.body(), type=expected)
     except (msgspec.MsgspecError, ValueError) as error:
@@ -49,7 +49,7 @@
 
 
 def make_application(routes: Sequence[BaseRoute]) -> Starlette:
-    """Return an application of `routes` and of `/readyz`."""
+    """Return an application that serves `routes` and `/readyz`."""
     return Starlette(routes=[Route(READY_PATH, _ready), *routes])
 
 
@@ -62,7 +62,7 @@
     address: str,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; `started` gives the URL.
+    """Serve until cancelled; the started value is the URL.
 
     :param address: `ip:port`; port 0 takes a free port.
     """
--- a/sloepond/standins/liveness.py
+++ b/sloepond/standins/liveness.py
@@ -1,7 +1,7 @@
-"""Whether an established flow of a stand-in caller is still served.
+"""Detects when an established flow of a stand-in caller is no longer served.
 
-Owns the times of keepalives, of silence and of the feed of one flow; relies on `CallerSettings`
-for how long each may take.
+Owns: the times of the keepalives, the last unanswered keepalive and the last feed item of one
+flow.  Relies on: `CallerSettings` for intervals and timeouts.
 """
 
 from __future__ import annotations
@@ -12,54 +12,54 @@
 
 
 class Liveness:
-    """Times of keepalives, of silence and of the feed, in seconds."""
+    """Keepalive schedule and timeouts of one flow; times in seconds."""
 
     def __init__(self, settings: CallerSettings) -> None:
         self._settings = settings
         self._keepalive_at = NEVER
         self._unanswered_since = NEVER
-        self._feed_heard_at = NEVER
+        self._feed_received_at = NEVER
 
     def flow_established(self, now: float) -> None:
         """Start sending keepalives."""
         self._keepalive_at = now + self._settings.keepalive_s
 
     def reply_received(self) -> None:
-        """Note that the flow is served."""
+        """Record that the flow is served; the timeout of an unanswered keepalive is reset."""
         self._unanswered_since = NEVER
 
     def feed_subscribed(self, now: float) -> None:
-        """Expect feed items from now on, and send keepalives more often."""
-        self._feed_heard_at = now
+        """Start the timeout of the feed and send keepalives at the interval of feeds."""
+        self._feed_received_at = now
         self._keepalive_at = now + self._settings.feed_keepalive_s
 
     def feed_item_received(self, now: float) -> None:
-        """Note that the feed goes on."""
-        self._feed_heard_at = now
+        """Restart the timeout of the feed."""
+        self._feed_received_at = now
 
     def is_keepalive_due(self, now: float) -> bool:
         """Return whether a keepalive is to be sent."""
         return now >= self._keepalive_at
 
     def keepalive_sent(self, now: float) -> None:
-        """Wait for a reply and set the time of the next keepalive."""
-        has_feed = self._feed_heard_at < NEVER
+        """Start the timeout for a reply, unless it is running, and schedule the next keepalive."""
+        has_feed = self._feed_received_at < NEVER
         interval = self._settings.feed_keepalive_s if has_feed else self._settings.keepalive_s
         self._keepalive_at = now + interval
         self._unanswered_since = min(self._unanswered_since, now)
 
     def break_reason(self, now: float) -> BreakReason:
-        """Return why the flow counts as broken, `NONE` if it does not."""
+        """Return the reason why the flow counts as broken, `NONE` if it does not."""
         if now >= self._unanswered_since + self._settings.patience_s:
             return BreakReason.SILENT
-        if now >= self._feed_heard_at + self._settings.feed_patience_s:
+        if now >= self._feed_received_at + self._settings.feed_patience_s:
             return BreakReason.FEED_STALLED
         return BreakReason.NONE
 
     def next_deadline(self) -> float:
-        """Return when a keepalive or a verdict is next due."""
+        """Return when the next keepalive or timeout is due."""
         return min(
             self._keepalive_at,
             self._unanswered_since + self._settings.patience_s,
-            self._feed_heard_at + self._settings.feed_patience_s,
+            self._feed_received_at + self._settings.feed_patience_s,
         )
--- a/sloepond/standins/platform.py
+++ b/sloepond/standins/platform.py
@@ -1,9 +1,8 @@
 """Stand-in for the platform: configuration service and list of live machines.
 
-Balancers only read.  Operators' tools write, as they would through the
-platform's own interface.  All is kept in memory.  Faults are set by
-`PUT /standin/mode`: down (every answer is 503) or stale (reads give an older
-generation while writes are taken).
+Balancers only read.  Operators' tools write, as they would through the platform's
+own interface.  All data is kept in memory.  `PUT /standin/mode` injects faults: down
+(every response is 503) or stale (reads return an older generation, writes are accepted).
 """
 
 from __future__ import annotations
@@ -41,7 +40,7 @@
 
 
 class PlatformMode(enum.StrEnum):
-    """Faults of the platform."""
+    """Working state of the platform; all but `UP` are injected faults."""
 
     UP = "up"
     DOWN = "down"
@@ -49,7 +48,7 @@
 
 
 class ModeRequest(msgspec.Struct, frozen=True):
-    """Body of `PUT /standin/mode`; `generation` is what stale reads give."""
+    """Body of `PUT /standin/mode`; stale reads return `generation`."""
 
     mode: PlatformMode
     generation: int | None = None
@@ -62,10 +61,10 @@
 
 
 class ConfigurationWrite(msgspec.Struct, frozen=True):
-    """Body of a write.
+    """Body of a write of the configuration.
 
-    :ivar resources: all resources, as plain values that are still to be checked.
-    :ivar base_generation: generation the writer started from; None for any.
+    :ivar resources: all resources, not yet validated.
+    :ivar base_generation: generation that the write is based on; None accepts any.
     """
 
     resources: list[msgspec.Raw]
@@ -73,14 +72,14 @@
 
 
 class ConfigurationWritten(msgspec.Struct, frozen=True):
-    """What is stored now."""
+    """Body of the response to a write: the generation that is stored now."""
 
     generation: int
     digest: str
 
 
 class WriteRefused(msgspec.Struct, frozen=True):
-    """Everything wrong in a write."""
+    """Body of the response to a refused write, with all findings."""
 
     findings: tuple[Finding, ...]
 
@@ -96,30 +95,30 @@
 
     @property
     def latest(self) -> ConfigurationSnapshot:
-        """The newest generation; number 0 before the first write."""
+        """The latest generation; number 0 before the first write."""
         return self._generations[-1]
 
     @property
     def readable(self) -> ConfigurationSnapshot:
-        """The generation that reads give."""
+        """The generation that reads return."""
         if self.mode is not PlatformMode.STALE or self._stale_generation is None:
             return self.latest
         return self._generations[self._stale_generation]
 
     def set_mode(self, request: ModeRequest) -> RequestRefused | None:
-        """Change the mode; return why it cannot be, if so.
+        """Change the mode; return the reason if the request is refused.
 
-        Stale without a generation freezes the newest one.
+        A stale mode without a generation freezes the latest one.
         """
         generation = self.latest.generation if request.generation is None else request.generation
         if not 0 <= generation <= self.latest.generation:
-            return RequestRefused(f"generation {generation} was never written")
+            return RequestRefused(f"generation {generation} does not exist")
         self.mode = request.mode
         self._stale_generation = generation
         return None
 
     def write(self, resources: tuple[Resource, ...], base_generation: int | None) -> bool:
-        """Store a new generation; return False where the base is not the newest."""
+        """Store a new generation; return False if the base is not the latest one."""
         generation = self.latest.generation
         if base_generation is not None and base_generation != generation:
             return False
@@ -195,5 +194,5 @@
     state: PlatformState,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve the platform until cancelled; `started` gives the URL."""
+    """Serve the platform until cancelled; the started value is the URL."""
     await serve_http(PlatformService(state).application, address, task_status)
--- a/sloepond/standins/started.py
+++ b/sloepond/standins/started.py
@@ -1,6 +1,7 @@
-"""The one line a stand-in process prints when it is ready.
+"""The line that a stand-in process prints when it is ready.
 
-Whoever starts the process waits for this line and needs no port chosen beforehand.
+The parent process waits for this line and reads the ports from it, so that the stand-in can
+bind any free port.
 """
 
 from __future__ import annotations
@@ -9,10 +10,10 @@
 
 
 class StandinStarted(msgspec.Struct, frozen=True):
-    """Where a stand-in process can be reached.
+    """Addresses of a stand-in process.
 
     :ivar url: URL of its HTTP interface.
-    :ivar address: `ip:port` of its UDP socket, empty where it has none of its own.
+    :ivar address: `ip:port` of its UDP socket, empty if there is none to report.
     """
 
     url: str
@@ -20,5 +21,5 @@
 
 
 def print_started(started: StandinStarted) -> None:
-    """Write the line to standard output; whoever started the process waits for it."""
+    """Write the line to standard output, unbuffered since the parent process waits for it."""
     print(msgspec.json.encode(started).decode(), flush=True)
--- a/sloepond/standins/waiting.py
+++ b/sloepond/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting by the machine's clock, which all processes of one machine share."""
+"""Timeouts on the machine's monotonic clock, which all processes of one machine share."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def seconds_until(deadline: float) -> float:
-    """Return how long it is until `deadline` on the machine's clock, 0 if it has passed."""
+    """Return the seconds until `deadline` on the machine's monotonic clock, 0 if it has passed."""
     return max(0.0, deadline - monotonic_seconds())
--- a/sloepond/standins/workload.py
+++ b/sloepond/standins/workload.py
@@ -1,6 +1,6 @@
-"""Plans of the flows a stand-in client opens, drawn from a seeded random source.
+"""Plans of the flows that a stand-in client opens, drawn from a seeded random source.
 
-Holds no state; the same seed and settings give the same plans.
+Stateless; the same seed and settings give the same plans.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from sloepond.standins.content import FEED_PAYLOAD, download_payload
 
 _NOTE_BYTES = 24
-"""Random bytes of a note, so many that no two notes are equal."""
+"""Random bytes of a note, enough that no two notes are equal."""
 _DOWNLOAD_BYTES = (4_000, 40_000)
-"""Smallest and largest download, in bytes: 5 to 41 parts of an answer."""
+"""Minimum and maximum size of a download, 5 to 41 parts of an answer."""
 _FEED_SHARE = 0.3
-"""Share of flows that subscribe to a feed; chosen so that every kind is common, not measured."""
+"""Share of flows that subscribe to a feed; with `_DOWNLOAD_SHARE` it makes every kind of flow common."""
 _DOWNLOAD_SHARE = 0.3
-"""Share of flows that download; the others send notes."""
+"""Share of flows that request downloads; the remaining ones send notes."""
 
 
 class WorkloadSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many flows a client opens and what they do.
+    """Number, timing and length of the flows that a client opens.
 
-    :ivar flows: flows to open in all.
+    :ivar flows: total number of flows.
     :ivar opening_s: time over which they are opened, in seconds.
-    :ivar lifetime_s: time a flow goes on sending requests, in seconds.
+    :ivar lifetime_s: time for which a flow keeps sending requests, in seconds.
     :ivar pause_s: mean time between the requests of a flow, in seconds.
     """
 
@@ -40,14 +40,14 @@
 
 
 class CalledService(msgspec.Struct, frozen=True):
-    """A service a client may call."""
+    """A service that a client calls."""
 
     name: str
     address: str
 
 
 class PlannedFlow(msgspec.Struct, frozen=True):
-    """A flow and when it is opened, in seconds after the start."""
+    """A flow and the time at which it is opened, in seconds after the start."""
 
     opens_at: float
     service: CalledService
@@ -55,7 +55,7 @@
 
 
 class _FlowShape(enum.Enum):
-    """What a flow mostly does."""
+    """Kind of the requests of a flow."""
 
     FEED = "feed"
     DOWNLOADS = "downloads"
@@ -65,7 +65,7 @@
 def plan_workload(
     services: Sequence[CalledService], settings: WorkloadSettings, random_source: random.Random
 ) -> list[PlannedFlow]:
-    """Return the flows to open, ordered by time; services take turns.
+    """Return the flows to open, ordered by time, with the services in rotation.
 
     :param services: at least one.
     """
