--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -29,7 +29,7 @@
 
 EXAMPLE = Path("examples/accra")
 WAVE = WorkloadSettings(flows=40, opening_s=5.0, lifetime_s=4.0, pause_s=0.3)
-BUSY = "import time\nend = time.monotonic() + 0.5\nwhile time.monotonic() < end: pass"
+BUSY_LOOP = "import time\nend = time.monotonic() + 0.5\nwhile time.monotonic() < end: pass"
 CONFLICT = "sloepond: the configuration has changed since generation 1; nothing was written"
 
 
@@ -43,10 +43,10 @@
     context.probe_children_before = probe_children()
     context.probe_results = {}
     context.probe_output = io.StringIO()
-    trio.run(run_side_by_side, context, names)
+    trio.run(run_in_parallel, context, names)
 
 
-async def run_side_by_side(context, names):
+async def run_in_parallel(context, names):
     console = Console(file=context.probe_output, width=200)
 
     async def run(name):
@@ -58,7 +58,7 @@
             nursery.start_soon(run, name)
 
 
-@when("the probe scenarios {names} run side by side")
+@when("the probe scenarios {names} run in parallel")
 def probes_run(context, names):
     run_probes(context, names.split(", "))
 
@@ -69,7 +69,7 @@
         run_probes(context, ["crash"])
 
 
-@then("each probe scenario ran to its end and kept every promise")
+@then("each probe scenario completed and kept every promise")
 def probes_kept(context):
     broken = [
         f"{name}: {(*result.broken, *result.notes) if result else 'not run'}"
@@ -97,20 +97,20 @@
     return {check.name for check in checks if not check.is_kept}
 
 
-@then("a probe check of silent callers, of unopened flows or of no answer at all is broken")
+@then("a probe check fails for silent requests, for unopened flows and without any answer")
 def probe_evidence_checks(context):
     assert broken_names(FlowState.CLOSED, RequestOutcome.SILENT) == {
-        "requests without an answer of any kind",
+        "requests without any reply",
         "requests answered",
     }
     assert broken_names(FlowState.UNOPENED, RequestOutcome.UNKNOWN) == {
-        "flows that were told nothing",
+        "flows without any reply",
         "requests answered",
     }
     assert "own-answer" in broken_names(FlowState.CLOSED, RequestOutcome.ANSWERED)
 
 
-@then("a probe watch reports a generation that goes back or is taken from before the failure")
+@then("a probe watch reports a generation that decreases and a restart with an older generation")
 def probe_watch_reports(context):
     watch = GenerationWatch(fleet=None)
     first, restarted, late = (ProcessKey("balancer-1", pid) for pid in (1, 2, 3))
@@ -127,7 +127,7 @@
     return sum(not check.is_kept for check in racing_operators.check_race("race", race))
 
 
-@then("a probe race is broken where both writers succeed or the loser is told nothing")
+@then("a probe race fails if both writers succeed or the second one reports no conflict")
 def probe_race_checks(context):
     assert broken_race(CommandResult("late", 1, (CONFLICT,)), 1) == 0
     assert broken_race(CommandResult("late", 0, ()), 2) == 3
@@ -135,7 +135,7 @@
     assert broken_race(CommandResult("late", 1, ("Traceback", CONFLICT)), 1) == 1
 
 
-async def wait_through(ready_after_s, limit_s):
+async def wait_until_ready(ready_after_s, limit_s):
     ready_at = trio.current_time() + ready_after_s
 
     async def is_ready():
@@ -145,28 +145,28 @@
 
 
 @then(
-    "a probe wait of {limit:g} seconds for what takes {ready:g} holds where processes stood in line "
-    "for {line:g}, and else not"
+    "a probe wait of {limit:g} seconds for a state reached after {ready:g} succeeds if processes waited "
+    "for a processor for {queued:g}, and times out otherwise"
 )
-def probe_wait(context, limit, ready, line):
-    share = line / ready
-    with mock.patch.object(ProcessorWait, "take", lambda self: 0.02 * share):
-        trio.run(wait_through, ready, limit)
+def probe_wait(context, limit, ready, queued):
+    share = queued / ready
+    with mock.patch.object(ProcessorWait, "wait_since_last_call", lambda self: 0.02 * share):
+        trio.run(wait_until_ready, ready, limit)
     try:
-        with mock.patch.object(ProcessorWait, "take", lambda self: 0.0):
-            trio.run(wait_through, ready, limit)
+        with mock.patch.object(ProcessorWait, "wait_since_last_call", lambda self: 0.0):
+            trio.run(wait_until_ready, ready, limit)
     except TimeoutError as error:
-        assert "no readiness" in str(error)
+        assert "waiting for readiness" in str(error)
     else:
-        raise AssertionError("the limit does not hold")
+        raise AssertionError("the timeout has no effect")
 
 
-@then("a probe counts how long its own processes stand in line")
-def probe_counts_waits(context):
-    waited = ProcessorWait()
-    loops = [subprocess.Popen([sys.executable, "-c", BUSY]) for _ in range(4 * (os.cpu_count() or 1))]
-    seen_s = []
+@then("a probe measures how long its own processes wait for a processor")
+def probe_measures_waits(context):
+    processor_wait = ProcessorWait()
+    loops = [subprocess.Popen([sys.executable, "-c", BUSY_LOOP]) for _ in range(4 * (os.cpu_count() or 1))]
+    waits_s = []
     while any(loop.poll() is None for loop in loops):
         time.sleep(0.1)
-        seen_s.append(waited.take())
-    assert max(seen_s) > 0.02, seen_s
+        waits_s.append(processor_wait.wait_since_last_call())
+    assert max(waits_s) > 0.02, waits_s
--- a/sloepond/demo/__init__.py
+++ b/sloepond/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: a small fleet of real processes on loopback, with planned changes."""
+"""Demo: a small fleet of real processes on loopback, with planned changes or injected failures."""
--- a/sloepond/demo/__main__.py
+++ b/sloepond/demo/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the demo or one scenario under failure, from the command line.
+"""Command line of the demo and of the failure scenarios.
 
-The exit code is 0 where every promise held, 1 where one broke, 2 where it did not run to its
-end.  Relies on `demo.running` for the run and on the two summaries for what is printed.
+The exit code is 0 if every promise held, 1 if one was broken, 2 if the run did not complete.
+Relies on: `demo.running` for the run, the two `summary` modules for the output.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 EXIT_KEPT = 0
 EXIT_BROKEN = 1
-EXIT_NOT_RUN = 2
+EXIT_INCOMPLETE = 2
 
 
 def demo(
@@ -46,20 +46,20 @@
 ) -> int:
     """Run a fleet on loopback, drain a back end, stop a balancer and check all promises.
 
-    With a scenario the fleet is put under failure instead; callers then come in
-    waves for as long as it takes, and `flows` and the times are those of one wave.
+    With a scenario the fleet is subjected to a failure instead.  Callers are then started in
+    waves until the scenario ends; `flows` and the times apply to each wave.
 
     :param example: directory of the resources to start from.
-    :param drained: back end drained on the way.
-    :param flows: flows opened in all.
-    :param opening_s: seconds over which they are opened.
-    :param lifetime_s: seconds each flow goes on sending requests.
+    :param drained: back end that is drained during the run.
+    :param flows: total number of flows.
+    :param opening_s: seconds over which the flows are opened.
+    :param lifetime_s: seconds for which each flow keeps sending requests.
     :param pause_s: mean seconds between the requests of a flow.
-    :param loss: share of callers' datagrams the fabric loses.
-    :param duplication: share of callers' datagrams the fabric delivers twice.
-    :param reordering: share of callers' datagrams the fabric holds back.
+    :param loss: share of callers' datagrams that the fabric loses.
+    :param duplication: share of callers' datagrams that the fabric delivers twice.
+    :param reordering: share of callers' datagrams that the fabric delays.
     :param seed: seed of the workload and of the fabric.
-    :param scenario: failure to show.
+    :param scenario: failure scenario to run.
     """
     workload = WorkloadSettings(flows=flows, opening_s=opening_s, lifetime_s=lifetime_s, pause_s=pause_s)
     faults = FabricSettings(loss=loss, duplication=duplication, reordering=reordering)
@@ -67,11 +67,11 @@
         probe = ProbeSettings(scenario, example, workload, faults, seed)
         return trio.run(_run_interruptible, functools.partial(_run_probe, probe), Console())
     settings = DemoSettings(example, drained, workload, faults, seed)
-    return trio.run(_run_interruptible, functools.partial(_run_checked, settings), Console())
+    return trio.run(_run_interruptible, functools.partial(_run_demo, settings), Console())
 
 
 async def _run_interruptible(run: Callable[[Console], Awaitable[int]], console: Console) -> int:
-    exit_code = EXIT_NOT_RUN
+    exit_code = EXIT_INCOMPLETE
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_signal, nursery.cancel_scope, console)
         exit_code = await run(console)
@@ -86,10 +86,10 @@
             scope.cancel()
 
 
-async def _run_checked(settings: DemoSettings, console: Console) -> int:
+async def _run_demo(settings: DemoSettings, console: Console) -> int:
     result = await run_demo(settings, console)
     if result is None:
-        return EXIT_NOT_RUN
+        return EXIT_INCOMPLETE
     findings = [*check_promises(result.evidence), *check_served(result.evidence)]
     print_summary(result, findings, console)
     if findings or result.stop.exit_code != 0:
@@ -100,7 +100,7 @@
 async def _run_probe(settings: ProbeSettings, console: Console) -> int:
     result = await run_probe(settings, console)
     if result is None:
-        return EXIT_NOT_RUN
+        return EXIT_INCOMPLETE
     print_result(result, console)
     return EXIT_BROKEN if result.broken else EXIT_KEPT
 
--- a/sloepond/demo/addresses.py
+++ b/sloepond/demo/addresses.py
@@ -1,7 +1,7 @@
 """Loopback addresses of one demo.
 
-Each demo claims a /24 network inside 127.0.0.0/8, so that several run at once
-with the same ports, and every process has an IP address of its own.
+Each demo claims a /24 network inside 127.0.0.0/8, so that several demos can run at the same time
+with the same ports, and processes can have IP addresses of their own.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import socket
 
 CLAIM_PORT = 7999
-"""UDP port of `CLAIM_HOST` that is bound for as long as a demo has the network."""
+"""UDP port of `CLAIM_HOST`; a demo keeps it bound as long as it uses the network."""
 EDGE_PORT = 7100
 BACKEND_FACING_PORT = 7200
 PEER_PORT = 7300
@@ -29,27 +29,27 @@
 FIRST_BACKEND_HOST = 101
 
 _ATTEMPTS = 100
-"""Networks tried, of some 48,000, before the demo gives up."""
+"""Networks tried, out of about 48,000, before the demo gives up."""
 _FIRST_SECOND_OCTET = 64
 _LAST_OCTET = 254
 
 
 class NetworkUnavailableError(Exception):
-    """No loopback network was free."""
+    """No free loopback network was found."""
 
 
 class LoopbackNetwork:
-    """A claimed network; closing it gives it back."""
+    """A claimed network; `close` releases it."""
 
     def __init__(self) -> None:
         """Claim a network that no other demo uses.
 
-        :raises NetworkUnavailableError: where none was found.
+        :raises NetworkUnavailableError: if none was found.
         """
-        chooser = random.SystemRandom()
+        random_source = random.SystemRandom()
         for _ in range(_ATTEMPTS):
-            second = chooser.randint(_FIRST_SECOND_OCTET, _LAST_OCTET)
-            self._prefix = f"127.{second}.{chooser.randint(0, _LAST_OCTET)}"
+            second = random_source.randint(_FIRST_SECOND_OCTET, _LAST_OCTET)
+            self._prefix = f"127.{second}.{random_source.randint(0, _LAST_OCTET)}"
             claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
                 claim.bind((f"{self._prefix}.{CLAIM_HOST}", CLAIM_PORT))
@@ -65,5 +65,5 @@
         return f"{self._prefix}.{host}:{port}"
 
     def close(self) -> None:
-        """Give the network back."""
+        """Release the network."""
         self._claim.close()
--- a/sloepond/demo/balancer_settings.py
+++ b/sloepond/demo/balancer_settings.py
@@ -1,7 +1,7 @@
 """Settings files of the demo's balancers.
 
-Draws the key that all balancers share and the token of their API; both last for one demo.
-Relies on `runtime.settings` for the form of the file.
+Generates the key that all balancers share and the token of their API; both are valid for one demo.
+Relies on: `runtime.settings` for the structure of the file.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from sloepond.runtime.settings import ApiSettings, BalancerSettings, KeySettings, PlatformSettings
 
 _KEY_BYTES = 32
-"""Random bytes of the key that balancers share; settings take 16 to 64."""
+"""Random bytes of the key that balancers share; the settings allow 16 to 64."""
 _TOKEN_BYTES = 24
 """Random bytes of the token of the API."""
 
@@ -33,6 +33,7 @@
 class PlannedBalancer(msgspec.Struct, frozen=True):
     """A balancer to be started.
 
+    :ivar file: its settings file.
     :ivar api_url: URL of its operators' API.
     """
 
@@ -49,7 +50,7 @@
 def plan_balancers(
     locations: Sequence[Location], network: LoopbackNetwork, platform_url: str, directory: Path
 ) -> list[PlannedBalancer]:
-    """Write a settings file for a balancer in each location; all share one key and token."""
+    """Write a settings file for one balancer per location; all share one key and one token."""
     key = KeySettings(id=1, secret=secrets.token_hex(_KEY_BYTES))
     token = secrets.token_hex(_TOKEN_BYTES)
     hosts = [FIRST_BALANCER_HOST + index for index in range(len(locations))]
@@ -57,7 +58,7 @@
     planned = []
     for host, location in zip(hosts, locations, strict=True):
         settings = BalancerSettings(
-            name=_name(host),
+            name=_balancer_name(host),
             location=location,
             edge_address=network.address(host, EDGE_PORT),
             backend_address=network.address(host, BACKEND_FACING_PORT),
@@ -75,7 +76,7 @@
 def plan_replacement(
     planned: PlannedBalancer, name: str, host: int, network: LoopbackNetwork, directory: Path
 ) -> PlannedBalancer:
-    """Write a settings file like that of `planned`, for a machine of its own.
+    """Write a settings file with the settings of `planned` and the addresses of another machine.
 
     :param host: host of `network` that no other balancer uses.
     """
@@ -90,7 +91,7 @@
     return _write(settings, directory, f"{name}-{host}")
 
 
-def _name(host: int) -> str:
+def _balancer_name(host: int) -> str:
     return f"balancer-{host - FIRST_BALANCER_HOST + 1}"
 
 
@@ -101,7 +102,7 @@
 
 
 def _without_defaults(settings: msgspec.Struct) -> dict[str, object]:
-    """Return the settings that differ from their defaults, as plain values by name."""
+    """Return the settings that differ from their defaults, as built-in types by name."""
     values: dict[str, object] = {}
     for field in msgspec.structs.fields(settings):
         value = getattr(settings, field.name)
@@ -113,7 +114,10 @@
 
 
 def _toml_table(path: tuple[str, ...], values: dict[str, object]) -> str:
-    """Return the values of a table, then its tables; JSON scalars and lists are TOML too."""
+    """Return the values of a table as TOML, followed by its subtables.
+
+    Scalars are encoded as JSON, which is valid TOML for the types used here.
+    """
     lines = [f"[{'.'.join(path)}]"] if path else []
     tables = []
     for name, value in values.items():
--- a/sloepond/demo/declaration.py
+++ b/sloepond/demo/declaration.py
@@ -1,6 +1,6 @@
-"""The resources of a demo: an example with the addresses of its own network.
+"""The resources of a demo: an example whose back ends have addresses in the demo's network.
 
-Writes the file that the stand-ins and operators' commands read; relies on `resources.loading`.
+Writes the file that the stand-ins and operators' commands read.  Relies on: `resources.loading`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class InvalidExampleError(Exception):
-    """The example's resources have findings."""
+    """The example's resources are invalid; the message lists the findings."""
 
     def __init__(self, findings: Sequence[Finding]) -> None:
         super().__init__("\n".join(map(str, findings)))
@@ -34,34 +34,34 @@
 
 
 class Declaration(msgspec.Struct, frozen=True):
-    """What a demo declares, and the file it is written to."""
+    """The declared configuration of a demo and the file that contains it."""
 
     configuration: CompiledConfiguration
     file: Path
 
 
 def declare(example: Path, network: LoopbackNetwork, directory: Path) -> Declaration:
-    """Write the resources of `example`, moved to `network`, into `directory`.
+    """Write the resources of `example`, with back ends at addresses of `network`, into `directory`.
 
-    :raises InvalidExampleError: where the example has findings.
+    :raises InvalidExampleError: if the example has findings.
     """
     loaded = load_resources([example])
     if loaded.findings:
         raise InvalidExampleError(loaded.findings)
-    resources = _move(loaded.resources, network)
+    resources = _assign_addresses(loaded.resources, network)
     file = directory / RESOURCES_FILE
     file.write_bytes(msgspec.json.encode(ResourceFile(tuple(resources))))
     return Declaration(CompiledConfiguration(make_snapshot(1, resources)), file)
 
 
-def _move(resources: Sequence[Resource], network: LoopbackNetwork) -> list[Resource]:
+def _assign_addresses(resources: Sequence[Resource], network: LoopbackNetwork) -> list[Resource]:
     host = FIRST_BACKEND_HOST
-    moved: list[Resource] = []
+    assigned: list[Resource] = []
     for resource in resources:
         if isinstance(resource, Backend):
             spec = msgspec.structs.replace(resource.spec, address=network.address(host, BACKEND_PORT))
-            moved.append(msgspec.structs.replace(resource, spec=spec))
+            assigned.append(msgspec.structs.replace(resource, spec=spec))
             host += 1
         else:
-            moved.append(resource)
-    return moved
+            assigned.append(resource)
+    return assigned
--- a/sloepond/demo/fleet.py
+++ b/sloepond/demo/fleet.py
@@ -1,8 +1,8 @@
-"""The processes of one demo: stand-ins and balancers, started and waited for.
+"""The processes of one demo: starts stand-ins and balancers and waits for their states.
 
-`Fleet` owns the list of the balancers that are meant to run; the processes belong to the
-`ProcessGroup` it is given.  Every wait is for what the processes say of themselves, not for a
-time, so that a busy machine makes a run slower and not wrong.
+Owns: the list of the balancers that should be running.  Relies on: the `ProcessGroup` it is
+given, which owns the processes.  Every wait polls the reported state of the processes instead of
+sleeping for a fixed time, so that a busy machine makes a run slower but does not change its result.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 STANDIN_MODULE = "sloepond.cli.standin"
 
 START_TIMEOUT_S = 30.0
-"""Seconds all balancers may take to start or to take a generation; not measured."""
+"""Timeout until all balancers have started, or have a generation in force."""
 BUSY_TIMEOUT_S = 60.0
-"""Seconds until so many requests are in progress at a balancer; not measured."""
+"""Timeout until a balancer has a given number of requests in progress."""
 BUSY_INTERVAL_S = 0.03
-"""Seconds between looks at the requests in progress, far below the time that one runs."""
+"""Polling interval of the requests in progress, far below the time that one runs."""
 
 
 class RunningBalancer(msgspec.Struct, frozen=True):
@@ -60,12 +60,12 @@
 
 
 class Fleet:
-    """Stand-ins, a balancer in each hall and access to them.
+    """Stand-ins, one balancer per hall and access to them.
 
     :param example: directory of the resources to start from.
     :param faults: faults of the fabric.
     :param service_s: mean time a request runs at a back end, in seconds.
-    :ivar balancers: balancers that are meant to run, in the order of their start.
+    :ivar balancers: balancers that should be running, in the order of their start.
     """
 
     def __init__(
@@ -106,8 +106,8 @@
         return self.network.address(FABRIC_HOST, FABRIC_PORT)
 
     async def start(self) -> tuple[Member, ...]:
-        """Start everything but clients; return the balancers as the platform lists them."""
-        locations = _halls(self.declaration)
+        """Start everything except clients; return the balancers as the platform lists them."""
+        locations = _hall_locations(self.declaration)
         planned = plan_balancers(locations, self.network, self.platform_url, self.directory)
         self._hosts_used = len(planned)
         await self._start_standins(planned)
@@ -130,13 +130,13 @@
         return await self._group.start("platform", STANDIN_MODULE, arguments)
 
     async def _start_backends(self) -> list[DemoProcess]:
-        """Start a process for each hall, which runs all back ends there."""
+        """Start one process per hall, which runs all back ends of the hall."""
         names_by_hall: dict[str, list[str]] = {}
         for backend in self.declaration.configuration.backends_by_name.values():
             names_by_hall.setdefault(backend.location.hall, []).append(backend.name)
-        return [await self._start_hall(hall, names) for hall, names in sorted(names_by_hall.items())]
+        return [await self._start_hall_backends(hall, names) for hall, names in sorted(names_by_hall.items())]
 
-    async def _start_hall(self, hall: str, names: list[str]) -> DemoProcess:
+    async def _start_hall_backends(self, hall: str, names: list[str]) -> DemoProcess:
         control = self.network.address(BACKENDS_CONTROL_HOST, ANY_PORT)
         arguments = ["backend", "--ordered-flows", "--control", control]
         arguments += ["--resources", str(self.declaration.file), "--names", *names]
@@ -153,7 +153,7 @@
         return await self._group.start("fabric", STANDIN_MODULE, arguments)
 
     async def start_client(self, workload: WorkloadSettings, seed: int) -> DemoProcess:
-        """Start a client that calls all services through the fabric."""
+        """Start a client that sends requests to all services through the fabric."""
         arguments = ["client", "--fabric-address", self._fabric_address]
         arguments += ["--resources", str(self.declaration.file)]
         own_address = self.network.address(CLIENT_HOST, ANY_PORT)
@@ -164,11 +164,11 @@
         return await self._group.start(f"client-{seed}", STANDIN_MODULE, arguments)
 
     async def run_command(self, name: str, arguments: Sequence[str]) -> DemoProcess:
-        """Start an operators' command, `name` being that of its process."""
+        """Start an operators' command in a process called `name`."""
         return await self._group.start(name, CLI_MODULE, arguments)
 
     async def start_balancer(self, planned: PlannedBalancer) -> RunningBalancer:
-        """Start a balancer and add it to `balancers`; it is not yet serving."""
+        """Start a balancer and add it to `balancers`; it is not serving yet on return."""
         name = f"{planned.file.stem}-run-{len(self._group.processes)}"
         process = await self._group.start(name, CLI_MODULE, ["balancer", "--settings", str(planned.file)])
         running = RunningBalancer(planned, process)
@@ -176,16 +176,16 @@
         return running
 
     async def start_replacement(self, replaced: RunningBalancer, name: str) -> RunningBalancer:
-        """Start a balancer with new addresses in the hall of another."""
+        """Start a balancer with new addresses in the hall of `replaced`."""
         host = FIRST_BALANCER_HOST + self._hosts_used
         self._hosts_used += 1
         planned = plan_replacement(replaced.planned, name, host, self.network, self.directory)
         return await self.start_balancer(planned)
 
     async def wait_serving(self) -> None:
-        """Wait until all of `balancers` forward.
+        """Wait until all of `balancers` forward packets.
 
-        :raises ProcessFailedError: where one of them has ended.
+        :raises ProcessFailedError: if one of them has ended.
         """
         await wait_until(self._are_serving, START_TIMEOUT_S, "every balancer to forward")
 
@@ -211,40 +211,40 @@
         return True
 
     async def wait_busy(self, balancer: RunningBalancer, in_flight: int) -> None:
-        """Wait until a balancer has handed so many requests over that are not yet answered."""
+        """Wait until a balancer has at least `in_flight` requests handed over and not yet answered."""
 
         async def is_busy() -> bool:
             status = await self.access.status(balancer.planned)
             return status is not None and status.in_flight >= in_flight
 
-        what = f"{in_flight} requests in progress at {balancer.name}"
-        await wait_until(is_busy, BUSY_TIMEOUT_S, what, BUSY_INTERVAL_S)
+        description = f"{in_flight} requests in progress at {balancer.name}"
+        await wait_until(is_busy, BUSY_TIMEOUT_S, description, BUSY_INTERVAL_S)
 
     async def list_machines(self) -> tuple[Member, ...]:
-        """Write `balancers` into the platform's list of machines; the fabric reads it late."""
+        """Write `balancers` to the platform's list of machines, which the fabric polls."""
         members = []
         for balancer in self.balancers:
             status = await self.access.status(balancer.planned)
             if status is None:
-                raise ProcessFailedError(f"{balancer.name} does not answer any more")
+                raise ProcessFailedError(f"{balancer.name} no longer responds")
             members.append(member_of(balancer.planned, status))
         await self.access.write_machines(self.platform_url, tuple(members))
         return tuple(members)
 
     async def set_fabric_targets(self, balancers: Sequence[RunningBalancer]) -> None:
-        """Let the fabric know just these balancers, by their present addresses."""
+        """Make the fabric send to exactly these balancers, at their current addresses."""
         targets = (Balancer(item.name, item.planned.settings.edge_address) for item in balancers)
         await self.access.set_balancers(self._fabric_url, tuple(targets))
 
     async def executions(self) -> tuple[Execution, ...]:
-        """Return what all back ends executed."""
+        """Return the executions of all back ends."""
         executions: list[Execution] = []
         for url in self._backend_urls:
             executions += (await self.access.executions(url)).executions
         return tuple(executions)
 
     async def flows_opened_at(self, backend: str) -> int:
-        """Return how many flows a back end has opened, by its own count."""
+        """Return the number of flows opened at a back end, as counted by the back end."""
         for url in self._backend_urls:
             for status in (await self.access.backends(url)).backends:
                 if status.name == backend:
@@ -252,8 +252,8 @@
         raise ProcessFailedError(f"no process runs {backend}")
 
 
-def _halls(declaration: Declaration) -> list[Location]:
-    """Return the location of each hall that has back ends, sorted."""
+def _hall_locations(declaration: Declaration) -> list[Location]:
+    """Return the locations of all halls with back ends, sorted by hall."""
     backends = declaration.configuration.backends_by_name.values()
     locations = {backend.location.hall: backend.location for backend in backends}
     return [locations[hall] for hall in sorted(locations)]
--- a/sloepond/demo/fleet_access.py
+++ b/sloepond/demo/fleet_access.py
@@ -1,7 +1,7 @@
-"""Asking the demo's processes over HTTP, and waiting for what they say.
+"""HTTP access to the demo's processes, and polling of conditions.
 
-Holds no state but the HTTP client.  Relies on the operators' API of the balancers and on the
-control interfaces of the stand-ins.
+Owns: no state.  Relies on: an HTTP client, the operators' API of the balancers and the control
+interfaces of the stand-ins.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sloepond.core.messages import Member
 from sloepond.core.status import BalancerState, NodeStatus
 from sloepond.demo.balancer_settings import PlannedBalancer
-from sloepond.demo.processor_wait import LONGEST_FACTOR, ProcessorWait
+from sloepond.demo.processor_wait import MAXIMUM_TIMEOUT_FACTOR, ProcessorWait
 from sloepond.resources.model import ConfigurationSnapshot
 from sloepond.standins.backend import BACKENDS_PATH, EXECUTIONS_PATH, BackendList, ExecutionLog
 from sloepond.standins.caller_report import CallerProgress
@@ -35,12 +35,12 @@
 )
 
 POLL_INTERVAL_S = 0.2
-"""Seconds between two looks at a condition that is waited for."""
+"""Default polling interval of a condition."""
 STEP_TIMEOUT_S = 60.0
-"""Seconds one step of a demo or scenario may take on a busy machine; not measured."""
+"""Timeout of one step of a demo or scenario, long enough for a busy machine."""
 METRICS_PATH = "/metrics"
 
-_COUNTER = re.compile(r"^sloepond_(\w+)_total (\S+)$", re.MULTILINE)
+_COUNTER_PATTERN = re.compile(r"^sloepond_(\w+)_total (\S+)$", re.MULTILINE)
 
 _Content = TypeVar("_Content")
 
@@ -48,14 +48,14 @@
 class FleetAccess:
     """HTTP access to the processes of one demo.
 
-    :param http: client without a base URL; closed by whoever made it.
+    :param http: client without a base URL; not closed here.
     """
 
     def __init__(self, http: httpx.AsyncClient) -> None:
         self._http = http
 
     async def is_ready(self, url: str) -> bool:
-        """Return whether the process at `url` says it is ready."""
+        """Return whether the process at `url` reports that it is ready."""
         try:
             response = await self._http.get(url + READY_PATH)
         except httpx.HTTPError:
@@ -63,17 +63,17 @@
         return response.is_success
 
     async def status(self, balancer: PlannedBalancer) -> NodeStatus | None:
-        """Return the status of a balancer, None where it does not answer."""
-        response = await self._ask_balancer(balancer, STATUS_PATH)
+        """Return the status of a balancer, None if it does not respond."""
+        response = await self._get_from_balancer(balancer, STATUS_PATH)
         return None if response is None else msgspec.json.decode(response.content, type=NodeStatus)
 
     async def counters(self, balancer: PlannedBalancer) -> dict[str, int]:
-        """Return the counters of a balancer by name, none where it does not answer."""
-        response = await self._ask_balancer(balancer, METRICS_PATH)
-        found = _COUNTER.findall(response.text) if response is not None else []
+        """Return the counters of a balancer by name, an empty dictionary if it does not respond."""
+        response = await self._get_from_balancer(balancer, METRICS_PATH)
+        found = _COUNTER_PATTERN.findall(response.text) if response is not None else []
         return {name: int(float(value)) for name, value in found}
 
-    async def _ask_balancer(self, balancer: PlannedBalancer, path: str) -> httpx.Response | None:
+    async def _get_from_balancer(self, balancer: PlannedBalancer, path: str) -> httpx.Response | None:
         token = balancer.settings.api.write_tokens[0]
         headers = {"authorization": f"Bearer {token}"}
         try:
@@ -83,11 +83,11 @@
         return response if response.is_success else None
 
     async def progress(self, client_url: str) -> CallerProgress:
-        """Return how far the client has come."""
+        """Return the progress of a client."""
         return await self._read(client_url + PROGRESS_PATH, CallerProgress)
 
     async def executions(self, backend_url: str) -> ExecutionLog:
-        """Return all that the back ends of one process executed."""
+        """Return the executions of all back ends of one process."""
         return await self._read(backend_url + EXECUTIONS_PATH, ExecutionLog)
 
     async def write_machines(self, platform_url: str, members: tuple[Member, ...]) -> None:
@@ -99,15 +99,15 @@
         return await self._read(backend_url + BACKENDS_PATH, BackendList)
 
     async def configuration(self, platform_url: str) -> ConfigurationSnapshot:
-        """Return the configuration that the platform gives."""
+        """Return the configuration that the platform returns to reads."""
         return await self._read(platform_url + CONFIGURATION_PATH, ConfigurationSnapshot)
 
     async def set_mode(self, platform_url: str, mode: ModeRequest) -> None:
-        """Let the platform fail, or work again."""
+        """Set the working state of the platform."""
         await self._write(platform_url + MODE_PATH, mode)
 
     async def set_balancers(self, fabric_url: str, balancers: tuple[Balancer, ...]) -> None:
-        """Replace the balancers the fabric knows."""
+        """Replace the fabric's list of balancers."""
         await self._write(fabric_url + BALANCERS_PATH, BalancerList(balancers))
 
     async def _write(self, url: str, content: msgspec.Struct) -> None:
@@ -127,28 +127,31 @@
 
 
 def is_serving(status: NodeStatus | None) -> bool:
-    """Return whether a balancer forwards: it is active and has a generation in force."""
+    """Return whether a balancer forwards packets: it is active and has a generation in force."""
     return status is not None and status.generation > 0 and status.state == BalancerState.ACTIVE
 
 
 async def wait_until(
     condition: Callable[[], Awaitable[bool]],
     timeout_s: float,
-    what: str,
+    description: str,
     interval_s: float = POLL_INTERVAL_S,
 ) -> None:
     """Poll every `interval_s` until `condition` holds.
 
-    :param timeout_s: seconds it may take, without those in which the processes waited for a processor.
-    :raises TimeoutError: naming `what`, where it does not hold in time.
+    :param timeout_s: timeout in seconds, not counting the time in which processes waited for a processor.
+    :param description: what is waited for, as shown in the error message.
+    :raises TimeoutError: if the condition does not hold in time.
     """
-    waited = ProcessorWait()
+    processor_wait = ProcessorWait()
     left_s = timeout_s
-    with trio.move_on_after(LONGEST_FACTOR * timeout_s):
+    with trio.move_on_after(MAXIMUM_TIMEOUT_FACTOR * timeout_s):
         while left_s > 0.0:
-            began_at = trio.current_time()
+            started_at = trio.current_time()
             if await condition():
                 return
             await trio.sleep(interval_s)
-            left_s -= max(0.0, trio.current_time() - began_at - waited.take())
-    raise TimeoutError(f"after {timeout_s:g} s of processor time: no {what}")
+            left_s -= max(0.0, trio.current_time() - started_at - processor_wait.wait_since_last_call())
+    raise TimeoutError(
+        f"timed out after {timeout_s:g} s, not counting waits for a processor, waiting for {description}"
+    )
--- a/sloepond/demo/operators.py
+++ b/sloepond/demo/operators.py
@@ -1,6 +1,6 @@
-"""Operators' commands, each run as a process of its own against the platform of a demo.
+"""Runs operators' commands, each in its own process, against the platform of a demo.
 
-Holds no state; the processes belong to the fleet's group.
+Stateless.  Relies on: the fleet's process group, which owns the processes.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from sloepond.standins.checking import Departure
 
 COMMAND_TIMEOUT_S = 60.0
-"""Seconds a command may take on a busy machine; not measured."""
+"""Timeout of a command, long enough for a busy machine."""
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """How a command ended; `errors` are the lines of its standard error."""
+    """Result of a command; `errors` are the lines of its standard error."""
 
     name: str
     exit_code: int
@@ -34,7 +34,7 @@
     async def has_ended() -> bool:
         return not process.is_running
 
-    await wait_until(has_ended, COMMAND_TIMEOUT_S, f"end of {process.name}")
+    await wait_until(has_ended, COMMAND_TIMEOUT_S, f"the end of {process.name}")
     return CommandResult(process.name, await process.wait(), tuple(process.log_lines()))
 
 
@@ -51,11 +51,11 @@
 
 
 async def drain(fleet: Fleet, backend: str) -> Departure:
-    """Drain a back end; it may get new flows for a few seconds.
+    """Drain a back end; it may receive new flows for a few seconds after this returns.
 
-    :raises ProcessFailedError: where the command is refused.
+    :raises ProcessFailedError: if the command fails.
     """
     result = await finish(await start_drain(fleet, backend, fleet.platform_url))
     if result.exit_code != 0:
-        raise ProcessFailedError(f"drain ended with {result.exit_code}: {result.errors}")
+        raise ProcessFailedError(f"drain of {backend} exited with {result.exit_code}: {result.errors}")
     return Departure(backend, monotonic_seconds())
--- a/sloepond/demo/probes/__init__.py
+++ b/sloepond/demo/probes/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios of real processes under failure, with callers running all the time."""
+"""Failure scenarios with real processes under continuous load from callers."""
--- a/sloepond/demo/probes/generation_watch.py
+++ b/sloepond/demo/probes/generation_watch.py
@@ -1,6 +1,6 @@
-"""Generations in force at every balancer, in the order they were seen.
+"""Records the generations in force at every balancer, in the order observed.
 
-Owns the sequence of each process and relies on the status that balancers give of themselves.
+Owns: the sequence of each process.  Relies on: the status reports of the balancers.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from sloepond.demo.fleet import Fleet
 
 _INTERVAL_S = 0.1
-"""Seconds between looks at all balancers, short against the life of a generation."""
+"""Polling interval of all balancers, short compared with the time a generation is in force."""
 
 
 class ProcessKey(msgspec.Struct, frozen=True):
-    """A balancer's process."""
+    """Identifies one process of a balancer."""
 
     name: str
     pid: int
 
 
 class GenerationWatch:
-    """Polls the status of all balancers that are meant to run.
+    """Polls the status of all balancers that should be running.
 
-    :ivar sequences: generations of each process, each change once.
+    :ivar sequences: generations of each process, without consecutive duplicates.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -37,20 +37,20 @@
             for balancer in list(self._fleet.balancers):
                 status = await self._fleet.access.status(balancer.planned)
                 if status is not None:
-                    self._note(ProcessKey(balancer.name, balancer.process.pid), status.generation)
+                    self._record(ProcessKey(balancer.name, balancer.process.pid), status.generation)
             await trio.sleep(_INTERVAL_S)
 
-    def _note(self, key: ProcessKey, generation: int) -> None:
+    def _record(self, key: ProcessKey, generation: int) -> None:
         sequence = self.sequences.setdefault(key, [])
         if not sequence or sequence[-1] != generation:
             sequence.append(generation)
 
     def reverts(self) -> list[str]:
-        """Return the processes whose generation went back, with their sequences."""
+        """Return the processes whose generation decreased, with their sequences."""
         return [_describe(key, seen) for key, seen in self.sequences.items() if seen != sorted(seen)]
 
     def older_than(self, generation: int, known: frozenset[ProcessKey]) -> list[str]:
-        """Return processes not in `known` that had something older than `generation` in force."""
+        """Return the processes not in `known` that had a generation older than `generation` in force."""
         return [
             _describe(key, seen)
             for key, seen in self.sequences.items()
--- a/sloepond/demo/probes/held_reads.py
+++ b/sloepond/demo/probes/held_reads.py
@@ -1,6 +1,6 @@
-"""A way to the platform that holds reads back, so that a writer works from an old one.
+"""A proxy to the platform that delays reads, so that a command writes from an outdated read.
 
-Owns whether the first read is still held; everything else passes through unchanged.
+Owns: whether reads are still delayed.  Requests and responses are forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 from sloepond.standins.platform import CONFIGURATION_PATH
 
 
-class HeldReads:
-    """Passes requests on to the platform; the first read is answered once `release` is called.
+class DelayedReadProxy:
+    """Forwards requests to the platform; reads are answered once `release` is called.
 
+    :param http: client for the requests to the platform.
     :param platform_url: URL of the platform.
     """
 
@@ -27,11 +28,11 @@
         self._has_read = trio.Event()
         self._is_released = trio.Event()
         self.application = make_application(
-            [Route(CONFIGURATION_PATH, self._pass_on, methods=["GET", "PUT"])]
+            [Route(CONFIGURATION_PATH, self._forward, methods=["GET", "PUT"])]
         )
 
     async def run(self, address: str, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; `started` gives the URL."""
+        """Serve until cancelled; the started value is the URL."""
         await serve_http(self.application, address, task_status)
 
     async def wait_read(self) -> None:
@@ -39,10 +40,10 @@
         await self._has_read.wait()
 
     def release(self) -> None:
-        """Let the answer of the first read through."""
+        """Return the delayed responses; later reads are not delayed."""
         self._is_released.set()
 
-    async def _pass_on(self, request: Request) -> Response:
+    async def _forward(self, request: Request) -> Response:
         body = await request.body()
         url = self._platform_url + CONFIGURATION_PATH
         answer = await self._http.request(
--- a/sloepond/demo/probes/load.py
+++ b/sloepond/demo/probes/load.py
@@ -1,7 +1,7 @@
-"""Callers that run through the fabric for as long as a scenario takes.
+"""Load from callers through the fabric for the duration of a scenario.
 
-Clients are started in waves that overlap, each a process of its own, so the load
-lasts however slowly the machine goes through the steps of the scenario.
+Clients are started in overlapping waves, each in its own process, so that the load
+continues however long the steps of the scenario take.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 class Load:
     """Waves of callers.
 
-    :param wave: what the callers of one wave do.
-    :ivar flows: flows of the waves that have ended.
+    :param wave: workload of one wave.
+    :param seed: seed of the first wave; each further wave uses the next integer.
+    :ivar flows: records of the flows of the waves that have ended.
     """
 
     def __init__(self, fleet: Fleet, wave: WorkloadSettings, seed: int) -> None:
@@ -36,11 +37,11 @@
 
     @property
     def started(self) -> int:
-        """Flows started so far, in all waves."""
+        """Number of flows started so far, in all waves."""
         return self._started_before + self._started
 
     def finish(self) -> None:
-        """Start no more waves; `run` returns when the present ones have ended."""
+        """Start no more waves; `run` returns when the current ones have ended."""
         self._is_finished = True
 
     async def run(self) -> None:
@@ -54,14 +55,14 @@
                 await self._wait_until_opened(url)
                 seed += 1
 
-    async def wait_for_flows(self, more: int) -> None:
-        """Wait until `more` flows have started from now on."""
-        wanted = self.started + more
+    async def wait_for_flows(self, count: int) -> None:
+        """Wait until `count` further flows have started."""
+        wanted = self.started + count
 
         async def are_started() -> bool:
             return self.started >= wanted
 
-        await wait_until(are_started, STEP_TIMEOUT_S, f"{more} more flows started")
+        await wait_until(are_started, STEP_TIMEOUT_S, f"{count} more flows to start")
 
     async def _wait_until_opened(self, client_url: str) -> None:
         """Wait until all flows of a wave have started."""
--- a/sloepond/demo/probes/malformed_input.py
+++ b/sloepond/demo/probes/malformed_input.py
@@ -1,6 +1,6 @@
-"""Malformed, truncated, oversized and unauthenticated datagrams, at a bounded rate, on loopback.
+"""Scenario: malformed, truncated, oversized and unauthenticated datagrams at a limited rate.
 
-Relies on the balancers' own counters and on the kernel's drops of each socket to check that
+Relies on: the balancers' counters and the kernel's drop counter of each socket, to check that
 every datagram was counted.
 """
 
@@ -34,38 +34,38 @@
 from sloepond.wire.edge import MAXIMUM_PACKET_BYTES, encode_packet
 
 DATAGRAMS_PER_SOCKET = 1_500
-"""Datagrams each socket of each balancer is sent."""
+"""Datagrams sent to each socket of each balancer."""
 DATAGRAMS_PER_BURST = 30
 BURST_PAUSE_S = 0.01
-"""At most 3,000 datagrams a second in all."""
+"""Pause between bursts; limits the rate to 3,000 datagrams per second in total."""
 
 COUNT_TIMEOUT_S = 15.0
-"""Seconds until a balancer has counted all datagrams; not measured."""
+"""Timeout until a balancer has counted all datagrams."""
 SEED = 1
-"""Seed of the bytes sent."""
+"""Seed of the random datagrams."""
 _FLOWS_BETWEEN_STEPS = 10
-"""Flows that start between two steps, so that every step meets traffic."""
-_COUNTED = ("input_malformed", "input_oversized", "input_unauthenticated")
-_SOCKETS = Path("/proc/net/udp")
+"""Flows that start between two steps, so that every step takes place under traffic."""
+_INPUT_COUNTERS = ("input_malformed", "input_oversized", "input_unauthenticated")
+_UDP_SOCKETS_FILE = Path("/proc/net/udp")
 _OVERSIZED_BYTES = 2 * MAXIMUM_PACKET_BYTES
 _NOT_MESSAGEPACK = b"\xc1"
-"""A first byte that no encoder writes."""
+"""The first byte 0xc1 is never used in MessagePack."""
 
-MakeDatagram = Callable[[random.Random], bytes]
+DatagramGenerator = Callable[[random.Random], bytes]
 
 
 class _Target(msgspec.Struct, frozen=True):
-    """One socket of a balancer and the datagrams it is sent."""
+    """One socket of a balancer, the datagrams sent to it and the counters they must increment."""
 
     balancer: RunningBalancer
     socket_name: str
     address: str
-    makers: tuple[MakeDatagram, ...]
+    generators: tuple[DatagramGenerator, ...]
     counters: tuple[str, ...]
 
 
 async def malformed_input(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Send garbage to each socket of each balancer, one after the other."""
+    """Send invalid datagrams to each socket of each balancer in turn."""
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     checks: list[Check] = []
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -74,16 +74,16 @@
         sender.bind((parse_address(fleet.network.address(CLIENT_HOST, 0))[0], 0))
         for balancer in fleet.balancers:
             for target in _targets(balancer):
-                checks += await _attack(fleet, target, sender)
+                checks += await _check_target(fleet, target, sender)
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     return ProbeOutcome(tuple(checks))
 
 
 def _targets(balancer: RunningBalancer) -> list[_Target]:
     settings = balancer.planned.settings
-    edge = (_noise, _oversized, functools.partial(_truncated, _caller_packet()))
-    backend = (_noise, _oversized, functools.partial(_truncated, _backend_reply()))
-    peer = (_noise, _oversized, functools.partial(_forged, settings.peer_address))
+    edge = (_undecodable, _oversized, functools.partial(_truncated, _caller_packet()))
+    backend = (_undecodable, _oversized, functools.partial(_truncated, _backend_reply()))
+    peer = (_undecodable, _oversized, functools.partial(_forged, settings.peer_address))
     by_size = ("input_malformed", "input_oversized")
     return [
         _Target(balancer, "edge", settings.edge_address, edge, by_size),
@@ -92,38 +92,41 @@
     ]
 
 
-async def _attack(fleet: Fleet, target: _Target, sender: socket.socket) -> list[Check]:
+async def _check_target(fleet: Fleet, target: _Target, sender: socket.socket) -> list[Check]:
     before = await fleet.access.counters(target.balancer.planned)
     dropped_before = _kernel_drops(target.address)
     sent = await _send(target, sender)
 
     async def counted() -> int:
         now = await fleet.access.counters(target.balancer.planned)
-        return sum(now.get(name, 0) - before.get(name, 0) for name in _COUNTED)
+        return sum(now.get(name, 0) - before.get(name, 0) for name in _INPUT_COUNTERS)
 
     async def all_are_counted() -> bool:
         return await counted() + _kernel_drops(target.address) - dropped_before >= sent
 
-    what = f"{target.balancer.name} {target.socket_name}"
+    socket_label = f"{target.balancer.name} {target.socket_name}"
     with contextlib.suppress(TimeoutError):
-        await wait_until(all_are_counted, COUNT_TIMEOUT_S, f"count of {sent} datagrams at {what}")
+        await wait_until(
+            all_are_counted, COUNT_TIMEOUT_S, f"{sent} datagrams to be counted at {socket_label}"
+        )
     after = await fleet.access.counters(target.balancer.planned)
     total = await counted()
     dropped = _kernel_drops(target.address) - dropped_before
     is_kept = 0 < total <= sent <= total + dropped
     measured = f"{total} of {sent}, {dropped} dropped by the kernel"
     grown = [
-        expect_some(f"{what}: {name}", after.get(name, 0) - before.get(name, 0)) for name in target.counters
+        expect_some(f"{socket_label}: {name}", after.get(name, 0) - before.get(name, 0))
+        for name in target.counters
     ]
-    return [Check(f"{what}: datagrams counted", measured, is_kept), *grown]
+    return [Check(f"{socket_label}: datagrams counted", measured, is_kept), *grown]
 
 
 async def _send(target: _Target, sender: socket.socket) -> int:
-    """Send the datagrams of a target and return how many the kernel took."""
-    chooser = random.Random(SEED)
+    """Send the datagrams of a target and return how many the kernel accepted."""
+    random_source = random.Random(SEED)
     sent = 0
     for number in range(DATAGRAMS_PER_SOCKET):
-        datagram = target.makers[number % len(target.makers)](chooser)
+        datagram = target.generators[number % len(target.generators)](random_source)
         try:
             sender.sendto(datagram, parse_address(target.address))
             sent += 1
@@ -134,23 +137,23 @@
     return sent
 
 
-def _noise(chooser: random.Random) -> bytes:
-    return _NOT_MESSAGEPACK + chooser.randbytes(chooser.randint(0, 200))
+def _undecodable(random_source: random.Random) -> bytes:
+    return _NOT_MESSAGEPACK + random_source.randbytes(random_source.randint(0, 200))
 
 
-def _oversized(chooser: random.Random) -> bytes:
-    return chooser.randbytes(_OVERSIZED_BYTES)
+def _oversized(random_source: random.Random) -> bytes:
+    return random_source.randbytes(_OVERSIZED_BYTES)
 
 
-def _truncated(datagram: bytes, chooser: random.Random) -> bytes:
-    return datagram[: chooser.randint(0, len(datagram) - 1)]
+def _truncated(datagram: bytes, random_source: random.Random) -> bytes:
+    return datagram[: random_source.randint(0, len(datagram) - 1)]
 
 
-def _forged(recipient: str, chooser: random.Random) -> bytes:
-    """Return a whole datagram of a member, sealed with a key of our own."""
+def _forged(recipient: str, random_source: random.Random) -> bytes:
+    """Return a datagram in the name of a balancer, sealed with a key that the balancers do not have."""
     key = KeyRing((Key(1, secrets.token_bytes(32)),))
-    sealed = Authenticator(key, "balancer-1", chooser.getrandbits(40), recipient)
-    return sealed.seal(chooser.randbytes(64), recipient)
+    sealed = Authenticator(key, "balancer-1", random_source.getrandbits(40), recipient)
+    return sealed.seal(random_source.randbytes(64), recipient)
 
 
 def _caller_packet() -> bytes:
@@ -166,8 +169,8 @@
 
 
 def _kernel_drops(address: str) -> int:
-    """Return how many datagrams the kernel dropped at a full buffer of a local socket."""
+    """Return how many datagrams the kernel dropped because the receive buffer of a socket was full."""
     host, port = parse_address(address)[:2]
     name = f"{int.from_bytes(socket.inet_aton(host), 'little'):08X}:{port:04X}"
-    lines = (line.split() for line in _SOCKETS.read_text(encoding="ascii").splitlines()[1:])
+    lines = (line.split() for line in _UDP_SOCKETS_FILE.read_text(encoding="ascii").splitlines()[1:])
     return sum(int(fields[-1]) for fields in lines if fields[1] == name)
--- a/sloepond/demo/probes/outcome.py
+++ b/sloepond/demo/probes/outcome.py
@@ -1,7 +1,6 @@
-"""What a scenario showed, and whether each promise was kept.
+"""Result of a scenario and the checks that decide whether every promise was kept.
 
-Holds no state; relies on `standins.checking` for the promises and on the counters of the
-balancers.
+Stateless.  Relies on: `standins.checking` for the promises and the counters of the balancers.
 """
 
 from __future__ import annotations
@@ -15,15 +14,15 @@
 from sloepond.standins.checking import Departure, Evidence, Promise, check_promises
 
 MAXIMUM_DETAILS = 5
-"""Findings of one promise that are shown."""
+"""Maximum number of findings shown per promise, and of unknown outcomes shown."""
 HANDLER_FAILURES = "handler_failures"
-_ENDED_WITHOUT_WORD = (RequestOutcome.SILENT, RequestOutcome.PENDING, RequestOutcome.ABANDONED)
+_UNANSWERED_OUTCOMES = (RequestOutcome.SILENT, RequestOutcome.PENDING, RequestOutcome.ABANDONED)
 
 
 class Check(msgspec.Struct, frozen=True):
-    """One thing that must hold.
+    """One condition that must hold.
 
-    :ivar measured: what was found, as text.
+    :ivar measured: the measured value, as text.
     """
 
     name: str
@@ -32,16 +31,16 @@
 
 
 class ProbeOutcome(msgspec.Struct, frozen=True):
-    """What the steps of a scenario gave, besides the evidence of callers and back ends."""
+    """Results of the steps of a scenario, in addition to the evidence of callers and back ends."""
 
     checks: tuple[Check, ...] = ()
     departures: tuple[Departure, ...] = ()
 
 
 class ProbeResult(msgspec.Struct, frozen=True):
-    """A scenario that ran to its end.
+    """Result of a completed scenario.
 
-    :ivar notes: what is counted and is no promise, as lines.
+    :ivar notes: lines with counts that no check covers.
     """
 
     scenario: str
@@ -55,17 +54,17 @@
 
 
 def expect_equal(name: str, measured: object, expected: object) -> Check:
-    """Return a check that `measured` is `expected`."""
+    """Return a check that `measured` equals `expected`."""
     return Check(name, f"{measured} (must be {expected})", measured == expected)
 
 
 def expect_some(name: str, measured: int) -> Check:
-    """Return a check that a count is above zero, so that the scenario has shown something."""
+    """Return a check that a count is above zero, so that a scenario without effect is not accepted."""
     return Check(name, f"{measured} (must be above 0)", measured > 0)
 
 
 def check_evidence(evidence: Evidence) -> tuple[Check, ...]:
-    """Compare callers with back ends; every promise gives a check."""
+    """Return one check per promise, and checks that callers received replies."""
     broken = check_promises(evidence)
     checks = []
     for promise in Promise:
@@ -73,24 +72,24 @@
         shown = "; ".join(details[:MAXIMUM_DETAILS])
         checks.append(Check(promise, f"{len(details)} broken {shown}".rstrip(), not details))
     outcomes = count_outcomes(evidence.flows)
-    silent = sum(outcomes[outcome] for outcome in _ENDED_WITHOUT_WORD)
+    silent = sum(outcomes[outcome] for outcome in _UNANSWERED_OUTCOMES)
     unopened = count_states(evidence.flows)[FlowState.UNOPENED]
     return (
         *checks,
-        expect_equal("requests without an answer of any kind", silent, 0),
-        expect_equal("flows that were told nothing", unopened, 0),
+        expect_equal("requests without any reply", silent, 0),
+        expect_equal("flows without any reply", unopened, 0),
         expect_some("requests answered", outcomes[RequestOutcome.ANSWERED]),
     )
 
 
-def check_nothing_cut(evidence: Evidence) -> Check:
-    """Return a check that no request lost its outcome, as planned changes promise."""
+def check_no_unknown_outcomes(evidence: Evidence) -> Check:
+    """Return a check that no request has an unknown outcome, as guaranteed for planned changes."""
     unknown = count_outcomes(evidence.flows)[RequestOutcome.UNKNOWN]
     return expect_equal("requests with outcome unknown", unknown, 0)
 
 
 async def check_processes(fleet: Fleet) -> tuple[Check, ...]:
-    """Check that every balancer that is meant to run does, without faults."""
+    """Check that every balancer that should be running is, without handler failures."""
     ended = [item.name for item in fleet.balancers if not item.process.is_running]
     checks = [expect_equal("balancers that ended", ", ".join(ended) or "none", "none")]
     for balancer in fleet.balancers:
@@ -101,7 +100,7 @@
 
 
 def describe_evidence(evidence: Evidence) -> tuple[str, ...]:
-    """Return counts of what callers were told, as lines."""
+    """Return lines with counts of flow states and request outcomes, and details of unknown outcomes."""
     flows = evidence.flows
     requests = all_requests(flows)
     states = ", ".join(f"{count} {state}" for state, count in count_states(flows).most_common())
--- a/sloepond/demo/probes/pause.py
+++ b/sloepond/demo/probes/pause.py
@@ -1,4 +1,4 @@
-"""A balancer stands still while a back end is drained, and wakes late."""
+"""Scenario: a balancer is paused while a back end is drained, and resumes later."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from sloepond.standins.checking import NEW_WORK_GRACE_S
 
 PAUSE_S = 8.0
-"""Time the balancer stands still after the drain, longer than `NEW_WORK_GRACE_S`."""
+"""Time for which the balancer stays paused after the drain, longer than `NEW_WORK_GRACE_S`."""
 
 DRAINED = "playback-3"
-_PAUSED = 0
-"""Index of the balancer that stands still."""
-_IN_PROGRESS = 3
-"""Requests in progress at the balancer when it is stopped."""
+_PAUSED_INDEX = 0
+"""Index of the balancer that is paused."""
+_REQUESTS_IN_PROGRESS = 3
+"""Requests in progress at the balancer when it is paused."""
 
 _FLOWS_BETWEEN_STEPS = 15
-"""Flows that start between two steps, so that every step meets traffic."""
+"""Flows that start between two steps, so that every step takes place under traffic."""
 
 assert PAUSE_S > NEW_WORK_GRACE_S
 
 
 async def pause(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Stop a balancer with SIGSTOP, drain a back end, wake the balancer and go on.
+    """Pause a balancer with SIGSTOP, drain a back end and resume the balancer.
 
-    The list of machines drops the balancer while it stands still and has it again just before
-    it wakes, so that it gets packets while it still knows nothing of the drain.
+    The balancer is removed from the list of machines while it is paused and added again just
+    before it resumes, so that it receives packets before it has received the drain.
     """
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     members = await fleet.list_machines()
-    paused = fleet.balancers.pop(_PAUSED)
-    await fleet.wait_busy(paused, _IN_PROGRESS)
+    paused = fleet.balancers.pop(_PAUSED_INDEX)
+    await fleet.wait_busy(paused, _REQUESTS_IN_PROGRESS)
     paused.process.pause()
     departure = await operators.drain(fleet, DRAINED)
     await fleet.wait_serving()
@@ -51,7 +51,7 @@
     counters = await fleet.access.counters(paused.planned)
     opened_later = await fleet.flows_opened_at(DRAINED) - opened
     checks = (
-        expect_equal(f"flows {DRAINED} opened after the wake", opened_later, 0),
-        expect_some("stalls the woken balancer noticed", counters.get("stalls_detected", 0)),
+        expect_equal(f"flows opened at {DRAINED} after the resume", opened_later, 0),
+        expect_some("stalls detected by the resumed balancer", counters.get("stalls_detected", 0)),
     )
     return ProbeOutcome(checks, (departure,))
--- a/sloepond/demo/probes/racing_operators.py
+++ b/sloepond/demo/probes/racing_operators.py
@@ -1,4 +1,4 @@
-"""Two operators change the configuration at the same time."""
+"""Scenario: two operators change the configuration at the same time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from sloepond.demo.fleet import Fleet
 from sloepond.demo.fleet_access import STEP_TIMEOUT_S
 from sloepond.demo.operators import CommandResult
-from sloepond.demo.probes.held_reads import HeldReads
+from sloepond.demo.probes.held_reads import DelayedReadProxy
 from sloepond.demo.probes.load import Load
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal
 from sloepond.demo.processes import DemoProcess
@@ -25,15 +25,15 @@
 from sloepond.standins.checking import Departure
 
 _FLOWS_BETWEEN_STEPS = 10
-"""Flows that start between two steps, so that every step meets traffic."""
+"""Flows that start between two steps, so that every step takes place under traffic."""
 _CONFLICT = "the configuration has changed since generation"
 
 StartCommand = Callable[[str], Awaitable[DemoProcess]]
-"""Starts a command that takes the platform to be at the URL."""
+"""Starts a command that uses the platform at the given URL."""
 
 
 class Race(msgspec.Struct, frozen=True):
-    """How two commands ended of which `late` had read before `early` wrote."""
+    """Results of two commands, of which `late` had read the configuration before `early` wrote it."""
 
     late: CommandResult
     early: CommandResult
@@ -42,7 +42,7 @@
 
 
 async def racing_operators(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Race apply with apply, drain with apply and drain with drain; the late one loses."""
+    """Race apply with apply, drain with apply and drain with drain; the later write must be refused."""
     checks: list[Check] = []
     files = [_write_variant(fleet, number) for number in range(3)]
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
@@ -61,14 +61,14 @@
     for name, late, early in races:
         checks += check_race(name, await _race(fleet, late, early))
     drained_at = monotonic_seconds()
-    checks += await _race_freely(fleet)
+    checks += await _run_concurrent_drains(fleet)
     await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
     checks += await _check_agreement(fleet)
     return ProbeOutcome(tuple(checks), (Departure("playback-3", drained_at),))
 
 
 def _write_variant(fleet: Fleet, number: int) -> Path:
-    """Write the declared resources with limits of their own."""
+    """Write the declared resources with service limits that are unique to `number`."""
     changed: list[Resource] = []
     for resource in fleet.declaration.configuration.snapshot.resources:
         if isinstance(resource, Service):
@@ -83,25 +83,25 @@
 
 
 async def _race(fleet: Fleet, late: StartCommand, early: StartCommand) -> Race:
-    """Let `late` read, then `early` read and write, then `late` write.
+    """Run two commands that both read before either writes; `early` writes first.
 
-    Both commands are started before: a command gives a read up after three seconds, and
-    starting one takes as long where the machine is busy.
+    Both processes are started before any read is answered: a command times out a read after
+    three seconds, and on a busy machine starting a command takes as long.
     """
     before = await fleet.access.configuration(fleet.platform_url)
     async with httpx.AsyncClient(trust_env=False) as http, trio.open_nursery() as nursery:
-        held_early = HeldReads(http, fleet.platform_url)
-        early_url = await nursery.start(held_early.run, fleet.network.address(CLIENT_HOST, ANY_PORT))
-        held_late = HeldReads(http, fleet.platform_url)
-        late_url = await nursery.start(held_late.run, fleet.network.address(CLIENT_HOST, ANY_PORT))
+        early_proxy = DelayedReadProxy(http, fleet.platform_url)
+        early_url = await nursery.start(early_proxy.run, fleet.network.address(CLIENT_HOST, ANY_PORT))
+        late_proxy = DelayedReadProxy(http, fleet.platform_url)
+        late_url = await nursery.start(late_proxy.run, fleet.network.address(CLIENT_HOST, ANY_PORT))
         early_process = await early(early_url)
         late_process = await late(late_url)
         with trio.fail_after(STEP_TIMEOUT_S):
-            await held_late.wait_read()
-            await held_early.wait_read()
-        held_early.release()
+            await late_proxy.wait_read()
+            await early_proxy.wait_read()
+        early_proxy.release()
         early_result = await operators.finish(early_process)
-        held_late.release()
+        late_proxy.release()
         late_result = await operators.finish(late_process)
         nursery.cancel_scope.cancel()
     after = await fleet.access.configuration(fleet.platform_url)
@@ -109,18 +109,22 @@
 
 
 def check_race(name: str, race: Race) -> list[Check]:
-    """Check that just one of two conflicting writes won and that the loser was told."""
+    """Check that exactly one of two conflicting writes succeeded and that the other reports the conflict."""
     is_clear = len(race.late.errors) == 1 and _CONFLICT in race.late.errors[0]
     return [
-        expect_equal(f"{name}: exit code of the first to write", race.early.exit_code, OK),
-        expect_equal(f"{name}: exit code of the other", race.late.exit_code, REFUSED),
-        Check(f"{name}: the other is told why in one line", "; ".join(race.late.errors), is_clear),
+        expect_equal(f"{name}: exit code of the first writer", race.early.exit_code, OK),
+        expect_equal(f"{name}: exit code of the second writer", race.late.exit_code, REFUSED),
+        Check(
+            f"{name}: the second writer reports the conflict in one line",
+            "; ".join(race.late.errors),
+            is_clear,
+        ),
         expect_equal(f"{name}: generations written", race.after.generation - race.before.generation, 1),
     ]
 
 
-async def _race_freely(fleet: Fleet) -> list[Check]:
-    """Run two drains at once; each that succeeds must have its change in the end."""
+async def _run_concurrent_drains(fleet: Fleet) -> list[Check]:
+    """Run two drains concurrently; the change of each that succeeds must be in the final configuration."""
     names = ("archive-1", "playback-4")
     processes = [await operators.start_drain(fleet, name, fleet.platform_url) for name in names]
     results = [await operators.finish(process) for process in processes]
@@ -137,8 +141,8 @@
     ]
     codes = sorted(result.exit_code for result in results)
     return [
-        expect_equal("drains at once: changes that were lost", lost, []),
-        Check("drains at once: exit codes", str(codes), codes in ([OK, OK], [OK, REFUSED])),
+        expect_equal("concurrent drains: lost changes", lost, []),
+        Check("concurrent drains: exit codes", str(codes), codes in ([OK, OK], [OK, REFUSED])),
     ]
 
 
--- a/sloepond/demo/probes/rolling.py
+++ b/sloepond/demo/probes/rolling.py
@@ -1,4 +1,4 @@
-"""All balancers are replaced one after the other, each replacement started first."""
+"""Scenario: all balancers are replaced one by one; each replacement is started before the stop."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from sloepond.demo.probes.outcome import Check, ProbeOutcome, expect_equal
 
 _FLOWS_BETWEEN_STEPS = 10
-"""Flows that start between two steps, so that every step meets traffic."""
-_IN_PROGRESS = 2
+"""Flows that start between two steps, so that every step takes place under traffic."""
+_REQUESTS_IN_PROGRESS = 2
 """Requests in progress at a balancer when its stop begins."""
 
 
 async def rolling(fleet: Fleet, load: Load) -> ProbeOutcome:
-    """Start a replacement with a new name, stop the old balancer, and so on."""
+    """For each balancer, start a replacement with a new name and stop the old one."""
     checks: list[Check] = []
     for number, old in enumerate(list(fleet.balancers), start=1):
         await load.wait_for_flows(_FLOWS_BETWEEN_STEPS)
@@ -33,8 +33,8 @@
 
 
 async def stop(fleet: Fleet, balancer: RunningBalancer) -> int:
-    """Stop a busy balancer as planned and take it out of the fabric; return its exit code."""
-    await fleet.wait_busy(balancer, _IN_PROGRESS)
+    """Stop a busy balancer gracefully and remove it from the fabric; return its exit code."""
+    await fleet.wait_busy(balancer, _REQUESTS_IN_PROGRESS)
     fleet.balancers.remove(balancer)
     balancer.process.terminate()
     await fleet.set_fabric_targets(fleet.balancers)
--- a/sloepond/demo/probes/running.py
+++ b/sloepond/demo/probes/running.py
@@ -1,6 +1,6 @@
-"""One scenario from start to end: its processes, its load and its checks.
+"""Runs one failure scenario from start to end: its processes, its load and its checks.
 
-`Probe` owns the fleet and the load of one run; the table `STEPS` names what each scenario does.
+Owns: the fleet and the load of one run.  The table `STEPS` maps each scenario to its steps.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     ProbeOutcome,
     ProbeResult,
     check_evidence,
-    check_nothing_cut,
+    check_no_unknown_outcomes,
     check_processes,
     describe_evidence,
 )
@@ -39,11 +39,11 @@
 
 
 SERVICE_S = 0.25
-"""Mean time a request runs, in seconds: long enough that each failure meets some."""
+"""Mean time a request runs, long enough that requests are in progress at every failure."""
 
 
 class ProbeName(enum.StrEnum):
-    """The scenarios."""
+    """Names of the failure scenarios."""
 
     CRASH = "crash"
     PAUSE = "pause"
@@ -62,14 +62,17 @@
     ProbeName.MALFORMED_INPUT: malformed_input,
 }
 
-PLANNED = frozenset({ProbeName.STALE_PLATFORM, ProbeName.RACING_OPERATORS, ProbeName.ROLLING})
-"""Scenarios in which balancers only end as planned, so that nothing in progress is cut."""
+PLANNED_SCENARIOS = frozenset({ProbeName.STALE_PLATFORM, ProbeName.RACING_OPERATORS, ProbeName.ROLLING})
+"""Scenarios in which balancers only stop gracefully, so that no request in progress may be lost."""
 
 
 class ProbeSettings(msgspec.Struct, frozen=True):
     """A scenario and its load.
 
-    :ivar wave: what each wave of callers does.
+    :ivar example: directory of the resources to start from.
+    :ivar wave: workload of each wave of callers.
+    :ivar faults: faults of the fabric.
+    :ivar seed: seed of the workload and of the fabric.
     """
 
     scenario: ProbeName
@@ -80,7 +83,7 @@
 
 
 class Probe:
-    """One run of a scenario with processes of its own."""
+    """One run of a scenario with its own processes."""
 
     def __init__(
         self,
@@ -96,7 +99,7 @@
         )
 
     async def run(self) -> ProbeResult:
-        """Start everything, go through the steps under load and check what came of it."""
+        """Start all processes, run the steps under load and check the results."""
         await self._fleet.start()
         load = Load(self._fleet, self._settings.wave, self._settings.seed)
         async with trio.open_nursery() as nursery:
@@ -107,6 +110,6 @@
         executions = await self._fleet.executions()
         evidence = Evidence(configuration, tuple(load.flows), executions, outcome.departures)
         checks = [*check_evidence(evidence), *outcome.checks, *await check_processes(self._fleet)]
-        if self._settings.scenario in PLANNED:
-            checks.append(check_nothing_cut(evidence))
+        if self._settings.scenario in PLANNED_SCENARIOS:
+            checks.append(check_no_unknown_outcomes(evidence))
         return ProbeResult(self._settings.scenario, tuple(checks), describe_evidence(evidence))
--- a/sloepond/demo/probes/summary.py
+++ b/sloepond/demo/probes/summary.py
@@ -1,4 +1,4 @@
-"""The table a scenario prints."""
+"""Prints the result of a scenario."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def print_result(result: ProbeResult, console: Console) -> None:
-    """Print what was counted and every check."""
+    """Print every check and the notes."""
     table = Table(title=result.scenario)
     for column in ("check", "measured", "kept"):
         table.add_column(column, overflow="fold")
--- a/sloepond/demo/processes.py
+++ b/sloepond/demo/processes.py
@@ -1,6 +1,6 @@
-"""Processes of a demo: started here, and ended here in any case.
+"""Starts the processes of a demo and ends them, also after errors and cancellation.
 
-`ProcessGroup` owns the processes and their log files; nothing of a demo outlives it.
+Owns: the processes and their log files; no process outlives its `ProcessGroup`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from sloepond.standins.started import StandinStarted
 
-TERMINATE_WAIT_S = 1.0
-"""Seconds a process has to end after SIGTERM before it is killed; not measured."""
+TERMINATE_TIMEOUT_S = 1.0
+"""Time between SIGTERM and SIGKILL when a process is ended."""
 
 LOG_TAIL_LINES = 15
-"""Last lines of a log that are shown with an error."""
+"""Number of last log lines that are shown with an error."""
 
 _READ_BYTES = 65_536
-"""Bytes taken from a pipe at once: the size of a pipe of Linux."""
+"""Bytes read from a pipe at once: the default capacity of a Linux pipe."""
 
 
 class ProcessFailedError(Exception):
@@ -31,9 +31,9 @@
 
 
 class DemoProcess:
-    """One process; its standard error goes to a file.
+    """One process; its standard error is written to a file.
 
-    :ivar name: shown in messages, and the name of the log file.
+    :ivar name: name in messages and of the log file.
     """
 
     def __init__(self, name: str, process: trio.Process, log_file: Path) -> None:
@@ -45,29 +45,31 @@
     async def read_line(self) -> bytes:
         """Return the next line of standard output.
 
-        :raises ProcessFailedError: where the output ends before.
+        :raises ProcessFailedError: if the output ends before a complete line.
         """
         output = self._process.stdout
         while output is not None and b"\n" not in self._unread:
             received = await output.receive_some(_READ_BYTES)
             if not received:
-                raise ProcessFailedError(f"{self.name} ended early:\n{self.log_tail()}")
+                raise ProcessFailedError(
+                    f"{self.name} closed its output before a complete line:\n{self.log_tail()}"
+                )
             self._unread += received
         line, _, self._unread = self._unread.partition(b"\n")
         return bytes(line)
 
     async def started(self) -> StandinStarted:
-        """Wait until a stand-in says that it is ready."""
+        """Wait until a stand-in reports that it is ready."""
         return msgspec.json.decode(await self.read_line(), type=StandinStarted)
 
     def check_running(self) -> None:
-        """Raise where the process has ended.
+        """Check that the process has not ended.
 
-        :raises ProcessFailedError: with the last lines of its standard error.
+        :raises ProcessFailedError: if it has, with the last lines of its standard error.
         """
         exit_code = self._process.poll()
         if exit_code is not None:
-            raise ProcessFailedError(f"{self.name} ended with {exit_code}:\n{self.log_tail()}")
+            raise ProcessFailedError(f"{self.name} exited with {exit_code}:\n{self.log_tail()}")
 
     def terminate(self) -> None:
         """Send SIGTERM."""
@@ -78,7 +80,7 @@
         self._process.kill()
 
     def pause(self) -> None:
-        """Send SIGSTOP: the process stands still, and its sockets go on filling."""
+        """Send SIGSTOP: the process does not run, but its sockets still receive datagrams."""
         self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
@@ -96,21 +98,21 @@
         return self._process.poll() is None
 
     async def wait(self) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait until the process ends and return the exit code."""
         return await self._process.wait()
 
     async def end(self) -> None:
-        """End the process, by force where it does not end in time."""
+        """Terminate the process; kill it if it does not end within `TERMINATE_TIMEOUT_S`."""
         if self._process.poll() is None:
             self._process.terminate()
-            with trio.move_on_after(TERMINATE_WAIT_S):
+            with trio.move_on_after(TERMINATE_TIMEOUT_S):
                 await self._process.wait()
         if self._process.poll() is None:
             self._process.kill()
             await self._process.wait()
 
     def log_lines(self) -> list[str]:
-        """Return the lines of standard error so far."""
+        """Return the lines written to standard error so far."""
         return self._log_file.read_text(encoding="utf-8", errors="replace").splitlines()
 
     def log_tail(self) -> str:
@@ -119,7 +121,7 @@
 
 
 class ProcessGroup:
-    """Starts Python modules as processes and ends them all."""
+    """Starts Python modules as processes and ends all of them."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
@@ -140,7 +142,7 @@
         return started
 
     async def end_all(self) -> None:
-        """End all processes, also where the caller is being cancelled."""
+        """End all processes, even if the calling task is being cancelled."""
         with trio.CancelScope(shield=True):
             async with trio.open_nursery() as nursery:
                 for process in self.processes:
--- a/sloepond/demo/processor_wait.py
+++ b/sloepond/demo/processor_wait.py
@@ -1,12 +1,12 @@
-"""How long the processes of a demo have waited for a processor.
+"""Measures how long the processes of a demo have waited for a processor.
 
-A limit on a wait says that something is broken, not that the machine is busy.  The system shares processors
-among sessions: beside 30 busy ones a demo of 30 processes gets 8/31 of a core, and its balancers needed more
-than the 30 s that they have to forward; beside 30 or 75 busy processes of its own session they needed
-14 to 22 s (8 cores, three scenarios at once).  So limits leave out the time in which a process stood in line.
+A timeout should mean that something is broken, not that the machine is busy.  The system shares processors
+among sessions: next to 30 busy sessions on 8 cores, all processes of a demo together get 8/31 of a core, and
+its balancers need longer than `START_TIMEOUT_S` to start.  So timeouts do not count the time in which a
+process was runnable but waited for a processor.
 
-Owns: what each process had waited when last asked.  Relies on the accounting of Linux (`schedstat`); where
-there is none, no wait is left out.
+Owns: the waiting time of each process at the last call.  Relies on: Linux scheduler statistics
+(`schedstat`); without them timeouts count all time.
 """
 
 from __future__ import annotations
@@ -16,65 +16,65 @@
 
 import trio
 
-LONGEST_FACTOR = 5.0
-"""How many times its limit a wait may last where the processes get no processor; not measured."""
+MAXIMUM_TIMEOUT_FACTOR = 5.0
+"""Upper limit of an extended timeout, as a multiple of the timeout itself."""
 EXTEND_INTERVAL_S = 0.5
-"""Seconds between two looks at the waits while a whole run is limited; not measured."""
+"""Interval at which the deadline of a whole run is extended."""
 _NANOSECONDS_PER_S = 1e9
-_WAITED_FIELD = 1
-"""Place in `schedstat` of the time spent waiting for a processor, in nanoseconds."""
+_WAIT_FIELD_INDEX = 1
+"""Index in `schedstat` of the time spent waiting for a processor, in nanoseconds."""
 
 
 class ProcessorWait:
-    """The waits of this process and of those that it has started."""
+    """Waiting times of this process and of its children."""
 
     def __init__(self) -> None:
-        self._waited_s = _waits_s()
+        self._waited_s = _processor_waits_s()
 
-    def take(self) -> float:
-        """Return the longest time in seconds that one of the processes has waited since the last call."""
-        waited_s = _waits_s()
+    def wait_since_last_call(self) -> float:
+        """Return the maximum time in seconds that any process has waited since the last call."""
+        waited_s = _processor_waits_s()
         before, self._waited_s = self._waited_s, waited_s
         return max((waited_s[pid] - before.get(pid, 0.0) for pid in waited_s), default=0.0)
 
 
 async def extend_deadline(scope: trio.CancelScope, limit_s: float) -> None:
-    """Move the deadline of a scope on by the time that processes wait for a processor, until cancelled.
+    """Extend the deadline of a scope by the time that processes wait for a processor, until cancelled.
 
-    :param limit_s: seconds that the scope may last without such waits.
+    :param limit_s: timeout of the scope without such waits, in seconds.
     """
-    waited = ProcessorWait()
-    latest = scope.deadline + (LONGEST_FACTOR - 1.0) * limit_s
+    processor_wait = ProcessorWait()
+    latest = scope.deadline + (MAXIMUM_TIMEOUT_FACTOR - 1.0) * limit_s
     while True:
         await trio.sleep(EXTEND_INTERVAL_S)
-        scope.deadline = min(latest, scope.deadline + waited.take())
+        scope.deadline = min(latest, scope.deadline + processor_wait.wait_since_last_call())
 
 
-def _waits_s() -> dict[int, float]:
-    """Return what each process has waited in its life, in seconds, by its id."""
+def _processor_waits_s() -> dict[int, float]:
+    """Return the total waiting time of each process, in seconds, by process id."""
     waits_s: dict[int, float] = {}
-    for pid in (os.getpid(), *_children()):
-        waited_s = _wait_s(pid)
+    for pid in (os.getpid(), *_child_pids()):
+        waited_s = _processor_wait_s(pid)
         if waited_s is not None:
             waits_s[pid] = waited_s
     return waits_s
 
 
-def _children() -> list[int]:
+def _child_pids() -> list[int]:
     pids: list[int] = []
     for file in Path("/proc/self/task").glob("*/children"):
         pids += map(int, _read(file).split())
     return pids
 
 
-def _wait_s(pid: int) -> float | None:
-    """Return what a process has waited, None where it has ended or the system does not count it."""
+def _processor_wait_s(pid: int) -> float | None:
+    """Return the total waiting time of a process in seconds, None if it has ended or is not accounted."""
     numbers = _read(Path(f"/proc/{pid}/schedstat")).split()
-    return int(numbers[_WAITED_FIELD]) / _NANOSECONDS_PER_S if len(numbers) > _WAITED_FIELD else None
+    return int(numbers[_WAIT_FIELD_INDEX]) / _NANOSECONDS_PER_S if len(numbers) > _WAIT_FIELD_INDEX else None
 
 
 def _read(file: Path) -> str:
-    """Return the content of a file, empty where the process that it tells of has ended."""
+    """Return the content of a file, empty if it cannot be read because its process has ended."""
     try:
         return file.read_text(encoding="ascii")
     except OSError:
--- a/sloepond/demo/running.py
+++ b/sloepond/demo/running.py
@@ -1,7 +1,7 @@
-"""One demo from start to end: its network, its directory and its processes.
+"""Runs one demo or scenario from start to end.
 
-Owns all three and gives them back on every way out; errors that a run may meet are printed
-with the last log lines of each process.
+Owns: its network, directory and processes, which are released however the run ends.  Expected
+errors are printed with the last log lines of each process.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from sloepond.demo.scenario import DemoResult, DemoSettings, Scenario
 
 DEMO_TIMEOUT_S = 170.0
-"""Seconds a whole run may take before it is ended, without waits for a processor; not measured."""
+"""Timeout of a whole run, not counting waits for a processor."""
 HTTP_TIMEOUT_S = 3.0
-"""Seconds a process may take to answer; a paused one counts as not answering then; not measured."""
+"""Timeout of an HTTP request; a paused process counts as not responding after it."""
 
 _Result = TypeVar("_Result")
 _ResultOut = TypeVar("_ResultOut", covariant=True)
 
-_FAILURES = (
+_EXPECTED_ERRORS = (
     InvalidExampleError,
     NetworkUnavailableError,
     ProcessFailedError,
@@ -46,28 +46,28 @@
 
 
 Prepare = Callable[[LoopbackNetwork, Path, ProcessGroup, httpx.AsyncClient], "Runnable[_Result]"]
-"""Makes what is to run in a network, with files in a directory."""
+"""Creates the demo or scenario to run from a network, a directory, a process group and an HTTP client."""
 
 
 class Runnable(Protocol[_ResultOut]):
-    """A demo or a scenario that is prepared."""
+    """A prepared demo or scenario."""
 
     async def run(self) -> _ResultOut:
-        """Run it and return what it showed."""
+        """Run it and return the result."""
 
 
 async def run_demo(settings: DemoSettings, console: Console) -> DemoResult | None:
     """Run a demo; its processes have ended on return.
 
-    :returns: None where the demo did not run to its end; `console` then got the reasons.
+    :returns: None if the demo did not complete; the reasons are printed to `console`.
     """
     return await _run_in_directory(functools.partial(Scenario, settings), console)
 
 
 async def run_probe(settings: ProbeSettings, console: Console) -> ProbeResult | None:
-    """Run a scenario under failure; its processes have ended on return.
+    """Run a failure scenario; its processes have ended on return.
 
-    :returns: None where it did not run to its end; `console` then got the reasons.
+    :returns: None if it did not complete; the reasons are printed to `console`.
     """
     return await _run_in_directory(functools.partial(Probe, settings), console)
 
@@ -82,7 +82,7 @@
                     nursery.start_soon(extend_deadline, scope, DEMO_TIMEOUT_S)
                     result = await _run_in_network(prepare, Path(directory), group)
                 nursery.cancel_scope.cancel()
-        except* _FAILURES as failures:
+        except* _EXPECTED_ERRORS as failures:
             _print_failure(failures, group, console)
     return result
 
@@ -99,7 +99,7 @@
 
 def _print_failure(failures: BaseExceptionGroup[Exception], group: ProcessGroup, console: Console) -> None:
     for failure in _leaves(failures):
-        console.print(f"the demo did not run: {type(failure).__name__}: {failure}", soft_wrap=True)
+        console.print(f"the demo did not complete: {type(failure).__name__}: {failure}", soft_wrap=True)
     for process in group.processes:
         tail = process.log_tail()
         if tail:
--- a/sloepond/demo/scenario.py
+++ b/sloepond/demo/scenario.py
@@ -1,7 +1,7 @@
-"""What happens in a demo: traffic, one drained back end, one planned stop.
+"""The steps of a demo: traffic, the drain of one back end, the planned stop of one balancer.
 
-`Scenario` owns one run: its fleet and what the callers report.  Every step waits for what the
-processes say of themselves, not for a time.
+Owns: one run with its fleet and the reports of its callers.  Every step waits for a reported
+state of the processes, not for a fixed time.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from sloepond.standins.workload import WorkloadSettings
 
 DRAIN_AT_SHARE = 0.3
-"""Share of the flows that have started when the back end is drained."""
+"""Share of all flows that have started when the back end is drained."""
 
 STOP_AT_SHARE = 0.6
-"""Share of the flows that are opened before the balancer is stopped; the others begin just then."""
+"""Share of all flows in the first wave; the second wave starts just before the balancer is stopped."""
 
 
 class DemoSettings(msgspec.Struct, frozen=True):
-    """Size of a demo.
+    """Settings of a demo.
 
-    :ivar example: directory of the resources it starts from.
-    :ivar drained: back end drained on the way.
-    :ivar workload: what the callers do.
+    :ivar example: directory of the resources to start from.
+    :ivar drained: back end that is drained during the run.
+    :ivar workload: flows of the callers.
     :ivar faults: faults of the fabric.
     :ivar seed: seed of the workload and of the fabric.
     """
@@ -50,22 +50,22 @@
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """How the planned stop of a balancer ended."""
+    """Result of the planned stop of a balancer."""
 
     balancer: str
     exit_code: int
-    took_s: float
+    duration_s: float
 
 
 class DemoResult(msgspec.Struct, frozen=True):
-    """What a demo showed."""
+    """Result of a demo."""
 
     evidence: Evidence
     stop: Stop
 
 
 class Scenario:
-    """One run of a demo with processes of its own."""
+    """One run of a demo with its own processes."""
 
     def __init__(
         self,
@@ -80,20 +80,22 @@
         self._flows: list[FlowRecord] = []
 
     async def run(self) -> DemoResult:
-        """Start everything, make the planned changes and collect the evidence."""
+        """Start all processes, make the planned changes and collect the evidence."""
         members = await self._fleet.start()
         first, second = _waves(self._settings.workload)
         async with trio.open_nursery() as nursery:
-            await self._call(nursery, first, self._settings.seed, DRAIN_AT_SHARE / STOP_AT_SHARE)
+            await self._start_callers(nursery, first, self._settings.seed, DRAIN_AT_SHARE / STOP_AT_SHARE)
             departure = await operators.drain(self._fleet, self._settings.drained)
-            await self._call(nursery, second, self._settings.seed + 1, 0.0)
+            await self._start_callers(nursery, second, self._settings.seed + 1, 0.0)
             stop = await self._stop_balancer(self._fleet.balancers[-1], members[:-1])
         executions = await self._fleet.executions()
         configuration = self._fleet.declaration.configuration
         return DemoResult(Evidence(configuration, tuple(self._flows), executions, (departure,)), stop)
 
-    async def _call(self, nursery: trio.Nursery, wave: WorkloadSettings, seed: int, share: float) -> None:
-        """Start callers; return as soon as a share of their flows, at least one, has started."""
+    async def _start_callers(
+        self, nursery: trio.Nursery, wave: WorkloadSettings, seed: int, share: float
+    ) -> None:
+        """Start a client; return as soon as a share of its flows, at least one, has started."""
         client = await self._fleet.start_client(wave, seed)
         url = (await client.started()).url
         nursery.start_soon(self._read_report, client)
@@ -102,25 +104,25 @@
         async def is_reached() -> bool:
             return (await self._fleet.access.progress(url)).started >= wanted
 
-        await wait_until(is_reached, STEP_TIMEOUT_S, f"{wanted} flows started")
+        await wait_until(is_reached, STEP_TIMEOUT_S, f"{wanted} flows to start")
 
     async def _stop_balancer(self, balancer: RunningBalancer, remaining: tuple[Member, ...]) -> Stop:
-        began_at = monotonic_seconds()
+        started_at = monotonic_seconds()
         balancer.process.terminate()
         await self._fleet.access.write_machines(self._fleet.platform_url, remaining)
         with trio.fail_after(STEP_TIMEOUT_S):
             exit_code = await balancer.process.wait()
-        return Stop(balancer.name, exit_code, monotonic_seconds() - began_at)
+        return Stop(balancer.name, exit_code, monotonic_seconds() - started_at)
 
     async def _read_report(self, client: DemoProcess) -> None:
         self._flows += msgspec.json.decode(await client.read_line(), type=CallerReport).flows
 
 
 def _waves(workload: WorkloadSettings) -> tuple[WorkloadSettings, WorkloadSettings]:
-    """Return the flows up to the planned stop, and those that begin just before it.
+    """Return the workloads of the wave before the drain and of the wave just before the planned stop.
 
-    The second wave starts once the drain is done: a command takes as long to start as the machine likes,
-    17 s beside others, and the flows of a single wave were over by then.
+    The second wave starts once the drain is done.  On a busy machine the drain command starts so late
+    that the flows of a single wave would have ended before the stop.
     """
     before = round(workload.flows * STOP_AT_SHARE)
     return (
--- a/sloepond/demo/summary.py
+++ b/sloepond/demo/summary.py
@@ -1,6 +1,6 @@
-"""The table a demo prints.
+"""Prints the summary of a demo.
 
-Relies on the evidence of callers and back ends alone, as the checks do.
+Relies on: the evidence of callers and back ends alone, like the checks.
 """
 
 from __future__ import annotations
@@ -19,17 +19,19 @@
 from sloepond.standins.checking import Departure, PromiseBroken, count_duplicates
 
 MAXIMUM_FINDINGS_SHOWN = 20
-"""Findings printed; the number of the others is."""
+"""Findings that are printed; of the remaining ones only the number is printed."""
 
 
 def print_summary(result: DemoResult, findings: Sequence[PromiseBroken], console: Console) -> None:
-    """Print what was measured, and every broken promise."""
+    """Print the measurements and the broken promises."""
     console.print(_outcome_table(result))
     console.print(_balance_table(result))
     for departure in result.evidence.departures:
         console.print(_departure_line(result.evidence.flows, departure))
     stop = result.stop
-    console.print(f"{stop.balancer} stopped as planned in {stop.took_s:.1f} s, exit code {stop.exit_code}")
+    console.print(
+        f"{stop.balancer} stopped as planned in {stop.duration_s:.1f} s, exit code {stop.exit_code}"
+    )
     for finding in findings[:MAXIMUM_FINDINGS_SHOWN]:
         console.print(f"broken: {finding.promise}: {finding.detail}", soft_wrap=True)
     hidden = len(findings) - MAXIMUM_FINDINGS_SHOWN
@@ -52,7 +54,7 @@
     table.add_row("requests", str(len(all_requests(flows))), _counts(outcomes))
     table.add_row("refused, not run", str(outcomes[RequestOutcome.REFUSED]), _reasons(flows, outcomes))
     table.add_row("outcome unknown", str(outcomes[RequestOutcome.UNKNOWN]), "")
-    table.add_row("duplicates", str(count_duplicates(result.evidence)), "run twice though not repeatable")
+    table.add_row("duplicates", str(count_duplicates(result.evidence)), "not repeatable but run twice")
     table.add_row("executions", str(len(result.evidence.executions)), "at all back ends")
     items = sum(flow.feed_items for flow in flows)
     table.add_row("feed items", str(items), f"{sum(flow.feed_gaps for flow in flows)} skipped")
@@ -75,8 +77,10 @@
 def _departure_line(flows: Sequence[FlowRecord], departure: Departure) -> str:
     held = [flow for flow in flows if flow.backend == departure.backend]
     new = [flow.opened_at - departure.at for flow in held if flow.opened_at > departure.at]
-    kept = f"{departure.backend} drained: {len(held)} flows in all, {len(new)} of them opened later"
-    return f"{kept}, the last after {max(new):.1f} s" if new else kept
+    summary = (
+        f"{departure.backend} drained: {len(held)} flows in total, {len(new)} of them opened after the drain"
+    )
+    return f"{summary}, the last one {max(new):.1f} s after it" if new else summary
 
 
 def _counts(counter: collections.Counter[FlowState] | collections.Counter[RequestOutcome]) -> str:
