--- a/sloepond/demo/operators.py
+++ b/sloepond/demo/operators.py
@@ -57,5 +57,5 @@
     """
     result = await finish(await start_drain(fleet, backend, fleet.platform_url))
     if result.exit_code != 0:
-        raise ProcessFailedError(f"drain of {backend} exited with {result.exit_code}: {result.errors}")
+        raise ProcessFailedError(f"drain exited with {result.exit_code}: {result.errors}")
     return Departure(backend, monotonic_seconds())
