--- a/benchmarks/attainable.py
+++ b/benchmarks/attainable.py
@@ -80,7 +80,7 @@
         split = split_run(goal, report, start_s)
         figures = " | ".join(f"{value:.4f}" for value in msgspec.structs.astuple(split))
         print(f"| {name} | {report.worth:.4f} | {figures} |")
-    print("\n| report | from second | not served | late | active faults |")
+    print("\n| report | from second | not served | late | active events |")
     print("| --- " * 5 + "|")
     for name, report in reports_by_name.items():
         for line in unserved_windows(report):
--- a/benchmarks/outage_model.py
+++ b/benchmarks/outage_model.py
@@ -40,7 +40,7 @@
     :ivar aim_s: response time up to which an answer counts in full.
     :ivar deadline_s: response time after which an answer does not count.
     :ivar service_s: usual time from request to answer.
-    :ivar worth: score of an answer in time.
+    :ivar score: score of an answer in time.
     :ivar late_credit: score of an answer after `aim_s`, as a share of one in time.
     :ivar attempts: maximum number of attempts.
     """
@@ -49,7 +49,7 @@
     aim_s: float
     deadline_s: float
     service_s: float
-    worth: float
+    score: float
     late_credit: float
     attempts: int
 
@@ -85,8 +85,8 @@
         for _ in range(DRAWS):
             kind = self._random.choices(kinds, [kind.share for kind in kinds])[0]
             zone = self._random.choices(names, list(zone_shares.values()))[0]
-            owed += kind.worth
-            earned += kind.worth * self._credit(kind, zone, self._random.uniform(begin, end))
+            owed += kind.score
+            earned += kind.score * self._credit(kind, zone, self._random.uniform(begin, end))
         return 1.0 - earned / owed
 
     def _credit(self, kind: RequestKind, zone: str, sent_at: float) -> float:
--- a/features/project/decisions.feature
+++ b/features/project/decisions.feature
@@ -1,7 +1,7 @@
-Feature: The page of decisions says what the code does
+Feature: The decisions page matches the code
 
   Scenario: Constants have the values of the code
-    Then each constant on the project's page of decisions stands in a module of its rule, with its value
+    Then each constant on the project's decisions page is defined in a module of its rule, with the stated value
 
-  Scenario: What shows a rule exists
-    Then each name by which a rule is shown on the project's page of decisions is one of a log line or a metric
+  Scenario: Log events and metrics of the rules exist
+    Then each log event or metric on the project's decisions page is one that the code writes
--- a/features/project/documents.feature
+++ b/features/project/documents.feature
@@ -1,31 +1,31 @@
-Feature: Documents say what the code does
+Feature: The documentation matches the code
 
   Scenario: Every command in the documents exists with its options
-    Then each sloepond command in the project's documents is one of the command line
+    Then each sloepond command in the project's documents exists, with its options
 
   Scenario: Every make target in the documents exists
-    Then each make target in the project's documents is one of the Makefile
+    Then each make target in the project's documents is defined in the Makefile
 
-  Scenario: Every link inside the project leads somewhere
-    Then each link in the project's documents leads to a file and a heading
+  Scenario: Every link inside the project is valid
+    Then each link in the project's documents points to an existing file and heading
 
-  Scenario: The protocol's page is current
-    Then the project's protocol page equals what the messages describe
+  Scenario: The protocol page is up to date
+    Then the project's protocol page equals the description generated from the message types
 
   Scenario: Examples of settings and resources are valid
     Then each TOML example in the project's documents is a valid settings file
     And each YAML example in the project's documents has no findings
-    And each setting in the project's documents is one of the settings file
+    And each setting in the project's documents exists in the settings file
 
-  Scenario: The operators' page is complete
-    Then the project's operating page explains every reason a caller is given
+  Scenario: The operations page is complete
+    Then the project's operating page explains every reason sent to callers
     And the project's operating page explains every error of the API
     And the project's operating page explains every path of the API
     And the project's operating page explains every kind of log line
     And the project's operating page explains every exit code
 
-  Scenario: Alarms use metrics that exist
-    Then each metric in the project's documents is one that a balancer exports
+  Scenario: Documented metrics exist
+    Then each metric in the project's documents is exported by a balancer
 
   Scenario: Types named in the glossary exist
-    Then each dotted name in the project's glossary is found in the code
+    Then each dotted name in the project's glossary exists in the code
--- a/features/steps/project_document_steps.py
+++ b/features/steps/project_document_steps.py
@@ -38,9 +38,10 @@
 ARCHITECTURE = ROOT / "docs" / "ARCHITECTURE.md"
 """A page whose metrics are those of the platform's process."""
 BALANCER_HEADING = "\n## See what is going on\n"
-"""Where the operators' page goes on from the platform's process to `sloepond balancer`."""
+"""Heading of the operations page that ends the part on the platform's process and starts the part on
+`sloepond balancer`."""
 
-FENCE = re.compile(r"^```(\w*)\n(.*?)^```", re.MULTILINE | re.DOTALL)
+CODE_BLOCK = re.compile(r"^```(\w*)\n(.*?)^```", re.MULTILINE | re.DOTALL)
 INLINE = re.compile(r"`([^`\n]+)`")
 LINK = re.compile(r"\[[^\]]+\]\(([^)\s]+)\)")
 HEADING = re.compile(r"^#+ (.+)$", re.MULTILINE)
@@ -50,23 +51,23 @@
 
 
 def code_lines(document: Path) -> Iterator[str]:
-    """Yield every line of code in a document, in blocks and in running text."""
+    """Yield every line of code in a document, in code blocks and in inline code."""
     yield from code_lines_of(document.read_text())
 
 
 def code_lines_of(text: str) -> Iterator[str]:
-    """Yield every line of code in a text, in blocks and in running text."""
-    for _, block in FENCE.findall(text):
+    """Yield every line of code in a text, in code blocks and in inline code."""
+    for _, block in CODE_BLOCK.findall(text):
         yield from re.sub(r"\\\n", " ", block).splitlines()
-    yield from INLINE.findall(FENCE.sub("", text))
+    yield from INLINE.findall(CODE_BLOCK.sub("", text))
 
 
 def blocks(language: str) -> list[tuple[str, str]]:
-    """Return the blocks of a language in all documents, each with its document."""
+    """Return the code blocks of a language in all documents, each with the name of its document."""
     found = [
         (document.name, block)
         for document in DOCUMENTS
-        for name, block in FENCE.findall(document.read_text())
+        for name, block in CODE_BLOCK.findall(document.read_text())
         if name == language
     ]
     assert found, language
@@ -75,7 +76,7 @@
 
 def anchors_of(document: Path) -> set[str]:
     """Return the anchors of the headings of a document."""
-    headings = HEADING.findall(FENCE.sub("", document.read_text()))
+    headings = HEADING.findall(CODE_BLOCK.sub("", document.read_text()))
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
 
@@ -86,7 +87,7 @@
 
 
 def check_command(line: str) -> None:
-    """Check that a command line names a command and options it has."""
+    """Check that a command line names an existing command and only options of this command."""
     words = shlex.split(line, comments=True)[1:]
     if not words or words[0].startswith("-"):
         return
@@ -102,7 +103,7 @@
             assert name in parameters, f"no option {word}: {line}"
 
 
-@then("each sloepond command in the project's documents is one of the command line")
+@then("each sloepond command in the project's documents exists, with its options")
 def commands_exist(context):
     lines = [line for document in DOCUMENTS for line in code_lines(document) if line.startswith("sloepond ")]
     assert len(lines) > 10, lines
@@ -110,7 +111,7 @@
         check_command(line)
 
 
-@then("each make target in the project's documents is one of the Makefile")
+@then("each make target in the project's documents is defined in the Makefile")
 def make_targets_exist(context):
     targets = set(re.findall(r"^([\w./-]+):", (ROOT / "Makefile").read_text(), re.MULTILINE))
     named = {
@@ -123,10 +124,10 @@
     assert named <= targets, named - targets
 
 
-@then("each link in the project's documents leads to a file and a heading")
+@then("each link in the project's documents points to an existing file and heading")
 def links_resolve(context):
     for document in DOCUMENTS:
-        for link in LINK.findall(FENCE.sub("", document.read_text())):
+        for link in LINK.findall(CODE_BLOCK.sub("", document.read_text())):
             if "://" in link:
                 continue
             path, _, anchor = link.partition("#")
@@ -135,7 +136,7 @@
             assert not anchor or anchor in anchors_of(target), f"{document.name}: {link}"
 
 
-@then("the project's protocol page equals what the messages describe")
+@then("the project's protocol page equals the description generated from the message types")
 def protocol_is_current(context):
     page = (ROOT / "docs" / "PROTOCOL.md").read_text()
     assert page == describe(), "run `make protocol`"
@@ -157,7 +158,7 @@
         assert not findings, [str(finding) for finding in findings]
 
 
-@then("each setting in the project's documents is one of the settings file")
+@then("each setting in the project's documents exists in the settings file")
 def settings_exist(context):
     named = SETTING.findall(OPERATING.read_text())
     assert len(named) > 5, named
@@ -169,7 +170,7 @@
             struct = types[step]
 
 
-@then("the project's operating page explains every reason a caller is given")
+@then("the project's operating page explains every reason sent to callers")
 def reasons_are_explained(context):
     rows = OPERATING.read_text()
     missing = [reason.name for reason in Reason if f"| `{reason.name}` | {reason.value} |" not in rows]
@@ -215,7 +216,7 @@
     assert of_balancer == {int(code) for code in ExitCode}, of_balancer
 
 
-@then("each metric in the project's documents is one that a balancer exports")
+@then("each metric in the project's documents is exported by a balancer")
 def metrics_exist(context):
     state = FakeState(FakeNode(configuration(1, default_resources())))
     exported = sample_names(Metrics(state).render().decode())
@@ -231,17 +232,17 @@
 
 
 def sample_names(text):
-    """Return the names of the samples in a page of metrics."""
+    """Return the names of the samples in the text of a metrics page."""
     return {sample.name for family in text_string_to_metric_families(text) for sample in family.samples}
 
 
 def configured_node():
-    """Return a forwarding node that knows routes and back ends."""
+    """Return a forwarding node with routes and back ends."""
     return Harness().configure().node
 
 
 def metrics_named(texts):
-    """Return the metrics that texts name in code."""
+    """Return the metrics named in the code blocks and inline code of texts."""
     return {
         metric
         for text in texts
@@ -251,7 +252,7 @@
     }
 
 
-@then("each dotted name in the project's glossary is found in the code")
+@then("each dotted name in the project's glossary exists in the code")
 def glossary_names_exist(context):
     glossary = ROOT / "docs" / "GLOSSARY.md"
     names = re.findall(r"`((?:core|resources|runtime|standins|lab|wire)(?:\.\w+)*)`", glossary.read_text())
@@ -261,7 +262,7 @@
 
 
 def find_object(name: str) -> object | None:
-    """Return the module or object of a dotted name inside the package."""
+    """Return the module or object with a dotted name relative to the package, None if there is none."""
     module_name = f"sloepond.{name}"
     attributes: list[str] = []
     while True:
--- a/features/steps/project_steps.py
+++ b/features/steps/project_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the project's own frame: lock file, test run and documents."""
+"""Steps that check the lock file, the test run and the list of known red scenarios."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def normalised(requirement: str) -> str:
-    """Return the canonical name of the library a requirement names."""
+    """Return the canonical name of the library in a requirement."""
     name = re.match(r"[A-Za-z0-9._-]+", requirement)
     assert name is not None, requirement
     return re.sub(r"[-_.]+", "-", name.group()).lower()
@@ -45,8 +45,8 @@
     assert not missing, missing
 
 
-@then("the project's lock file holds nothing but pinned versions")
-def lock_file_is_plain(context):
+@then("the project's lock file contains only pinned versions")
+def lock_file_has_only_pins(context):
     others = [line for line in context.pins if not PINNED.fullmatch(line)]
     assert not others, others
     names = [normalised(line) for line in context.pins]
@@ -88,14 +88,14 @@
     assert context.run.returncode == code, context.run.returncode
 
 
-@when("the project's list of known red scenarios is read, where there is one")
+@when("the project's list of known red scenarios is read, if it exists")
 def read_known_red_list(context):
     path = ROOT / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
     context.known_red_lines = [line for line in lines if line.strip()]
 
 
-@then("it has at most {limit:d} lines with a scenario of the project, a cause and an issue")
+@then("it has at most {limit:d} lines, each with an existing scenario, a cause and an issue")
 def known_red_list_is_complete(context, limit):
     assert len(context.known_red_lines) <= limit, context.known_red_lines
     features = "\n".join(path.read_text() for path in ROOT.glob("features/**/*.feature"))
