--- a/sloepond/standins/backend_model.py
+++ b/sloepond/standins/backend_model.py
@@ -34,7 +34,8 @@
     """An open flow, the address and token of its last packet and its requests.
 
     :ivar started: ids of the requests that were started.
-    :ivar accepted: accepted requests by id, with the parts of their answers sent so far.
+    :ivar accepted: replies sent so far to each request, by request id; sent again if the request
+        is retransmitted on an ordered flow.
     """
 
     address: str
@@ -43,8 +44,8 @@
     accepted: dict[int, list[BackendReply]] = msgspec.field(default_factory=dict)
 
 
-class _QueuedRequest(msgspec.Struct, frozen=True):
-    """An accepted request that has no slot yet; it is refused if not started by `deadline`."""
+class _AcceptedRequest(msgspec.Struct, frozen=True):
+    """A queued or running request; it is refused if not started by `deadline`."""
 
     packet: BackendPacket
     source: str
@@ -69,8 +70,8 @@
         self._random = random_source
         self._identity_payload = encode_content(identity)
         self._flows: dict[FlowKey, _HeldFlow] = {}
-        self._queue: collections.deque[_QueuedRequest] = collections.deque()
-        self._running: list[tuple[float, int, _QueuedRequest]] = []
+        self._queue: collections.deque[_AcceptedRequest] = collections.deque()
+        self._running: list[tuple[float, int, _AcceptedRequest]] = []
         self._feeds = FeedSchedule()
         self._started_at: float | None = None
         self._load = LoadReport(0, 0)
@@ -166,7 +167,7 @@
             return
         held.accepted[packet.request_id] = []
         deadline = now + packet.timeout_ms / 1000 if packet.timeout_ms else NEVER
-        self._queue.append(_QueuedRequest(packet, source, deadline))
+        self._queue.append(_AcceptedRequest(packet, source, deadline))
         self._start_queued(now, outputs)
 
     def _start_queued(self, now: float, outputs: list[BackendOutput]) -> None:
@@ -178,7 +179,7 @@
                 continue
             self._start(request, now)
 
-    def _start(self, request: _QueuedRequest, now: float) -> None:
+    def _start(self, request: _AcceptedRequest, now: float) -> None:
         self.counters.executed += 1
         number = self.counters.executed
         packet = request.packet
@@ -208,7 +209,9 @@
         coldness = 1 - age / settings.cold_s
         return duration * (1 + (settings.cold_factor - 1) * coldness)
 
-    def _answer(self, request: _QueuedRequest, number: int, now: float, outputs: list[BackendOutput]) -> None:
+    def _answer(
+        self, request: _AcceptedRequest, number: int, now: float, outputs: list[BackendOutput]
+    ) -> None:
         packet = request.packet
         load = self._load_report(now)
         for reply in answer_parts(self.identity, packet, number, self.settings.part_bytes, load):
