--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -189,11 +189,11 @@
 def too_many_flows(context):
     harness = context.harness
     context.placed_at = {}
-    context.held = 0
+    context.queued = 0
     for port in range(40):
         offer(context, segment(EXPORT, port, opening=True))
     assert 0 < len(context.placed_at) < 40
-    assert context.held == 40 - len(context.placed_at)
+    assert context.queued == 40 - len(context.placed_at)
     end = harness.now + MAXIMUM_QUEUE_TIME_S + 0.05
     while harness.now < end:
         harness.run_to(harness.now + 0.01, TimerFired())
@@ -203,14 +203,14 @@
 
 
 def offer(context, opening):
-    """Decide on an opening packet, and hold it if the decision says so, as the data path does."""
+    """Decide on an opening packet, and queue it if the decision says so, as the data path does."""
     harness = context.harness
     decision = harness.node.decide(opening, harness.now)
     if decision.backend is not None:
         context.placed_at[opening.source_port] = harness.now
     else:
         assert decision.queue and not decision.reset
-        context.held += 1
+        context.queued += 1
         harness.handle(OpeningQueued(opening, str(opening.source_port).encode()))
 
 
@@ -218,7 +218,7 @@
 def all_placed(context):
     assert sorted(context.placed_at) == list(range(40))
     assert max(context.placed_at.values()) - 100.0 <= MAXIMUM_QUEUE_TIME_S + 0.02
-    assert context.held < 40
+    assert context.queued < 40
 
 
 @then("forwarding places as many flows at once as the service has back ends, and queues the next one")
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -211,7 +211,7 @@
     def _handle_packet_event(self, event: PacketEvent) -> None:
         """Handle the events that `decide` has the runtime report, and results of checks."""
         if isinstance(event, OpeningQueued):
-            self._openings.hold(event.segment, event.datagram, self._now)
+            self._openings.queue(event.segment, event.datagram, self._now)
         elif isinstance(event, UnknownTokenReceived):
             self._exchange.unknown_token(event, self._now)
         elif isinstance(event, BackendSuspected):
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -152,8 +152,8 @@
                 return share.service
         return None
 
-    def hold(self, segment: Segment, datagram: bytes, now: float) -> None:
-        """Queue a new flow until the state needed to place it is known, or until there is spare capacity."""
+    def queue(self, segment: Segment, datagram: bytes, now: float) -> None:
+        """Queue a new flow: an early one until it can be placed, any other one for spare capacity."""
         if self._is_early(segment.route_key, now):
             self._early.add(segment.flow_key, EarlyOpening(datagram, segment.route_key, now))
             return
@@ -166,8 +166,8 @@
 
     def next_deadline(self, now: float) -> float:
         """Return when to check next whether queued flows can be placed."""
-        waits_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
-        return min(self._queued.next_deadline(now), waits_until if waits_until > now else NEVER)
+        unconfirmed_until = self._unconfirmed_list.ends_at if len(self._early) else NEVER
+        return min(self._queued.next_deadline(now), unconfirmed_until if unconfirmed_until > now else NEVER)
 
     def release_early(self, now: float) -> tuple[bytes, ...]:
         """Remove and return the early opening packets that can be placed now."""
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -29,7 +29,7 @@
     :ivar refusal: why it is not forwarded.
     :ivar reset: whether the caller is sent a reset at once.
     :ivar lookup: whether the token is looked up at peers before the packet is dropped.
-    :ivar queue: whether the packet is queued until a back end has spare capacity.
+    :ivar queue: whether the opening packet is queued, until it can be placed or there is spare capacity.
     :ivar suspect: name of a back end that may be gone and should be checked.
     """
 
--- a/sloepond/runtime/forwarding/log_writer.py
+++ b/sloepond/runtime/forwarding/log_writer.py
@@ -107,7 +107,7 @@
             self._emit(LogKind.REQUEST_SEEN, request_id, detail)
 
     def flow_queued(self, segment: Segment, node: ForwardingNode) -> None:
-        """Write a line about a new flow that is queued for spare capacity of the back ends."""
+        """Write a line about a new flow that is queued."""
         if self._may_write():
             detail = f"copy={segment.acknowledgement} {node.describe_state(monotonic_seconds())}"
             self._emit(LogKind.FLOW_WAITS, flow_name(segment), detail)
