--- a/sloepond/core/forwarding/placement/early_openings.py
+++ b/sloepond/core/forwarding/placement/early_openings.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-LONGEST_WAIT_S = 1.0
+EARLY_OPENING_TIMEOUT_S = 1.0
 """Seconds after which an early opening packet is dropped; its caller gives up after 1.4 s."""
 MAXIMUM_EARLY = 512
 """Early flows queued at the same time; bounds memory."""
@@ -53,7 +53,7 @@
         queue, self._queue = self._queue, {}
         released: list[bytes] = []
         for flow_key, opening in queue.items():
-            if now - opening.received_at > LONGEST_WAIT_S:
+            if now - opening.received_at > EARLY_OPENING_TIMEOUT_S:
                 continue
             if must_wait(opening.route_key):
                 self._queue[flow_key] = opening
--- a/sloepond/core/forwarding/placement/unconfirmed_list.py
+++ b/sloepond/core/forwarding/placement/unconfirmed_list.py
@@ -17,7 +17,7 @@
 from sloepond.core.forwarding.state.routes import Route
 from sloepond.core.forwarding.store.watcher import StoreWatcher
 
-LONGEST_WAIT_S = 2.0
+CONFIRMATION_TIMEOUT_S = 2.0
 """Seconds after the first list for which flows wait for its confirmation.  Without one by then, the store
 and all readers are unreachable, and a list that is some seconds old is better than none.  Long enough for
 several attempts of a read, whose delays add up to 1.0 s."""
@@ -49,4 +49,4 @@
         """Time until which new flows wait unless the list is confirmed earlier, `-NEVER` if none waits."""
         if self._limit is None or self._watcher.unconfirmed_since == NEVER:
             return -NEVER
-        return self._watcher.unconfirmed_since + LONGEST_WAIT_S
+        return self._watcher.unconfirmed_since + CONFIRMATION_TIMEOUT_S
