--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -24,9 +24,9 @@
 PULL_INTERVAL_S = 0.25
 """Seconds until it pulls from other peers: twice within the time from `PULL_AFTER_S` until the local state
 counts as stale (`STALE_AFTER_S`)."""
-GATHER_S = 0.02
-"""Seconds for which a reader gathers changes before it confirms them: longer than it takes to read the
-answers of one call, and a tenth of the brief gathering of a watch."""
+CONFIRMATION_DELAY_S = 0.02
+"""Seconds for which a reader gathers changes before it confirms them together: longer than it takes to read
+the answers of one call, and a tenth of the shortest interval of watches (`START_WATCH_INTERVAL_S`)."""
 
 
 class Confirmations:
@@ -72,9 +72,9 @@
             self._pull(now)
 
     def schedule(self, now: float) -> None:
-        """Schedule a confirmation after `GATHER_S`, if this balancer is a reader."""
+        """Schedule a confirmation after `CONFIRMATION_DELAY_S`, if this balancer is a reader."""
         if self._election.is_reader:
-            self._confirm_at = min(self._confirm_at, now + GATHER_S)
+            self._confirm_at = min(self._confirm_at, now + CONFIRMATION_DELAY_S)
 
     def begin(self) -> None:
         """Start to confirm: this balancer has become a reader."""
--- a/sloepond/core/forwarding/store/watcher.py
+++ b/sloepond/core/forwarding/store/watcher.py
@@ -20,14 +20,14 @@
 WATCH_TIMEOUT_S = 25.0
 """Seconds for which the store may hold one watch open.  A lost answer is detected after this time at the
 latest, usually sooner by a peer's heartbeat.  Longer watches mean fewer calls, and each call has a cost."""
-GATHER_S = {Subject.ROUTES: 0.2, Subject.BACKENDS: 1.0}
+MINIMUM_WATCH_INTERVAL_S = {Subject.ROUTES: 0.2, Subject.BACKENDS: 1.0}
 """Minimum seconds from the start of one watch to the start of the next, so that changes in quick succession
 are answered together: each call has a cost."""
-START_GATHER_DURATION_S = 3.0
-"""Seconds after a watcher begins in which it gathers changes only briefly: after a restart of all processes,
-entries that expired while the store was unreachable are written again in this time."""
+START_PHASE_DURATION_S = 3.0
+"""Seconds after a watcher begins in which watches follow each other at a shorter interval: after a restart
+of all processes, entries that expired while the store was unreachable are written again in this time."""
 START_WATCH_INTERVAL_S = 0.2
-"""Minimum seconds from the start of one watch to the next during `START_GATHER_DURATION_S`."""
+"""Minimum seconds from the start of one watch to the next during `START_PHASE_DURATION_S`."""
 REREAD_AFTER_BREAK_S = 1.2
 """Seconds from the first read after a failed call until everything is read once more: the store may answer
 from a replica that is up to one second behind."""
@@ -84,7 +84,7 @@
         self._is_read_required = False
         self._has_content = False
         self._watch_started_at = -NEVER
-        self._start_gather_until = -NEVER
+        self._start_phase_until = -NEVER
         self._was_confirmed = False
         self.is_watcher = False
         self.confirmed_at = -NEVER
@@ -137,7 +137,7 @@
         self._is_valid = False
         self._may_read_stale = False
         self._follows_failure = False
-        self._start_gather_until = now + START_GATHER_DURATION_S
+        self._start_phase_until = now + START_PHASE_DURATION_S
         self._read_at = now
         self._next_call_at = now
 
@@ -255,10 +255,10 @@
         """Record that a watch was answered."""
         self._is_watching = False
         self._answered(revision)
-        gather_s = GATHER_S[self._subject]
-        if now < self._start_gather_until:
-            gather_s = min(gather_s, START_WATCH_INTERVAL_S)
-        self._next_call_at = max(now, self._watch_started_at + gather_s)
+        interval_s = MINIMUM_WATCH_INTERVAL_S[self._subject]
+        if now < self._start_phase_until:
+            interval_s = min(interval_s, START_WATCH_INTERVAL_S)
+        self._next_call_at = max(now, self._watch_started_at + interval_s)
 
     def failed(self, reason: StoreFailure, was_watch: bool, now: float) -> None:
         """Record that a call failed; the next call reads everything.
