--- a/features/steps/forwarding_placement_steps.py
+++ b/features/steps/forwarding_placement_steps.py
@@ -37,8 +37,8 @@
 from sloepond.core.forwarding.load.flow_observer import FlowObserver
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
 from sloepond.core.forwarding.packets import Refusal
-from sloepond.core.forwarding.placement.held_openings import MAXIMUM_QUEUE_TIME_S
 from sloepond.core.forwarding.placement.places import PlaceRules
+from sloepond.core.forwarding.placement.queued_openings import MAXIMUM_QUEUE_TIME_S
 from sloepond.core.forwarding.state.backend_records import BackendState
 from sloepond.core.forwarding.state.routes import Share, WeightedRoundRobin
 
--- a/sloepond/core/forwarding/peers/token_lookup.py
+++ b/sloepond/core/forwarding/peers/token_lookup.py
@@ -10,7 +10,7 @@
 from sloepond.core.forwarding.commands import LogKind, Outbox, ReprocessPackets
 from sloepond.core.forwarding.events import Subject, UnknownTokenReceived
 from sloepond.core.forwarding.local_state import LocalState
-from sloepond.core.forwarding.peers.held_packets import BUFFER_TIMEOUT_S, BufferedPackets
+from sloepond.core.forwarding.peers.buffered_packets import BUFFER_TIMEOUT_S, BufferedPackets
 from sloepond.core.forwarding.peers.messages import KnownBackend, TokenReply, TokenRequest
 
 
--- a/sloepond/core/forwarding/placement/early_openings.py
+++ b/sloepond/core/forwarding/placement/early_openings.py
@@ -1,7 +1,7 @@
 """New flows that arrive before a balancer that has just started can place them.
 
 They are queued until the routes are known or the list of back ends is confirmed (`unconfirmed_list`);
-`held_openings` queues flows that wait for spare capacity.  Owns: their opening packets.
+`queued_openings` queues flows that wait for spare capacity.  Owns: their opening packets.
 Relies on: `opening`, which adds packets and releases them once they can be placed.
 """
 
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -32,7 +32,7 @@
 from sloepond.core.forwarding.placement.admission import Admission
 from sloepond.core.forwarding.placement.early_openings import EarlyOpening, EarlyOpenings
 from sloepond.core.forwarding.placement.eligibility import Eligibility
-from sloepond.core.forwarding.placement.held_openings import QueuedOpening, QueuedOpenings
+from sloepond.core.forwarding.placement.queued_openings import QueuedOpening, QueuedOpenings
 from sloepond.core.forwarding.placement.selection import Selector
 from sloepond.core.forwarding.placement.unconfirmed_list import UnconfirmedList
 from sloepond.core.forwarding.state.backend import Decision, ForwardingBackend
