--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -133,7 +133,7 @@
 
     def _pull(self, now: float) -> None:
         """Request the last confirmations from peers if the local state is older than `PULL_AFTER_S`."""
-        age_s = self._staleness.maximum(now)
+        age_s = self._staleness.maximum_age(now)
         if self._election.is_reader or age_s < PULL_AFTER_S:
             self._pull_at = now + max(PULL_AFTER_S - age_s, PULL_INTERVAL_S)
             return
--- a/sloepond/core/forwarding/peers/reader_role.py
+++ b/sloepond/core/forwarding/peers/reader_role.py
@@ -79,6 +79,6 @@
         self._local.counters.role_changes += 1
         detail = (
             f"heard={self._election.count_readers(now)} fresh={is_fresh} "
-            f"failing={self._election.is_failing} age_s={self._staleness.maximum(now):.2f}"
+            f"failing={self._election.is_failing} age_s={self._staleness.maximum_age(now):.2f}"
         )
         self._outbox.log(LogKind.ROLE_CHANGED, role.value, detail)
--- a/sloepond/core/forwarding/state/backend_records.py
+++ b/sloepond/core/forwarding/state/backend_records.py
@@ -31,16 +31,16 @@
 """Separates the id of a back end from its start time in the name of an incarnation."""
 
 
-def incarnation_name(identity: str, born_ms: int) -> str:
+def incarnation_name(identity: str, started_at_ms: int) -> str:
     """Return the name of one incarnation of a back end.
 
     All counts, measurements and messages about a back end use this name, so those of a former incarnation
     do not affect the next one under the same id.
 
     :param identity: id of the back end.
-    :param born_ms: Unix time of its start in milliseconds, 0 if unknown.
+    :param started_at_ms: Unix time of its start in milliseconds, 0 if unknown.
     """
-    return f"{identity}{INCARNATION_SEPARATOR}{born_ms}" if born_ms else identity
+    return f"{identity}{INCARNATION_SEPARATOR}{started_at_ms}" if started_at_ms else identity
 
 
 def id_of_incarnation(name: str) -> str:
--- a/sloepond/core/forwarding/store/staleness.py
+++ b/sloepond/core/forwarding/store/staleness.py
@@ -36,7 +36,7 @@
         """Return the seconds since a subject was last confirmed."""
         return now - max(self._confirmed_at[subject], self._watchers[subject].confirmed_at)
 
-    def maximum(self, now: float) -> float:
+    def maximum_age(self, now: float) -> float:
         """Return the staleness of the stalest subject in seconds, at most `NEVER`."""
         return min(NEVER, max(self.of(subject, now) for subject in Subject))
 
@@ -49,7 +49,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether all subjects were confirmed within `STALE_AFTER_S`."""
-        return self.maximum(now) < STALE_AFTER_S
+        return self.maximum_age(now) < STALE_AFTER_S
 
     def review(self, now: float) -> bool:
         """Update `is_stale`; return whether the content has become stale since the last review."""
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -89,7 +89,7 @@
     state: fields.Text
     slow_left_ms: fields.SlowMilliseconds = msgspec.field(name="cold_left_ms")  # Remaining at the write.
     heartbeats: fields.Count = msgspec.field(name="seq")  # Count since its start; not used.
-    born_ms: fields.Count = msgspec.field(
+    started_at_ms: fields.Count = msgspec.field(
         default=0, name="born"
     )  # Unix time of its start; absent on older platforms.
 
@@ -151,7 +151,7 @@
         raise ValueError(f"{document.state} is not a state of a target")
     host, port = fields.endpoint_of(document.address)
     return BackendRecord(
-        name=incarnation_name(identity, document.born_ms),
+        name=incarnation_name(identity, document.started_at_ms),
         number=fields.number_of(identity),
         service=document.service,
         host=host,
