--- a/sloepond/core/forwarding/health/outlier_ejection.py
+++ b/sloepond/core/forwarding/health/outlier_ejection.py
@@ -173,7 +173,7 @@
         backend.ejected_until = now + duration_s
         backend.probation_until = now + 2.0 * duration_s
         self._ejections_until = max(self._ejections_until, backend.probation_until)
-        peers = self._peers.choose_near(now)
+        peers = self._peers.choose_preferring_hall(now)
         self._counters.peer_messages_sent += len(peers)
         ejection = BackendFailing(backend.name, duration_s)
         self._commands.extend(SendToPeer(ip, ejection) for ip in peers)
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -100,7 +100,7 @@
         self._request_at = now + FETCH_TIMEOUT_S
         self._may_request_again = True
         self._contacts_left = FANOUT
-        sources = self._peers.choose_source(now, now >= self._other_halls_at)
+        sources = self._peers.choose_snapshot_source(now, now >= self._other_halls_at)
         self._commands.extend(FetchSnapshot(ip) for ip in sources)
         return tuple(self._peers.choose(now))
 
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -114,7 +114,7 @@
             self._read_store(subject, now)
             return
         lag.due = now + CATCH_UP_DELAYS_S[lag.step]
-        ips = [lag.peer] if lag.step == 1 else self._local.peers.choose_near(now)
+        ips = [lag.peer] if lag.step == 1 else self._local.peers.choose_preferring_hall(now)
         self._outbox.send(
             ips, ChangesRequest(self.local_version(Subject.ROUTES), self.local_version(Subject.BACKENDS))
         )
--- a/sloepond/core/forwarding/peers/confirmations.py
+++ b/sloepond/core/forwarding/peers/confirmations.py
@@ -97,7 +97,7 @@
         has_new_changes = self._intake.has_new_changes(message.changes)
         if has_new_changes or election.is_among_best(message.reader, now):
             forwarded = message if has_new_changes else without_changes(message)
-            self._outbox.send(self._peers.choose_near(now), forwarded)
+            self._outbox.send(self._peers.choose_preferring_hall(now), forwarded)
         if message.is_candidacy:
             return
         self._recent.note(message, now)
@@ -129,7 +129,7 @@
         for changes in self._gossip.confirmed_changes(revision, now):
             message = self._message(False, age_s, changes)
             self._recent.note(message, now)
-            self._outbox.send(self._peers.choose_near(now), message)
+            self._outbox.send(self._peers.choose_preferring_hall(now), message)
 
     def _pull(self, now: float) -> None:
         """Request the last confirmations from peers if the local state is older than `PULL_AFTER_S`."""
--- a/sloepond/core/forwarding/peers/dissemination.py
+++ b/sloepond/core/forwarding/peers/dissemination.py
@@ -107,14 +107,14 @@
             return NEVER
         return min(watcher.next_deadline() for watcher in self._watchers.values())
 
-    def change_learned(self, now: float) -> None:
+    def local_state_changed(self, now: float) -> None:
         """Record that the local state has changed: a reader confirms the change soon."""
         self._confirmations.schedule(now)
 
     def routes_read(self, now: float) -> None:
         """Record that the store has returned a newer version of the routes."""
         self._gossip.routes_applied(now)
-        self.change_learned(now)
+        self.local_state_changed(now)
 
     def store_answered(self, now: float) -> None:
         """Record an answer of the store to any call: a reader confirms after each."""
@@ -157,10 +157,10 @@
         """Apply a peer's answer to a request for changes."""
         self._peer_message_at = now
         if self.intake.apply_reply(ip, message.changes, now):
-            self.change_learned(now)
+            self.local_state_changed(now)
 
     def routes_received(self, ip: str, deltas: tuple[RouteDelta, ...], now: float) -> None:
         """Apply differences of the routes that were requested from a peer."""
         self._peer_message_at = now
         if self.intake.apply_fetched_routes(ip, deltas, now):
-            self.change_learned(now)
+            self.local_state_changed(now)
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -151,7 +151,7 @@
         chosen.extend(self._random.sample(others, min(missing, len(others))))
         return chosen
 
-    def choose_near(self, now: float) -> list[str]:
+    def choose_preferring_hall(self, now: float) -> list[str]:
         """Return addresses of a few live peers, most of them in the same hall.
 
         Traffic between halls has a cost; one peer from any hall keeps the halls connected.
@@ -182,16 +182,16 @@
         peers = self._peers.values()
         return [peer.ip for peer in peers if peer.hall == self._hall and self._is_alive(peer, now)]
 
-    def choose_source(self, now: float, may_be_far: bool) -> list[str]:
+    def choose_snapshot_source(self, now: float, allow_other_halls: bool) -> list[str]:
         """Return the address of a peer to fetch a snapshot from, in the same hall if possible.
 
-        :param may_be_far: whether a peer in another or an unknown hall is acceptable.
+        :param allow_other_halls: whether a peer in another or an unknown hall is acceptable.
         """
         alive = [peer for peer in self._peers.values() if self._is_alive(peer, now)]
         near = [peer.ip for peer in alive if peer.hall == self._hall]
         if near:
             return [self._random.choice(near)]
-        return self.choose(now, 1)[:1] if may_be_far else []
+        return self.choose(now, 1)[:1] if allow_other_halls else []
 
     def choose_shared(self, now: float, hall: str = "") -> tuple[str, ...]:
         """Return the addresses of a few live peers for a heartbeat to carry.
--- a/sloepond/core/forwarding/peers/unreachable_gossip.py
+++ b/sloepond/core/forwarding/peers/unreachable_gossip.py
@@ -23,7 +23,7 @@
 
     def spread(self, name: str, now: float) -> None:
         """Send a name to a few peers; each forwards it once."""
-        self._outbox.send(self._local.peers.choose_near(now), BackendUnreachable(name))
+        self._outbox.send(self._local.peers.choose_preferring_hall(now), BackendUnreachable(name))
 
     def received(self, name: str, now: float) -> None:
         """Handle a name from a peer: forward it, and check the back end if it has flows here."""
--- a/sloepond/core/forwarding/placement/forwarder.py
+++ b/sloepond/core/forwarding/placement/forwarder.py
@@ -50,5 +50,5 @@
             return _UNREACHABLE
         is_repeated = self.observer.observe_packet(segment, backend, now)
         if is_repeated or backend.suspected_until > now or backend.departed_unannounced:
-            return backend.suspicious_decision
+            return backend.decision_with_check
         return backend.decision
--- a/sloepond/core/forwarding/state/backend.py
+++ b/sloepond/core/forwarding/state/backend.py
@@ -54,7 +54,7 @@
     :ivar in_flight: requests forwarded by this balancer and not yet answered.
     :ivar latency: estimate of its response time.
     :ivar decision: the decision to forward to it.
-    :ivar suspicious_decision: the decision to forward to it and to check whether it is gone.
+    :ivar decision_with_check: the decision to forward to it and to check whether it is gone.
     :ivar avoided_until: time until which it is chosen only if there is no other, since it may not answer.
     :ivar checked_at: when it was last checked.
     :ivar suspected_until: time until which packets to it start a check, because a peer could not reach it.
@@ -66,7 +66,7 @@
     __slots__ = (
         "name", "number", "service", "endpoint", "hall", "slots", "state", "token", "prefix",
         "warm_at", "departed_at", "announced_leaving", "revision", "flows", "in_flight",
-        "avoided_until", "token_bytes", "decision", "suspicious_decision", "checked_at",
+        "avoided_until", "token_bytes", "decision", "decision_with_check", "checked_at",
         "suspected_until", "unreachable_until", "latency",
         "ejected_until", "probation_until",
     )  # fmt: skip
@@ -81,7 +81,7 @@
         self.token_bytes = self.token.to_bytes(4, "big")
         self.prefix = record.number.to_bytes(8, "big")
         self.decision = Decision(self)
-        self.suspicious_decision = Decision(self, suspect=record.name)
+        self.decision_with_check = Decision(self, suspect=record.name)
         self.checked_at = -NEVER
         self.suspected_until = 0.0
         self.unreachable_until = 0.0
--- a/sloepond/core/forwarding/state/backends.py
+++ b/sloepond/core/forwarding/state/backends.py
@@ -132,7 +132,7 @@
             return False
         backend = self._by_name.get(record.name)
         if backend is None or record.revision > backend.revision:
-            self._checksum.entered(record.name, record.number, record.revision)
+            self._checksum.add(record.name, record.number, record.revision)
         if backend is None:
             self._add(ForwardingBackend(record, now))
         elif not backend.is_superseded_by(record):
@@ -155,7 +155,7 @@
             return True
         if record.revision <= former.revision:
             return False
-        self._checksum.left(former.name)
+        self._checksum.remove(former.name)
         self._remove(former)
         return True
 
@@ -204,7 +204,7 @@
         backend.announced_leaving = backend.announced_leaving or known.announced_leaving
         self._add(backend)
         if is_listed:
-            self._checksum.entered(record.name, record.number, record.revision)
+            self._checksum.add(record.name, record.number, record.revision)
         self._record_change(record.name, record.service, record.revision)
         return True
 
@@ -224,7 +224,7 @@
         backend = self._by_name.get(self._incarnation_by_id.get(name, name))
         if backend is None or backend.state is BackendState.DEPARTED or revision < backend.revision:
             return False
-        self._checksum.left(backend.name)
+        self._checksum.remove(backend.name)
         backend.state = BackendState.DEPARTED
         backend.revision = revision
         backend.departed_at = now
--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -42,7 +42,7 @@
 SlowMilliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAXIMUM_SLOW_MS)]
 
 
-def number_of(identity: str) -> int:
+def identity_number(identity: str) -> int:
     """Return the hexadecimal digits after the last dash of an id as a number, truncated to 64 bits.
 
     :raises ValueError: if there are none, or the number is 0, which means any back end in a packet.
--- a/sloepond/core/forwarding/state/list_checksum.py
+++ b/sloepond/core/forwarding/state/list_checksum.py
@@ -44,8 +44,8 @@
         self.value = EMPTY_CHECKSUM
         self._entries: dict[str, ListedEntry] = {}
 
-    def entered(self, name: str, number: int, revision: int) -> None:
-        """Record that a back end is listed as of a revision; an older revision changes nothing.
+    def add(self, name: str, number: int, revision: int) -> None:
+        """Add a listed back end, or update its revision; an older revision changes nothing.
 
         :param number: identity of the back end (64 bits).
         """
@@ -56,8 +56,8 @@
         self.value ^= entry.value ^ (known.value if known is not None else 0)
         self._entries[name] = entry
 
-    def left(self, name: str) -> None:
-        """Record that a back end is no longer listed."""
+    def remove(self, name: str) -> None:
+        """Remove a back end that is no longer listed."""
         known = self._entries.pop(name, None)
         if known is not None:
             self.value ^= known.value
--- a/sloepond/core/forwarding/store/store_answers.py
+++ b/sloepond/core/forwarding/store/store_answers.py
@@ -101,7 +101,7 @@
     def _apply_evacuated(self, evacuated: EvacuatedHalls) -> None:
         if not self._evacuations.apply(evacuated, self._now):
             return
-        self._dissemination.change_learned(self._now)
+        self._dissemination.local_state_changed(self._now)
         self._outbox.log(
             LogKind.HALLS_EVACUATED,
             ",".join(evacuated.halls) or "none",
@@ -124,7 +124,7 @@
         self._backends.list_received(event.revision)
         self._counters.backend_changes += changed
         if changed:
-            self._dissemination.change_learned(self._now)
+            self._dissemination.local_state_changed(self._now)
             self._outbox.log(
                 LogKind.BACKEND_CHANGED,
                 "list",
@@ -149,7 +149,7 @@
                 state = "departed"
             if changed:
                 self._counters.backend_changes += 1
-                self._dissemination.change_learned(self._now)
+                self._dissemination.local_state_changed(self._now)
                 self._outbox.log(LogKind.BACKEND_CHANGED, change.name, f"state={state} rev={change.revision}")
 
     def _apply_unreadable(self, entry: UnreadableBackend) -> None:
@@ -157,7 +157,7 @@
         self._counters.backends_unreadable += 1
         if self._backends.mark_unreadable(entry.name, entry.revision, self._now):
             self._counters.backend_changes += 1
-            self._dissemination.change_learned(self._now)
+            self._dissemination.local_state_changed(self._now)
         if self._unreadable_log_limit.take(self._now, 1.0):
             detail = f"rev={entry.revision} reason={entry.reason}"
             self._outbox.log(LogKind.BACKEND_UNREADABLE, entry.name, detail)
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -152,7 +152,7 @@
     host, port = fields.endpoint_of(document.address)
     return BackendRecord(
         name=incarnation_name(identity, document.started_at_ms),
-        number=fields.number_of(identity),
+        number=fields.identity_number(identity),
         service=document.service,
         host=host,
         port=port,
