--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -50,7 +50,7 @@
     digits = "".join(digit for digit in identity.rpartition("-")[2] if digit in HEXADECIMAL_DIGITS)
     number = int(digits or "0", 16) & (1 << NUMBER_BITS) - 1
     if not number:
-        raise ValueError(f"the id {identity} has no number")
+        raise ValueError(f"the id {identity} has no hexadecimal number above 0")
     return number
 
 
@@ -60,7 +60,7 @@
     :raises ValueError: if it is empty or too long, or contains a separator of keys or names.
     """
     if not 0 < len(text) <= MAXIMUM_TEXT_LENGTH or "/" in text or INCARNATION_SEPARATOR in text:
-        raise ValueError(f"{truncated(text)} is no id")
+        raise ValueError(f"{truncated(text)} is not a valid id")
     return text
 
 
@@ -73,7 +73,7 @@
     parts = host.split(".")
     is_host = len(parts) == IPV4_PARTS and all(_is_number(part, MAXIMUM_OCTET) for part in parts)
     if not is_host or not _is_number(port, MAXIMUM_PORT) or not int(port):
-        raise ValueError(f"{truncated(address)} is no address and port")
+        raise ValueError(f"{truncated(address)} is not a numeric IPv4 address and port")
     return Endpoint(host, int(port))
 
 
