--- a/features/steps/forwarding_hall_steps.py
+++ b/features/steps/forwarding_hall_steps.py
@@ -93,7 +93,7 @@
 
 
 @given("a forwarding node that has all changes up to revision {revision:d}")
-def knows_up_to(context, revision):
+def all_changes_up_to(context, revision):
     context.harness = Harness().configure(revision=revision)
 
 
--- a/features/steps/forwarding_unconfirmed_steps.py
+++ b/features/steps/forwarding_unconfirmed_steps.py
@@ -54,7 +54,7 @@
     return decision
 
 
-@given("a forwarding node that spares slow back ends and has just read a list that may be old")
+@given("a forwarding node with slow start that has just read a list that may be stale")
 def new_with_old_list(context):
     context.harness = harness = Harness(fresh_node(slow_start_limit=LIMIT))
     harness.run_to(harness.now + 0.06, TimerFired())
@@ -63,7 +63,7 @@
     harness.handle(BackendsRead(NEW_REVISION, old_records()))
 
 
-@then("forwarding lets a new flow wait and reads the list again within {seconds:g} seconds")
+@then("forwarding queues a new flow and reads the list again within {seconds:g} seconds")
 def queues_and_reads(context, seconds):
     harness = context.harness
     assert open_flow(harness, 1).queue
@@ -72,7 +72,7 @@
     assert harness.all(ReprocessPackets) == []
 
 
-@when("forwarding reads that all back ends have become slow")
+@when("forwarding reads that all back ends have become cold")
 def reads_slow(context):
     context.harness.handle(BackendsRead(NEW_REVISION, new_records()))
 
@@ -84,7 +84,7 @@
     context.harness.handle(PeerMessageReceived(PEER, Confirmation(READER, 1.0, 1, False, 0.0, changes)))
 
 
-@when("a reader confirms another list than forwarding has read")
+@when("a reader confirms a list other than the one forwarding has read")
 def reader_confirms_other(context):
     node = context.harness.node
     other = checksum(node) ^ 1
@@ -107,30 +107,30 @@
             harness.handle(StoreCallFailed(Subject.BACKENDS, StoreFailure.UNREACHABLE, False))
 
 
-@then("forwarding decides on the flow that waited, and no back end is given one")
+@then("forwarding decides again on the queued flow, and places no new flow")
 def decided_without_new_flows(context):
     assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     decisions = [open_flow(context.harness, port) for port in range(2, 40)]
     assert all(decision.backend is None and not decision.queue for decision in decisions)
 
 
-@then("forwarding decides on the flow that waited, and back ends are given new ones")
+@then("forwarding decides again on the queued flow, and places new flows")
 def decided_with_new_flows(context):
     assert [command.datagrams for command in context.harness.all(ReprocessPackets)] == [(b"opening",)]
     assert open_flow(context.harness, 2).backend is not None
 
 
-@then("forwarding gives back ends new flows")
+@then("forwarding places new flows")
 def new_flows(context):
     assert open_flow(context.harness, 3).backend is not None
 
 
-@then("forwarding lets a new flow wait")
+@then("forwarding queues a new flow")
 def still_queued(context):
     assert open_flow(context.harness, 4).queue
 
 
-@given("a forwarding node that spares slow back ends and has heard a reader confirm revision {revision:d}")
+@given("a forwarding node with slow start to which a reader has confirmed revision {revision:d}")
 def reader_confirmed_before(context, revision):
     context.harness = harness = Harness(fresh_node(slow_start_limit=LIMIT))
     changes = Changes(7, None, revision, revision, revision, (), list_checksum=1)
