--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -261,7 +261,7 @@
                 del self.watches[key]
                 if self.loses_answers:
                     failed = self.failure(command, StoreFailure.TIMED_OUT)
-                    self.later(command.wait_s, key[0], node, failed)
+                    self.later(command.timeout_s, key[0], node, failed)
                 else:
                     self.later(ANSWER_S, key[0], node, answer)
 
--- a/features/steps/forwarding_outage_steps.py
+++ b/features/steps/forwarding_outage_steps.py
@@ -39,7 +39,7 @@
         self.store.calls += 1
         timeout_s = TIMEOUT_S
         if isinstance(command, WatchSubject):
-            timeout_s = command.wait_s + WATCH_MARGIN_S
+            timeout_s = command.timeout_s + WATCH_MARGIN_S
         self.later(timeout_s, ip, node, self.failure(command, StoreFailure.TIMED_OUT))
 
     def run_silent_outage(self, seconds):
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -33,12 +33,12 @@
     """Watch a subject for changes after a revision.
 
     :ivar after: revision of the store up to which changes are known.
-    :ivar wait_s: seconds for which the store may hold the call open.
+    :ivar timeout_s: seconds for which the store may hold the call open.
     """
 
     subject: Subject
     after: int
-    wait_s: float
+    timeout_s: float
 
 
 class ProbeStore(msgspec.Struct, frozen=True):
--- a/sloepond/core/forwarding/health/reachability.py
+++ b/sloepond/core/forwarding/health/reachability.py
@@ -19,14 +19,14 @@
 from sloepond.core.forwarding.state.backends import DEPARTED_RETENTION_S, BackendDirectory
 from sloepond.core.token_bucket import TokenBucket
 
-CHECK_INTERVAL_S = 1.0
+BACKEND_CHECK_INTERVAL_S = 1.0
 """Minimum seconds between two checks of one back end; ten times the duration of a check."""
 CHECKS_PER_S = 20.0
 """Rate and burst of the checks of all back ends together; bounds the checks that callers can cause."""
 UNREACHABLE_S = 4.0
 """Seconds for which flows of a listed but unreachable back end are reset; slightly longer than the 3.6 s
 for which its entry remains in the list after a crash."""
-AVOIDED_S = 0.6
+CHECK_AVOIDANCE_S = 0.6
 """Seconds for which a back end that is being checked is chosen only if there is no other.  A check takes
 0.1 s, and 0.3 s with its two repeats."""
 CONTROL_CANDIDATES = 8
@@ -51,12 +51,12 @@
 
     def begin_check(self, backend: ForwardingBackend, now: float) -> bool:
         """Return whether a suspected back end is to be checked now; if so, the check counts as begun."""
-        if now - backend.checked_at < CHECK_INTERVAL_S:
+        if now - backend.checked_at < BACKEND_CHECK_INTERVAL_S:
             return False
         if not self._check_budget.take(now, 1.0):
             return False
         backend.checked_at = now
-        backend.avoided_until = max(backend.avoided_until, now + AVOIDED_S)
+        backend.avoided_until = max(backend.avoided_until, now + CHECK_AVOIDANCE_S)
         return True
 
     def control(self, suspect: ForwardingBackend, now: float) -> Endpoint | None:
@@ -87,12 +87,12 @@
         """
         control = self._controls.pop(backend.name, None)
         if control is not None:
-            control.avoided_until = max(control.avoided_until, now + AVOIDED_S)
+            control.avoided_until = max(control.avoided_until, now + CHECK_AVOIDANCE_S)
         inconclusive = self._inconclusive.pop(backend.name, 0) + 1
         if control is None or inconclusive > INCONCLUSIVE_REPEATS:
             return False
         self._inconclusive[backend.name] = inconclusive
-        backend.checked_at = now - CHECK_INTERVAL_S
+        backend.checked_at = now - BACKEND_CHECK_INTERVAL_S
         return True
 
     def record_result(self, backend: ForwardingBackend, result: CheckResult, now: float) -> None:
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -30,7 +30,7 @@
 from the store; a longer one gives worse service after a restart of all processes."""
 ROUTES_READ_DELAY_S = 0.05
 """The same for the routes.  The list of back ends comes first; 75 of them take 25 ms on a 10 Mbit/s link."""
-FETCH_TIMEOUT_S = 0.25
+SNAPSHOT_TIMEOUT_S = 0.25
 """Seconds for which reads are held back for a requested snapshot, and after which another peer is tried.  A
 snapshot of 0.15 MB takes 0.12 s on a 10 Mbit/s link."""
 PEER_RETRY_DELAY_S = 0.3
@@ -97,7 +97,7 @@
         if self._is_done:
             self._request_at = NEVER
             return ()
-        self._request_at = now + FETCH_TIMEOUT_S
+        self._request_at = now + SNAPSHOT_TIMEOUT_S
         self._may_request_again = True
         self._contacts_left = FANOUT
         sources = self._peers.choose_snapshot_source(now, now >= self._other_halls_at)
@@ -118,7 +118,7 @@
         self._may_request_again = False
         if now < self._store_reads_at:
             self._first_source = ip
-            self._schedule_store_reads(now + FETCH_TIMEOUT_S)
+            self._schedule_store_reads(now + SNAPSHOT_TIMEOUT_S)
         return ()
 
     def _choose_uncontacted(self, ips: tuple[str, ...]) -> tuple[str, ...]:
@@ -154,7 +154,7 @@
         if self._request_at == NEVER or reason is StoreFailure.TIMED_OUT:
             return
         self._request_at = min(self._request_at, max(now, self._started_at + HEARTBEAT_REPLY_S))
-        self._other_halls_at = min(self._other_halls_at, now + FETCH_TIMEOUT_S)
+        self._other_halls_at = min(self._other_halls_at, now + SNAPSHOT_TIMEOUT_S)
 
     @property
     def _is_done(self) -> bool:
--- a/sloepond/core/forwarding/placement/opening.py
+++ b/sloepond/core/forwarding/placement/opening.py
@@ -39,7 +39,7 @@
 from sloepond.core.forwarding.state.route_table import RouteTable
 from sloepond.core.forwarding.state.routes import Route
 
-AVOIDANCE_S = 2.0
+UNANSWERED_AVOIDANCE_S = 2.0
 """Seconds for which a back end that left an opening packet unanswered is chosen only if there is no other."""
 
 _NO_ROUTE = Decision(refusal=Refusal.NO_ROUTE, reset=True)
@@ -130,7 +130,7 @@
         self, unanswered: ForwardingBackend, route: Route, now: float
     ) -> ForwardingBackend | None:
         """Return a back end other than the one that left the first opening packet unanswered."""
-        unanswered.avoided_until = now + AVOIDANCE_S
+        unanswered.avoided_until = now + UNANSWERED_AVOIDANCE_S
         self._counters.second_choices += 1
         return self._choose(unanswered.service, route, now, unanswered.name)
 
--- a/sloepond/core/forwarding/placement/slow_start.py
+++ b/sloepond/core/forwarding/placement/slow_start.py
@@ -23,7 +23,7 @@
 """Balancers among which the limit is divided, since several may consider themselves the owner of a back
 end.  If 15 of 74 balancers have just started and each of these knows a third of the others, there are at
 most 4 owners with a probability of 99.7% (binomial: 15 with 1/25 each, beside the true owner)."""
-WINDOW_S = 1.1
+RATE_WINDOW_S = 1.1
 """Seconds for which opened flows are counted: the second to which the limit applies, and the 0.1 s by which
 the network delays to a back end may differ."""
 FLEET_DISCOVERY_S = 5.0
@@ -49,7 +49,7 @@
 
     :ivar checked_at: when the owner was last searched for.
     :ivar is_owner: whether this balancer is the owner.
-    :ivar opened_at: times of the flows that this balancer has opened there within `WINDOW_S`.
+    :ivar opened_at: times of the flows that this balancer has opened there within `RATE_WINDOW_S`.
     """
 
     checked_at: float
@@ -111,7 +111,7 @@
             ownership.is_owner = self._is_owner(backend)
         if not ownership.is_owner:
             return False
-        ownership.opened_at = [at for at in ownership.opened_at if now - at < WINDOW_S]
+        ownership.opened_at = [at for at in ownership.opened_at if now - at < RATE_WINDOW_S]
         return len(ownership.opened_at) < self._maximum_flows(backend.service)
 
     def _maximum_flows(self, service: str) -> int:
--- a/sloepond/platform/store.py
+++ b/sloepond/platform/store.py
@@ -67,7 +67,7 @@
     def watch_target(self, command: WatchSubject) -> str:
         """Return the target of a long-polling GET that waits for changes."""
         prefix = quote(_PREFIXES[command.subject])
-        wait_ms = int(command.wait_s * MS_PER_S)
+        wait_ms = int(command.timeout_s * MS_PER_S)
         return f"/api/kv-watch?path_prefix={prefix}&after={command.after}&wait_ms={wait_ms}"
 
     def decode_page(self, subject: Subject, body: bytes) -> ReadPage:
--- a/sloepond/runtime/forwarding/store_client.py
+++ b/sloepond/runtime/forwarding/store_client.py
@@ -93,7 +93,7 @@
     async def watch(self, command: WatchSubject) -> StoreEvent:
         """Wait for changes of a subject."""
         target = self._codec.watch_target(command)
-        answer = await self._get(target, SILENCE_TIMEOUT_S, command.wait_s + WATCH_MARGIN_S)
+        answer = await self._get(target, SILENCE_TIMEOUT_S, command.timeout_s + WATCH_MARGIN_S)
         failure = store_failure(answer)
         if isinstance(answer, HttpFailure) or failure is not None:
             return StoreCallFailed(command.subject, failure or StoreFailure.REFUSED, True)
