--- a/sloepond/core/configuration/judgement.py
+++ b/sloepond/core/configuration/judgement.py
@@ -40,7 +40,7 @@
     MALFORMED = enum.auto()
 
 
-class CheckResult(msgspec.Struct, frozen=True):
+class GenerationCheckResult(msgspec.Struct, frozen=True):
     """Result of the check of a generation.
 
     :ivar reason: why it is not accepted, as one line of text.
@@ -56,27 +56,29 @@
     delta: ConfigurationDelta | None = None
 
 
-def check_snapshot(base: CompiledConfiguration, snapshot: ConfigurationSnapshot) -> Slices[CheckResult]:
+def check_snapshot(
+    base: CompiledConfiguration, snapshot: ConfigurationSnapshot
+) -> Slices[GenerationCheckResult]:
     """Check a snapshot read from the platform, whose resources may be in any order."""
     delta = yield from _difference(base, snapshot.resources)
     if delta is None:
         reason = f"declared more than once: {', '.join(_duplicates(snapshot.resources))}"
-        return CheckResult(Outcome.REJECTED, reason, snapshot.digest)
+        return GenerationCheckResult(Outcome.REJECTED, reason, snapshot.digest)
     return (yield from _check(base, snapshot.generation, snapshot.digest, delta))
 
 
-def check_transfer(base: CompiledConfiguration, transfer: FetchedTransfer) -> Slices[CheckResult]:
+def check_transfer(base: CompiledConfiguration, transfer: FetchedTransfer) -> Slices[GenerationCheckResult]:
     """Check a transfer from another balancer: a delta from the base, or a snapshot."""
     header = transfer.header
     delta = yield from decode_slices(transfer.data)
     if delta is None:
-        return CheckResult(Outcome.MALFORMED, "cannot be decoded")
+        return GenerationCheckResult(Outcome.MALFORMED, "cannot be decoded")
     if header.base_generation == 0:
         delta = yield from _difference(base, delta.changed)
     elif header.base_generation != base.generation or not _has_unique_keys(delta):
         delta = None
     if delta is None:
-        return CheckResult(Outcome.MISMATCH, "does not apply to the generation in force")
+        return GenerationCheckResult(Outcome.MISMATCH, "does not apply to the generation in force")
     return (yield from _check(base, header.generation, header.digest, delta))
 
 
@@ -129,14 +131,14 @@
 
 def _check(
     base: CompiledConfiguration, generation: int, digest: str, delta: ConfigurationDelta
-) -> Slices[CheckResult]:
+) -> Slices[GenerationCheckResult]:
     yield from intern_values_slices(delta.changed)
     content = yield from updated_content_slices(base.content, generation, delta.changed, delta.removed)
     if content.digest != digest:
-        return CheckResult(Outcome.MISMATCH, DIGEST_MISMATCH, content.digest)
+        return GenerationCheckResult(Outcome.MISMATCH, DIGEST_MISMATCH, content.digest)
     findings = yield from findings_after_slices(base, delta, content.resources)
     if findings:
         shown = "; ".join(str(finding) for finding in findings[:REPORTED_FINDINGS])
-        return CheckResult(Outcome.REJECTED, f"{len(findings)} findings: {shown}", digest)
+        return GenerationCheckResult(Outcome.REJECTED, f"{len(findings)} findings: {shown}", digest)
     compiled = yield from base.updated_to_slices(content, delta.changed, delta.removed)
-    return CheckResult(Outcome.ACCEPTED, "", digest, compiled, delta)
+    return GenerationCheckResult(Outcome.ACCEPTED, "", digest, compiled, delta)
--- a/sloepond/core/configuration/store.py
+++ b/sloepond/core/configuration/store.py
@@ -16,7 +16,12 @@
 from sloepond.core.configuration.announcer import ConfigurationAnnouncer
 from sloepond.core.configuration.delta import ConfigurationDelta
 from sloepond.core.configuration.fetcher import ConfigurationFetcher, FetchedTransfer
-from sloepond.core.configuration.judgement import CheckResult, Outcome, check_snapshot, check_transfer
+from sloepond.core.configuration.judgement import (
+    GenerationCheckResult,
+    Outcome,
+    check_snapshot,
+    check_transfer,
+)
 from sloepond.core.configuration.read_schedule import ReadSchedule
 from sloepond.core.configuration.rejections import Rejections
 from sloepond.core.configuration.sender import ConfigurationSender
@@ -39,7 +44,7 @@
 CONTENT_CONFLICT = "another content is in force under this generation"
 
 
-class Candidate(msgspec.Struct, frozen=True):
+class CandidateGeneration(msgspec.Struct, frozen=True):
     """A generation that is being checked, as a change of the one in force.
 
     :ivar base: configuration in force when the check began.
@@ -76,8 +81,8 @@
         self._context = context
         self.in_force: CompiledConfiguration = EMPTY_CONFIGURATION
         self._service_up = True
-        self._work: SlicedWork[CheckResult] = SlicedWork(context, slice_units)
-        self._candidate: Candidate | None = None
+        self._work: SlicedWork[GenerationCheckResult] = SlicedWork(context, slice_units)
+        self._candidate: CandidateGeneration | None = None
         self._pending_snapshot: ConfigurationSnapshot | None = None
         self._rejections = Rejections(context)
         self._hold = StartupHold(context, settings.startup_wait_s)
@@ -135,7 +140,7 @@
         if not self._is_newer(snapshot.generation, snapshot.digest):
             return
         if not self._work.is_busy:
-            candidate = Candidate(self.in_force, snapshot.generation, snapshot.digest, None)
+            candidate = CandidateGeneration(self.in_force, snapshot.generation, snapshot.digest, None)
             self._start_check(candidate, check_snapshot(self.in_force, snapshot))
         elif self._pending_snapshot is None or snapshot.generation > self._pending_snapshot.generation:
             self._pending_snapshot = snapshot
@@ -152,11 +157,11 @@
             return False
         return not self._rejections.includes(generation, digest)
 
-    def _start_check(self, candidate: Candidate, work: Slices[CheckResult]) -> None:
+    def _start_check(self, candidate: CandidateGeneration, work: Slices[GenerationCheckResult]) -> None:
         self._candidate = candidate
         self._work.start(work, lambda result: self._check_finished(candidate, result))
 
-    def _check_finished(self, candidate: Candidate, result: CheckResult) -> None:
+    def _check_finished(self, candidate: CandidateGeneration, result: GenerationCheckResult) -> None:
         self._candidate = None
         is_consistent = self._apply_result(candidate, result)
         if not is_consistent and candidate.transfer is not None:
@@ -166,7 +171,7 @@
         if pending is not None:
             self._check_snapshot(pending)
 
-    def _apply_result(self, candidate: Candidate, result: CheckResult) -> bool:
+    def _apply_result(self, candidate: CandidateGeneration, result: GenerationCheckResult) -> bool:
         """Put an accepted candidate in force, or report why it was rejected.
 
         :returns: whether the content matched its announcement.
@@ -188,7 +193,7 @@
         return True
 
     def _put_in_force(
-        self, candidate: Candidate, configuration: CompiledConfiguration, delta: ConfigurationDelta
+        self, candidate: CandidateGeneration, configuration: CompiledConfiguration, delta: ConfigurationDelta
     ) -> None:
         previous = self.in_force
         self.in_force = configuration
@@ -219,9 +224,9 @@
             self._check_held()
         if generation > self.in_force.generation:
             source = Source(address, generation, digest[:DIGEST_PREFIX], self._context.now)
-            self._source_heard(source)
+            self._source_announced(source)
 
-    def _source_heard(self, source: Source) -> None:
+    def _source_announced(self, source: Source) -> None:
         """Fetch a peer's generation, but not during a check: it may be the same generation."""
         if self._work.is_busy:
             self._fetcher.sources.add_announcement(source)
@@ -250,7 +255,7 @@
         if not self._is_newer(header.generation, header.digest):
             self._fetcher.transfer_failed(transfer)
             return
-        candidate = Candidate(self.in_force, header.generation, header.digest, transfer)
+        candidate = CandidateGeneration(self.in_force, header.generation, header.digest, transfer)
         self._start_check(candidate, check_transfer(self.in_force, transfer))
 
     def next_deadline(self) -> float:
--- a/sloepond/core/configuration/validation.py
+++ b/sloepond/core/configuration/validation.py
@@ -58,8 +58,8 @@
     base: CompiledConfiguration, delta: ConfigurationDelta, resources: Sequence[Resource]
 ) -> Slices[tuple[Finding, ...]]:
     """Do the work of `findings_after` in slices."""
-    is_small = base.generation > 0 and changes_only_backends(delta.changed, delta.removed)
-    if is_small and (yield from _BackendChange(base, delta).is_valid()):
+    is_backend_change = base.generation > 0 and changes_only_backends(delta.changed, delta.removed)
+    if is_backend_change and (yield from _BackendChange(base, delta).is_valid()):
         return ()
     others = without_backends(resources)
     yield len(others)
@@ -116,13 +116,13 @@
         """Return whether all resources after the change are valid as a whole."""
         addresses: set[str] = set()
         for block in blocks(self._changed):
-            if not all(self._fits(backend) for backend in block):
+            if not all(self._is_backend_valid(backend) for backend in block):
                 return False
             addresses.update(backend.spec.address for backend in block)
             yield len(block)
         return len(addresses) == len(self._changed) and self._all_reachable()
 
-    def _fits(self, backend: Backend) -> bool:
+    def _is_backend_valid(self, backend: Backend) -> bool:
         spec = backend.spec
         holder = self._base.backends_by_address.get(spec.address)
         return (
