--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -19,7 +19,7 @@
 from sloepond.core.forwarding.peers.messages import Changes, Confirmation
 from sloepond.core.forwarding.peers.reader_election import (
     CANDIDATE_DELAY_S,
-    CHECK_INTERVAL_S,
+    ROLE_REVIEW_INTERVAL_S,
     START_DELAY_S,
     URGENT_DELAY_S,
     Role,
@@ -133,7 +133,7 @@
 
     def become_reader(self, revision=10, routes=ROUTES, backends=None):
         """Let the node become a reader, since it receives no confirmation, and answer its reads."""
-        maximum_s = START_DELAY_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * CHECK_INTERVAL_S
+        maximum_s = START_DELAY_S + URGENT_DELAY_S + CANDIDATE_DELAY_S + 2 * ROLE_REVIEW_INTERVAL_S
         self.run_to(self.now + maximum_s, TimerFired())
         assert self.node.role is Role.READER
         self.commands.clear()
--- a/sloepond/core/forwarding/peers/catch_up.py
+++ b/sloepond/core/forwarding/peers/catch_up.py
@@ -29,13 +29,14 @@
 
     :ivar peer: address of the peer.
     :ivar due: when the next request is sent.
-    :ivar known: local version or revision when the first delay began.
+    :ivar local_version: local version or revision when the first delay began; if it has risen since then, the
+        delays begin again.
     :ivar step: how many of the delays have passed.
     """
 
     peer: str
     due: float
-    known: int
+    local_version: int
     step: int = 0
 
 
@@ -64,9 +65,9 @@
 
     def compare(self, ip: str, changes: Changes, now: float) -> None:
         """Compare a peer's version and revision with the local ones; start to catch up if they are higher."""
-        known = self._peer_versions
-        known[Subject.ROUTES] = max(known[Subject.ROUTES], changes.routes_version)
-        known[Subject.BACKENDS] = max(known[Subject.BACKENDS], self._backends_revision(changes))
+        highest = self._peer_versions
+        highest[Subject.ROUTES] = max(highest[Subject.ROUTES], changes.routes_version)
+        highest[Subject.BACKENDS] = max(highest[Subject.BACKENDS], self._backends_revision(changes))
         for subject in Subject:
             if self.is_behind(subject) and subject not in self._lags:
                 self._lags[subject] = Lag(ip, now + CATCH_UP_DELAYS_S[0], self.local_version(subject))
@@ -105,8 +106,8 @@
         if not self.is_behind(subject):
             del self._lags[subject]
             return
-        if self.local_version(subject) > lag.known:
-            lag.known = self.local_version(subject)
+        if self.local_version(subject) > lag.local_version:
+            lag.local_version = self.local_version(subject)
             lag.step = 0
         lag.step += 1
         if lag.step >= len(CATCH_UP_DELAYS_S):
--- a/sloepond/core/forwarding/peers/reader_election.py
+++ b/sloepond/core/forwarding/peers/reader_election.py
@@ -43,7 +43,7 @@
 drawn from once to twice this.  Longer than a candidate needs to become a reader, at most 0.6 s."""
 FAILING_TIMEOUT_S = 0.6
 """Seconds for which calls to the store may fail before a reader resigns: about four attempts with backoff."""
-CHECK_INTERVAL_S = 0.2
+ROLE_REVIEW_INTERVAL_S = 0.2
 """Seconds between reviews of the role: a tenth of the timeout after which a reader counts as gone."""
 RANK_JITTER_DIVISOR = 1000.0
 """The random part of a rank is at most a core divided by this, so that equal machines differ in rank.  It is
@@ -78,7 +78,7 @@
         self._random = random_source
         self._others = KnownReaders()
         self._start_at = -NEVER
-        self._check_at = NEVER
+        self._review_at = NEVER
         self._candidate_at = NEVER
         self._candidate_since = -NEVER
         self._backoff_until = -NEVER
@@ -87,7 +87,7 @@
     def start(self, now: float) -> None:
         """Start as a follower."""
         self._start_at = now
-        self._check_at = now + START_DELAY_S
+        self._review_at = now + START_DELAY_S
 
     @property
     def is_reader(self) -> bool:
@@ -96,7 +96,7 @@
 
     def next_deadline(self) -> float:
         """Return when `on_timer` has something to do."""
-        return min(self._check_at, self._candidate_at)
+        return min(self._review_at, self._candidate_at)
 
     def message_received(self, message: Confirmation, now: float) -> bool:
         """Record a candidacy or a confirmation; return whether it is new and of another balancer."""
@@ -139,7 +139,7 @@
         """
         if now < self.next_deadline():
             return
-        self._check_at = now + CHECK_INTERVAL_S
+        self._review_at = now + ROLE_REVIEW_INTERVAL_S
         if self.role is Role.FOLLOWER:
             self._consider_candidacy(now, is_fresh, peers)
         elif self.role is Role.CANDIDATE:
@@ -165,7 +165,7 @@
             self._candidate_at = NEVER
             self.role = Role.CANDIDATE
             self._candidate_since = now
-            self._check_at = now + CANDIDATE_DELAY_S
+            self._review_at = now + CANDIDATE_DELAY_S
 
     def _consider_reading(self, now: float) -> None:
         if now < self._candidate_since + CANDIDATE_DELAY_S:
--- a/sloepond/core/forwarding/state/route_delta.py
+++ b/sloepond/core/forwarding/state/route_delta.py
@@ -14,7 +14,7 @@
 MAXIMUM_DELTAS = 32
 """Maximum number of differences kept for peers that are behind; a peer that lacks more versions reads the
 routes from the store."""
-MAXIMUM_CHANGES = 12
+MAXIMUM_DATAGRAM_CHANGES = 12
 """Maximum number of changed routes in a difference that is sent by datagram; a larger one is sent by stream.
 Encoded, 12 routes with two services each take 987 bytes, so the message stays below 1,500 bytes."""
 
@@ -40,7 +40,10 @@
     def fits_datagram(self) -> bool:
         """Whether it is small enough for a datagram."""
         cold_starts = len(self.cold_starts or ())
-        return len(self.changed) + cold_starts <= MAXIMUM_CHANGES and len(self.removed) <= 4 * MAXIMUM_CHANGES
+        return (
+            len(self.changed) + cold_starts <= MAXIMUM_DATAGRAM_CHANGES
+            and len(self.removed) <= 4 * MAXIMUM_DATAGRAM_CHANGES
+        )
 
 
 def difference(
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -50,7 +50,7 @@
 from sloepond.runtime.forwarding.sockets import Socket
 from sloepond.runtime.forwarding.streams import Acceptor, connect, keep_alive, read_to_end, send_all
 
-FETCH_TIMEOUT_S = 2.5
+STREAM_TIMEOUT_S = 2.5
 """Timeout of one exchange on a stream, in seconds; after it the node asks another peer.
 
 A snapshot of 3,000 back ends has about 0.3 MB, which takes 0.3 s on a link of 10 Mbit/s.
@@ -163,7 +163,7 @@
 
     async def _request(self, ip: str, request: StreamRequest) -> bytes:
         """Return the bytes of a peer's answer; empty if the peer has nothing newer."""
-        deadline = self._loop.clock() + FETCH_TIMEOUT_S
+        deadline = self._loop.clock() + STREAM_TIMEOUT_S
         with await connect(Endpoint(ip, self._port), deadline) as stream:
             keep_alive(stream)
             await send_all(stream, self._encoder.encode(request), deadline)
@@ -174,7 +174,7 @@
 
     async def _serve(self, stream: Socket) -> None:
         """Answer the request on one stream."""
-        deadline = self._loop.clock() + FETCH_TIMEOUT_S
+        deadline = self._loop.clock() + STREAM_TIMEOUT_S
         received = await read_to_end(stream, MAXIMUM_REQUEST_BYTES, deadline)
         try:
             request = self._request_decoder.decode(received)
--- a/sloepond/runtime/forwarding/reloading.py
+++ b/sloepond/runtime/forwarding/reloading.py
@@ -13,7 +13,7 @@
 from sloepond.runtime.forwarding.log_writer import LogWriter
 from sloepond.runtime.forwarding.process import ForwardingSettings
 
-CHECK_INTERVAL_S = 5.0
+RELOAD_INTERVAL_S = 5.0
 """Interval between reads of the settings without a signal, in seconds.
 
 Seeds and the store's address change rarely, and reading a small file costs little.
--- a/sloepond/runtime/forwarding/service.py
+++ b/sloepond/runtime/forwarding/service.py
@@ -42,7 +42,7 @@
 from sloepond.runtime.forwarding.peer_channel import PeerChannel
 from sloepond.runtime.forwarding.process import BoundSockets
 from sloepond.runtime.forwarding.reachability_check import ReachabilityCheck
-from sloepond.runtime.forwarding.reloading import CHECK_INTERVAL_S, SettingsReloader
+from sloepond.runtime.forwarding.reloading import RELOAD_INTERVAL_S, SettingsReloader
 from sloepond.runtime.forwarding.store_client import StoreClient
 
 STARTUP_DROP_INTERVAL_S = 1.0
@@ -203,7 +203,7 @@
 
     async def _reload_regularly(self) -> None:
         while True:
-            await sleep_until(self._loop.clock() + CHECK_INTERVAL_S)
+            await sleep_until(self._loop.clock() + RELOAD_INTERVAL_S)
             self._reload()
 
     def _readiness_page(self, target: str) -> Page:
