--- a/sloepond/core/forwarding/state/entry_fields.py
+++ b/sloepond/core/forwarding/state/entry_fields.py
@@ -20,7 +20,7 @@
 MAXIMUM_SLOTS = 1_000_000
 """Maximum number of requests that a back end processes at once: more than any does, and it fits every
 message."""
-MAXIMUM_SLOW_MS = 86_400_000.0
+MAXIMUM_COLD_MS = 86_400_000.0
 """Maximum duration of a cold start in milliseconds: a day, longer than any."""
 MAXIMUM_COUNT = 2**53
 """Largest integer that every JSON implementation represents exactly."""
@@ -39,7 +39,7 @@
 OptionalText = Annotated[str, msgspec.Meta(max_length=MAXIMUM_TEXT_LENGTH)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_COUNT)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_SLOTS)]
-SlowMilliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAXIMUM_SLOW_MS)]
+ColdMilliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAXIMUM_COLD_MS)]
 
 
 def identity_number(identity: str) -> int:
--- a/sloepond/platform/documents.py
+++ b/sloepond/platform/documents.py
@@ -52,16 +52,16 @@
     """One service of the configuration."""
 
     name: str
-    # How long a target of the service is slow after its start, in seconds; 0 or null: it is not slow.
-    slow_for_s: float | None = msgspec.field(default=0.0, name="cold_start_s")
-    # New flows per second that one target can take while it is slow.
-    slow_flows_per_s: float | None = msgspec.field(default=0.0, name="cold_per_s")
+    # Duration of the cold start of a target of the service, in seconds; 0 or null if it has none.
+    cold_duration_s: float | None = msgspec.field(default=0.0, name="cold_start_s")
+    # New flows per second that one target accepts during its cold start.
+    cold_flows_per_s: float | None = msgspec.field(default=0.0, name="cold_per_s")
 
 
 class LimitsDocument(msgspec.Struct):
     """Limits of the configuration; according to the platform no other limit applies to packets."""
 
-    # Time after which an idle flow may be forgotten.  It closes no connection.
+    # Time after which the state of an idle flow may be removed.  It closes no connection.
     flow_idle_ms: float = msgspec.field(default=15_000.0, name="idle_timeout_ms")
 
 
@@ -87,7 +87,7 @@
     version: str  # Version of the target's software; not used.
     slots: fields.Slots  # Requests that it handles concurrently; not flows.
     state: fields.Text
-    slow_left_ms: fields.SlowMilliseconds = msgspec.field(name="cold_left_ms")  # Remaining at the write.
+    cold_left_ms: fields.ColdMilliseconds = msgspec.field(name="cold_left_ms")  # Remaining at the write.
     heartbeats: fields.Count = msgspec.field(name="seq")  # Count since its start; not used.
     started_at_ms: fields.Count = msgspec.field(
         default=0, name="born"
@@ -134,7 +134,7 @@
         document.version,
         tuple(_convert_route(route) for route in document.routes),
         document.limits.flow_idle_ms / MS_PER_S,
-        tuple(_convert_cold_start(each) for each in document.services if each.slow_for_s),
+        tuple(_convert_cold_start(each) for each in document.services if each.cold_duration_s),
     )
 
 
@@ -159,13 +159,13 @@
         hall=document.hall,
         slots=document.slots,
         state=STATES[document.state],
-        cold_s=document.slow_left_ms / MS_PER_S,
+        cold_s=document.cold_left_ms / MS_PER_S,
         revision=revision,
     )
 
 
 def _convert_cold_start(document: ServiceDocument) -> ColdStart:
-    return ColdStart(document.name, document.slow_for_s or 0.0, document.slow_flows_per_s or 0.0)
+    return ColdStart(document.name, document.cold_duration_s or 0.0, document.cold_flows_per_s or 0.0)
 
 
 def _convert_route(document: RouteDocument) -> Route:
--- a/sloepond/platform/settings.py
+++ b/sloepond/platform/settings.py
@@ -56,8 +56,8 @@
         seeds=tuple(host for host in file.hosts("seeds") if host != fields["ip"]),
         capacity=_capacity(file),
         regions=_regions(fields),
-        # A back end that is slow after its start may receive `cold_over` times the flows per second
-        # that it can take then, plus `cold_slack` flows per second.
+        # During its cold start a back end may receive `cold_over` times the flows per second that it
+        # accepts then, plus `cold_slack` flows per second.
         cold_factor=file.number("bounds.cold_over") or 1.0,
         cold_slack_per_s=file.number("bounds.cold_slack"),
         # Time from SIGTERM to SIGKILL.
