--- a/features/steps/forwarding_model.py
+++ b/features/steps/forwarding_model.py
@@ -67,7 +67,7 @@
 
 
 def segment(route=STREAM, port=1000, token=0, opening=False, copies=0, length=0, acknowledgement=1):
-    """Return the head of a packet."""
+    """Return the header of a packet."""
     return Segment(
         source=100 << 24 | 7,
         source_port=port,
--- a/features/steps/node_answer_steps.py
+++ b/features/steps/node_answer_steps.py
@@ -13,7 +13,7 @@
 from sloepond.core.forwarding.load.flow_observer import FlowObserver
 from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S, WaitingRequests
 from sloepond.core.forwarding.state.backend import ForwardingBackend
-from sloepond.core.forwarding_input import reply_head_of, segment_of
+from sloepond.core.forwarding_input import reply_header_of, segment_of
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket, CallerPacketKind, FlowKey
 
 PLAYBACK = "10.255.0.2:7000"
@@ -202,8 +202,8 @@
     kind = BackendReplyKind.REFUSED if reply == "a refusal" else BackendReplyKind.ANSWER
     context.observer.observe_packet(segment_of(request), context.backend, 1.0)
     for index in range(2 if reply == "the answer twice" else 1):
-        head = reply_head_of(BackendReply(kind, flow, 1, token=token))
-        context.observer.observe_reply(head, 1.0 + ANSWER_S * (index + 1))
+        header = reply_header_of(BackendReply(kind, flow, 1, token=token))
+        context.observer.observe_reply(header, 1.0 + ANSWER_S * (index + 1))
     keepalive = CallerPacket(CallerPacketKind.KEEPALIVE, flow, token=token)
     context.observer.observe_packet(segment_of(keepalive), context.backend, 3.0)
 
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -86,7 +86,7 @@
 class ResetFlows(msgspec.Struct, frozen=True):
     """Reset flows whose back end is gone.
 
-    :ivar segments: head of an empty packet of each flow, as its caller would send it.
+    :ivar segments: header of an empty packet of each flow, as its caller would send it.
     """
 
     segments: tuple[Segment, ...]
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -16,7 +16,7 @@
 from sloepond.core.deadlines import NEVER
 from sloepond.core.forwarding.load.latency import LatencyHistogram
 from sloepond.core.forwarding.load.waiting_requests import WaitingRequests
-from sloepond.core.forwarding.packets import ReplyHead, Segment
+from sloepond.core.forwarding.packets import ReplyHeader, Segment
 from sloepond.core.forwarding.state.backend import ForwardingBackend
 
 MAXIMUM_FLOWS = 20_000
@@ -164,19 +164,19 @@
         flow.acknowledged = segment.acknowledgement
         return is_repeated
 
-    def observe_reply(self, head: ReplyHead, now: float) -> None:
+    def observe_reply(self, header: ReplyHeader, now: float) -> None:
         """Record a back end's reply, if it is the first one to the last observed request of its flow.
 
         A refusal counts as an answer, but its latency is not recorded: otherwise a back end that sheds
         requests would appear fast and get more flows.
         """
-        flow = self._flows.get(head.flow_key)
-        if flow is None or flow.acknowledged != head.acknowledgement or flow.backend.token != head.token:
+        flow = self._flows.get(header.flow_key)
+        if flow is None or flow.acknowledged != header.acknowledgement or flow.backend.token != header.token:
             return
-        if head.is_answer:
+        if header.is_answer:
             self._observe_latency(flow, now)
         flow.requested_at = 0.0
-        self._end_in_flight(head.flow_key, flow)
+        self._end_in_flight(header.flow_key, flow)
 
     def _observe_latency(self, flow: ObservedFlow, now: float) -> None:
         """Record the time from a request to the first acknowledgement of its answer, or to its reply."""
--- a/sloepond/core/forwarding/node.py
+++ b/sloepond/core/forwarding/node.py
@@ -40,7 +40,7 @@
 from sloepond.core.forwarding.lifecycle.stall_guard import STALL_THRESHOLD_S
 from sloepond.core.forwarding.load.latency import LatencyHistogram
 from sloepond.core.forwarding.load.waiting_requests import UNANSWERED_AFTER_S
-from sloepond.core.forwarding.packets import ReplyHead, Segment
+from sloepond.core.forwarding.packets import ReplyHeader, Segment
 from sloepond.core.forwarding.peers.messages import Snapshot
 from sloepond.core.forwarding.peers.reader_election import Role
 from sloepond.core.forwarding.state.backend import Decision
@@ -171,9 +171,9 @@
             self._deadline = min(self._deadline, now + UNANSWERED_AFTER_S)
         return decision
 
-    def reply_seen(self, head: ReplyHead, now: float) -> None:
+    def reply_seen(self, header: ReplyHeader, now: float) -> None:
         """Record a back end's reply; never called if replies do not pass through this balancer."""
-        self._forwarder.observer.observe_reply(head, now)
+        self._forwarder.observer.observe_reply(header, now)
 
     def next_deadline(self) -> float:
         """Return when to send `TimerFired` next."""
--- a/sloepond/core/forwarding/packets.py
+++ b/sloepond/core/forwarding/packets.py
@@ -1,4 +1,4 @@
-"""Heads of callers' packets and of replies, and the reasons for which a packet is not forwarded.
+"""Headers of callers' packets and of replies, and the reasons for which a packet is not forwarded.
 
 Owns: these types.  Relies on: the codec of the runtime to fill a segment.
 """
@@ -16,7 +16,7 @@
 
 
 class Segment(msgspec.Struct, gc=False):
-    """Head of one packet of a caller.
+    """Header of one packet of a caller.
 
     Addresses are the 32 bits of IPv4 in host order.
 
@@ -51,8 +51,8 @@
         return caller << ENDPOINT_BITS | self.route_key
 
 
-class ReplyHead(msgspec.Struct, frozen=True, gc=False):
-    """Head of a back end's reply to a request, if replies pass through the balancer.
+class ReplyHeader(msgspec.Struct, frozen=True, gc=False):
+    """Header of a back end's reply to a request, if replies pass through the balancer.
 
     :ivar flow_key: key of the flow; see `Segment.flow_key`.
     :ivar acknowledgement: `Segment.acknowledgement` of the request that is replied to.
@@ -67,7 +67,7 @@
 
 
 def empty_segment(flow_key: int, acknowledgement: int) -> Segment:
-    """Return the head of an empty packet of a flow, as its caller would send it.
+    """Return the header of an empty packet of a flow, as its caller would send it.
 
     :param acknowledgement: next byte expected from the other end.
     """
--- a/sloepond/core/forwarding/placement/queued_openings.py
+++ b/sloepond/core/forwarding/placement/queued_openings.py
@@ -25,7 +25,7 @@
 class QueuedOpening(msgspec.Struct):
     """A new flow that waits for spare capacity.
 
-    :ivar segment: head of its opening packet.
+    :ivar segment: header of its opening packet.
     :ivar datagram: its opening packet.
     :ivar priority: priority of its route; 0 is the highest.
     :ivar services: services that it may go to.
--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -1,8 +1,8 @@
 """Converts sloepond's own packets and configuration to the input of `core.forwarding`.
 
-`core.forwarding` handles packets as heads of numbers, and back ends as records of a store.  This module
-makes both from `core.packets` and from a compiled configuration.  It holds no state and relies on neither a
-clock nor the node.
+`core.forwarding` handles packets as headers of numbers (`Segment`, `ReplyHeader`), and back ends as records
+of a store.  This module makes both from `core.packets` and from a compiled configuration.  It holds no state
+and relies on neither a clock nor the node.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import hashlib
 import ipaddress
 
-from sloepond.core.forwarding.packets import ENDPOINT_BITS, PORT_BITS, ReplyHead, Segment
+from sloepond.core.forwarding.packets import ENDPOINT_BITS, PORT_BITS, ReplyHeader, Segment
 from sloepond.core.forwarding.placement.places import PlaceRules
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import Route, Share
@@ -33,7 +33,7 @@
 
 
 def segment_of(packet: CallerPacket) -> Segment:
-    """Return the head of a caller's packet.
+    """Return the header of a caller's packet.
 
     The acknowledgement of an opening packet is the number of its retransmission; that of other packets
     grows with the requests of the flow.
@@ -56,15 +56,15 @@
     )
 
 
-def reply_head_of(reply: BackendReply) -> ReplyHead | None:
-    """Return the head of a back end's reply to a request, None for other replies.
+def reply_header_of(reply: BackendReply) -> ReplyHeader | None:
+    """Return the header of a back end's reply to a request, None for other replies.
 
     :raises ValueError: an address of the flow is invalid; packets of such a flow are not forwarded.
     """
     is_answer = reply.kind is BackendReplyKind.ANSWER
     if not reply.request_id or not (is_answer or reply.kind in _REFUSALS):
         return None
-    return ReplyHead(_flow_key(reply.flow), _acknowledgement(reply.request_id), reply.token, is_answer)
+    return ReplyHeader(_flow_key(reply.flow), _acknowledgement(reply.request_id), reply.token, is_answer)
 
 
 def route_of(service: CompiledService) -> Route:
--- a/sloepond/core/node.py
+++ b/sloepond/core/node.py
@@ -50,7 +50,7 @@
 from sloepond.core.forwarding.node import ForwardingNode
 from sloepond.core.forwarding.state.backend_records import BackendRecord, BackendState
 from sloepond.core.forwarding.state.routes import RouteConfiguration
-from sloepond.core.forwarding_input import place_rules_of, record_of, reply_head_of, route_of, segment_of
+from sloepond.core.forwarding_input import place_rules_of, record_of, reply_header_of, route_of, segment_of
 from sloepond.core.messages import ConfigurationOffered, Member
 from sloepond.core.packets import BackendReply, BackendReplyKind, CallerPacket
 from sloepond.core.settings import NodeSettings
@@ -277,9 +277,9 @@
         return [SendToCaller(refusal_of(packet))] if decision.reset else []
 
     def _backend_reply(self, reply: BackendReply, now: float) -> list[Command]:
-        head = reply_head_of(reply)
-        if head is not None:
-            self._forwarding.reply_seen(head, now)
+        header = reply_header_of(reply)
+        if header is not None:
+            self._forwarding.reply_seen(header, now)
         return _forwarded_reply(reply)
 
 
