--- a/sloepond/resources/sorted_items.py
+++ b/sloepond/resources/sorted_items.py
@@ -1,6 +1,7 @@
 """An immutable sorted sequence whose edited copies share unchanged chunks.
 
-An edit copies the affected chunks and the list of chunks instead of all items.
+An edit copies the affected chunks and the list of chunks instead of all items, so its cost grows
+with the number of chunks, not with that of items.
 """
 
 from __future__ import annotations
