--- a/features/forwarding/bootstrap.feature
+++ b/features/forwarding/bootstrap.feature
@@ -1,4 +1,4 @@
-Feature: A fresh balancer gets routes and back ends from a peer in its zone, else from the store
+Feature: A fresh balancer gets routes and back ends from a peer in its hall, else from the store
 
   Scenario: A balancer restarted in a running fleet makes no call to the store
     Given a simulated fleet of 30 balancers in steady state
@@ -20,12 +20,12 @@
     Then each of them was ready within 0.9 seconds
 
   Scenario: A stale snapshot from a peer is applied, and the store is read too
-    Given a fresh forwarding node that has found a peer in its zone
+    Given a fresh forwarding node that has found a peer in its hall
     When that peer sends a snapshot that the store confirmed 4 seconds ago
     Then forwarding is ready and reads the store at once
 
   Scenario: A busy peer does not delay the read of the store
-    Given a fresh forwarding node that has found a peer in its zone
+    Given a fresh forwarding node that has found a peer in its hall
     When that peer refuses the snapshot request
     Then forwarding reads the store at once
 
--- a/features/forwarding/planned_stop.feature
+++ b/features/forwarding/planned_stop.feature
@@ -1,40 +1,40 @@
 Feature: A stopping balancer keeps forwarding as long as routers may send packets to it
 
-  Scenario: The end of a planned stop, for any packets and any zone
-    Then a planned stop ends in time, and not early while packets arrive or routers use the whole zone
+  Scenario: The end of a planned stop, for any packets and any hall
+    Then a planned stop ends in time, and not early while packets arrive or routers use the whole hall
 
   Scenario: A single stopping balancer ends soon
-    Given a fleet of 18 balancers in three zones behind routers
-    When 1 balancer of a zone is asked to stop
+    Given a fleet of 18 balancers in three halls behind routers
+    When 1 balancer of a hall is asked to stop
     Then it never reports ready again, and ends between 1.8 and 3.0 seconds later
-    And no packet of the zone was lost
+    And no packet of the hall was lost
 
-  Scenario: Balancers that stop after most of their zone has stopped report ready a little longer
-    Given a fleet of 18 balancers in three zones behind routers
-    When 3 balancers of a zone are asked to stop
-    And 2 more balancers of the zone are asked to stop after 1.0 seconds
+  Scenario: Balancers that stop after most of their hall has stopped report ready a little longer
+    Given a fleet of 18 balancers in three halls behind routers
+    When 3 balancers of a hall are asked to stop
+    And 2 more balancers of the hall are asked to stop after 1.0 seconds
     Then the last 2 report ready for 2.4 seconds at most
     And all stopping balancers have ended within 5.1 seconds of the request
 
-  Scenario: A whole zone stops at once
-    Given a fleet of 18 balancers in three zones behind routers
-    When 6 balancers of a zone are asked to stop
-    Then no balancer of the zone reports ready after 2.4 seconds
+  Scenario: A whole hall stops at once
+    Given a fleet of 18 balancers in three halls behind routers
+    When 6 balancers of a hall are asked to stop
+    Then no balancer of the hall reports ready after 2.4 seconds
     And all stopping balancers have ended within 5.1 seconds of the request
 
-  Scenario: Half of a zone stops while a quarter of it is killed
-    Given a fleet of 24 balancers in three zones behind routers
-    When 2 balancers of a zone are killed
-    And 4 balancers of a zone are asked to stop
+  Scenario: Half of a hall stops while a quarter of it is killed
+    Given a fleet of 24 balancers in three halls behind routers
+    When 2 balancers of a hall are killed
+    And 4 balancers of a hall are asked to stop
     Then all stopping balancers have ended within 5.1 seconds of the request
     And none has ended while routers sent packets to it, except at its time limit
 
-  Scenario: Most of a zone is removed, two balancers at a time
-    Given a fleet of 18 balancers in three zones behind routers
-    When 5 balancers of a zone are removed, two each second
+  Scenario: Most of a hall is removed, two balancers at a time
+    Given a fleet of 18 balancers in three halls behind routers
+    When 5 balancers of a hall are removed, two each second
     Then at most half as many packets are lost as with a fixed end after 1.8 seconds
 
-  Scenario: Most of a zone is removed, whichever heartbeats its balancers have received
+  Scenario: Most of a hall is removed, whichever heartbeats its balancers have received
     Heartbeats go to a few random peers, and only a heartbeat names its sender's hall.  So 6 s after
     its start a balancer may not know all balancers of its hall.  It then counts too many or too few
     of them as ready, and ends while routers use all of them.  One seed does not show this:
--- a/features/forwarding/store.feature
+++ b/features/forwarding/store.feature
@@ -22,17 +22,17 @@
     And forwarding reads the routes from the store within a second if no peer answers
 
   Scenario: A fresh balancer gets routes and back ends from a peer while the store is silent
-    Given a fresh forwarding node whose store is silent, beside a peer in its zone
+    Given a fresh forwarding node whose store is silent, beside a peer in its hall
     When forwarding receives a snapshot from a peer
     Then forwarding is ready and forwards to back ends that left the list
 
   Scenario: A fresh balancer that the store refuses requests a snapshot from a peer at once
-    Given a fresh forwarding node beside a peer in its zone
+    Given a fresh forwarding node beside a peer in its hall
     When the store refuses the first reads of forwarding
     Then forwarding requests a snapshot from the peer within 0.12 seconds
 
-  Scenario: A fresh balancer that the store refuses does not wait long for a peer in its zone
-    Given a fresh forwarding node beside a peer in another zone
+  Scenario: A fresh balancer that the store refuses does not wait long for a peer in its hall
+    Given a fresh forwarding node beside a peer in another hall
     When the store refuses the first reads of forwarding
     Then forwarding requests a snapshot from the peer within 0.4 seconds
 
@@ -40,20 +40,20 @@
     Given a fresh forwarding node whose store is silent
     Then forwarding accepts a stale list first and reads it again within three seconds
 
-  Scenario: Snapshots are requested from peers in the own zone first, in other zones only after a delay
-    Given a fresh forwarding node whose store is silent and whose peers are in other zones
+  Scenario: Snapshots are requested from peers in the own hall first, in other halls only after a delay
+    Given a fresh forwarding node whose store is silent and whose peers are in other halls
     Then forwarding requests no snapshot within a second
-    And forwarding requests a snapshot from a peer in another zone soon after
-    When forwarding receives a heartbeat of a peer in its own zone
+    And forwarding requests a snapshot from a peer in another hall soon after
+    When forwarding receives a heartbeat of a peer in its own hall
     Then forwarding sends further requests only to that peer
 
   Scenario: While the store is answering a large read no snapshot is requested from peers
-    Given a fresh forwarding node whose store is silent, beside a peer in its zone
+    Given a fresh forwarding node whose store is silent, beside a peer in its hall
     When forwarding receives a page of an answer of the store each tenth of a second for 1.5 seconds
     Then forwarding has requested no snapshot, and requests one 0.3 seconds after the last page
 
   Scenario: A store whose answer never ends does not prevent a snapshot request to a peer
-    Given a fresh forwarding node whose store is silent, beside a peer in its zone
+    Given a fresh forwarding node whose store is silent, beside a peer in its hall
     When forwarding receives a page of an answer of the store each tenth of a second for 3.0 seconds
     Then forwarding has requested a snapshot from a peer
 
--- a/features/steps/forwarding_bootstrap_steps.py
+++ b/features/steps/forwarding_bootstrap_steps.py
@@ -121,7 +121,7 @@
     check()
 
 
-@given("a fresh forwarding node that has found a peer in its zone")
+@given("a fresh forwarding node that has found a peer in its hall")
 def near_peer_found(context):
     context.harness = Harness()
     context.harness.handle(PeerMessageReceived("10.1.0.2", Heartbeat(7, 1, False, (), "north")))
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on evacuated zones, slow start, and regions of routes."""
+"""Steps on evacuated halls, slow start, and regions of routes."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 
 def zoned_records(numbers, revision=1):
-    """Return back ends of one service, distributed over the zones in turn."""
+    """Return back ends of one service, distributed over the halls in turn."""
     return tuple(record(number, hall=ZONES[number % 3], revision=revision) for number in numbers)
 
 
 @then(
-    "forwarding property: evacuated and restored zones are known to a fleet with packet loss within 2 seconds"
+    "forwarding property: evacuated and restored halls are known to a fleet with packet loss within 2 seconds"
 )
 def evacuations_reach_all(context):
     @FLEET_PROPERTY
@@ -96,7 +96,7 @@
     check()
 
 
-@then("forwarding property: the newest set of evacuated zones is in force in any order of messages")
+@then("forwarding property: the newest set of evacuated halls is in force in any order of messages")
 def newest_in_force(context):
     sets = st.dictionaries(st.integers(1, 50), st.sets(st.sampled_from(ZONES)), min_size=1)
 
@@ -118,7 +118,7 @@
     check()
 
 
-@when("forwarding reads that zone north is evacuated and its later reads fail")
+@when("forwarding reads that hall north is evacuated and its later reads fail")
 def evacuated_and_failing(context):
     harness = context.harness
     harness.handle(RoutesRead(30, ROUTES, ("north",)))
@@ -134,7 +134,7 @@
     assert decision.refusal is Refusal.NO_BACKEND and decision.reset and not decision.queue
 
 
-@then("forwarding property: no new flow goes to an evacuated zone, and every open flow stays")
+@then("forwarding property: no new flow goes to an evacuated hall, and every open flow stays")
 def only_new_flows(context):
     @PROPERTY
     @for_all(st.lists(st.sets(st.sampled_from(ZONES)), min_size=1, max_size=6))
@@ -167,26 +167,26 @@
     context.harness.run_to(context.harness.now + 6.0, TimerFired())
 
 
-@when("forwarding reads that zone south is evacuated and then restored")
+@when("forwarding reads that hall south is evacuated and then restored")
 def evacuated_and_restored(context):
     context.harness.handle(RoutesRead(50, WARM_ROUTES, ("south",)))
     context.harness.run_to(context.harness.now + 3.0, TimerFired())
     context.harness.handle(RoutesRead(51, WARM_ROUTES, ()))
 
 
-@then("forwarding places no flow in zone south for 2 seconds, and some afterwards")
+@then("forwarding places no flow in hall south for 2 seconds, and some afterwards")
 def limited_then_used(context):
     harness = context.harness
     restored_at = harness.now
-    zones = defaultdict(set)
+    halls = defaultdict(set)
     for port in range(80):
         decision = harness.node.decide(segment(STREAM, port, opening=True), harness.now)
         assert decision.queue or decision.backend is not None
         if decision.backend is not None:
-            zones[harness.now - restored_at < COLD_S].add(decision.backend.hall)
+            halls[harness.now - restored_at < COLD_S].add(decision.backend.hall)
         harness.run_to(harness.now + 0.05, TimerFired())
-    assert zones[True] == {"north", "west"}
-    assert zones[False] == set(ZONES)
+    assert halls[True] == {"north", "west"}
+    assert halls[False] == set(ZONES)
 
 
 class Openings:
@@ -317,7 +317,7 @@
     check()
 
 
-@then("forwarding refuses a flow whose route names regions if the region of no zone is known")
+@then("forwarding refuses a flow whose route names regions if the region of no hall is known")
 def unknown_regions(context):
     restricted = Route("homed", 77 << 16 | 443, (Share("booking", 1),), regions=("here",))
     harness = Harness().configure(RouteConfiguration(9, (restricted,)), zoned_records(range(1, 10)))
--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -79,15 +79,15 @@
         del self.backends[name]
         self.log.append((now, Subject.BACKENDS, self.revision, DepartedBackend(name, self.revision)))
 
-    def evacuate(self, zone, now, is_evacuated=True):
+    def evacuate(self, hall, now, is_evacuated=True):
         """Mark a hall as evacuated, or remove the mark."""
         self.revision += 1
         if is_evacuated:
-            self.evacuated.add(zone)
+            self.evacuated.add(hall)
         else:
-            self.evacuated.discard(zone)
+            self.evacuated.discard(hall)
         self.log.append(
-            (now, Subject.ROUTES, self.revision, EvacuationChange(zone, self.revision, is_evacuated))
+            (now, Subject.ROUTES, self.revision, EvacuationChange(hall, self.revision, is_evacuated))
         )
 
     def configure(self, routes, now, cold_starts=()):
@@ -123,9 +123,9 @@
         values = tuple(change for _, change in found)
         if command.subject is Subject.BACKENDS:
             return BackendsChanged(self.revision, values)
-        zones = tuple(change for change in values if isinstance(change, EvacuationChange))
+        halls = tuple(change for change in values if isinstance(change, EvacuationChange))
         configurations = tuple(change for change in values if not isinstance(change, EvacuationChange))
-        return RoutesChanged(self.revision, configurations, zones)
+        return RoutesChanged(self.revision, configurations, halls)
 
 
 class Fleet:
@@ -162,10 +162,10 @@
     def start(self, ip):
         """Start a new process."""
         self.watches = {key: watch for key, watch in self.watches.items() if key[0] != ip}
-        zone = f"z{int(ip.rpartition('.')[2]) % 3}"
+        hall = f"z{int(ip.rpartition('.')[2]) % 3}"
         chance = random.Random(self.random.random())
         options = NodeOptions(ip=ip, seeds=self.seeds, **{"capacity": 0.1, **self.options})
-        node = ForwardingNode(zone, chance, options)
+        node = ForwardingNode(hall, chance, options)
         self.nodes[ip] = node
         self.carry_out(ip, node, node.start(self.now))
         self.carry_out(ip, node, node.handle(PeersReachable(), self.now))
--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -33,7 +33,7 @@
 
 
 class RoutedFleet(Fleet):
-    """A fleet whose balancers end on request, behind the routers of one zone.
+    """A fleet whose balancers end on request, behind the routers of one hall.
 
     :ivar ended: time at which each balancer ended.
     :ivar lost: packets that routers have sent to balancers that had ended.
@@ -51,13 +51,13 @@
         super().__init__(count, self.seed, kill_after_s=kill_after_s)
         self.run(SETTLED_S)
         assert not self.behind()
-        self.hall = [ip for ip, node in self.nodes.items() if node.is_ready and self.zone_of(ip) == 0]
+        self.hall = [ip for ip, node in self.nodes.items() if node.is_ready and self.hall_of(ip) == 0]
         self.requested_at = {}
         self.next_check_at = self.now
 
     @staticmethod
-    def zone_of(ip):
-        """Return the number of a balancer's zone."""
+    def hall_of(ip):
+        """Return the number of a balancer's hall."""
         return int(ip.rpartition(".")[2]) % 3
 
     def carry_out(self, ip, node, commands):
@@ -78,7 +78,7 @@
         self.carry_out(ip, self.nodes[ip], self.nodes[ip].handle(StopRequested(), self.now))
 
     def check_readiness(self):
-        """Check the readiness of all balancers of the zone."""
+        """Check the readiness of all balancers of the hall."""
         for ip in self.hall:
             node = self.nodes.get(ip)
             is_ready = node is not None and node.reports_ready(self.now)
@@ -108,14 +108,14 @@
             self.run(STEP_S)
 
 
-@given("a fleet of {count:d} balancers in three zones behind routers")
+@given("a fleet of {count:d} balancers in three halls behind routers")
 def routed_fleet(context, count):
     context.fleet = RoutedFleet(count)
     context.fleet.route(1.0)
 
 
-@when("{count:d} balancer of a zone is asked to stop")
-@when("{count:d} balancers of a zone are asked to stop")
+@when("{count:d} balancer of a hall is asked to stop")
+@when("{count:d} balancers of a hall are asked to stop")
 def zone_stops(context, count):
     fleet = context.fleet
     context.last = [ip for ip in fleet.hall if ip in fleet.nodes][:count]
@@ -123,7 +123,7 @@
         fleet.stop(ip)
 
 
-@when("{count:d} more balancers of the zone are asked to stop after {seconds:g} seconds")
+@when("{count:d} more balancers of the hall are asked to stop after {seconds:g} seconds")
 def more_stop(context, count, seconds):
     fleet = context.fleet
     fleet.route(seconds)
@@ -133,7 +133,7 @@
     context.were_ready = [fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last]
 
 
-@when("{count:d} balancers of a zone are killed")
+@when("{count:d} balancers of a hall are killed")
 def zone_killed(context, count):
     for ip in context.fleet.hall[:count]:
         context.fleet.kill(ip)
@@ -152,7 +152,7 @@
     )
 
 
-@then("no packet of the zone was lost")
+@then("no packet of the hall was lost")
 def none_lost(context):
     context.fleet.route(2.0)
     assert context.fleet.sent > 0 and context.fleet.lost == 0
@@ -166,7 +166,7 @@
     assert not any(fleet.nodes[ip].reports_ready(fleet.now) for ip in context.last if ip in fleet.nodes)
 
 
-@then("no balancer of the zone reports ready after {seconds:g} seconds")
+@then("no balancer of the hall reports ready after {seconds:g} seconds")
 def none_ready(context, seconds):
     fleet = context.fleet
     fleet.route(seconds)
@@ -189,7 +189,7 @@
         assert is_late or fleet.ended[ip] - fleet.last_packet_at[ip] >= QUIET_S - STEP_S
 
 
-@when("{count:d} balancers of a zone are removed, two each second")
+@when("{count:d} balancers of a hall are removed, two each second")
 def taken_away(context, count):
     context.lost = []
     for kill_after_s in (GRACE_S, 0.0):
@@ -240,7 +240,7 @@
     assert abs(harness.now - context.stopped_at - seconds) <= 2 * STEP_S
 
 
-@then("a planned stop ends in time, and not early while packets arrive or routers use the whole zone")
+@then("a planned stop ends in time, and not early while packets arrive or routers use the whole hall")
 def ends_for_any_course(context):
     zones = st.builds(HallBalancers, st.integers(0, 10), st.integers(0, 10))
     steps = st.lists(st.tuples(st.floats(0.01, 0.6), st.booleans(), zones), min_size=20, max_size=120)
--- a/features/steps/forwarding_store_steps.py
+++ b/features/steps/forwarding_store_steps.py
@@ -200,20 +200,20 @@
     context.harness.run_to(context.harness.now + 0.4, TimerFired())
 
 
-@given("a fresh forwarding node whose store is silent, beside a peer in its zone")
+@given("a fresh forwarding node whose store is silent, beside a peer in its hall")
 def silent_store_beside(context):
     context.harness = Harness()
     context.harness.handle(PeerMessageReceived("10.1.0.2", Heartbeat(0, 0, False, (), "north")))
     context.harness.run_to(context.harness.now + 0.4, TimerFired())
 
 
-@given("a fresh forwarding node beside a peer in its zone")
+@given("a fresh forwarding node beside a peer in its hall")
 def beside_near(context):
     context.harness = Harness(fresh_node(seeds=()))
     context.harness.handle(PeerMessageReceived("10.1.0.2", Heartbeat(7, 1, False, (), "north")))
 
 
-@given("a fresh forwarding node beside a peer in another zone")
+@given("a fresh forwarding node beside a peer in another hall")
 def beside_far(context):
     context.harness = Harness(fresh_node(seeds=()))
     context.harness.handle(PeerMessageReceived("10.1.0.2", Heartbeat(7, 1, False, (), "south")))
@@ -266,7 +266,7 @@
     assert harness.node.backends.by_name(records()[-1].name).state is BackendState.DEPARTED
 
 
-@given("a fresh forwarding node whose store is silent and whose peers are in other zones")
+@given("a fresh forwarding node whose store is silent and whose peers are in other halls")
 def peers_elsewhere(context):
     context.harness = Harness()
     for number in (2, 3, 4):
@@ -279,13 +279,13 @@
     assert context.harness.all(FetchSnapshot) == []
 
 
-@then("forwarding requests a snapshot from a peer in another zone soon after")
+@then("forwarding requests a snapshot from a peer in another hall soon after")
 def requests_from_other_zone(context):
     context.harness.run_to(context.harness.now + 0.5, TimerFired())
     assert context.harness.all(FetchSnapshot) != []
 
 
-@when("forwarding receives a heartbeat of a peer in its own zone")
+@when("forwarding receives a heartbeat of a peer in its own hall")
 def own_zone_heartbeat_received(context):
     context.harness.handle(PeerMessageReceived("10.1.0.9", Heartbeat(7, 1, False, (), "north")))
 
