--- a/features/steps/forwarding_stop_steps.py
+++ b/features/steps/forwarding_stop_steps.py
@@ -116,7 +116,7 @@
 
 @when("{count:d} balancer of a hall is asked to stop")
 @when("{count:d} balancers of a hall are asked to stop")
-def zone_stops(context, count):
+def hall_stops(context, count):
     fleet = context.fleet
     context.last = [ip for ip in fleet.hall if ip in fleet.nodes][:count]
     for ip in context.last:
@@ -134,7 +134,7 @@
 
 
 @when("{count:d} balancers of a hall are killed")
-def zone_killed(context, count):
+def hall_killed(context, count):
     for ip in context.fleet.hall[:count]:
         context.fleet.kill(ip)
 
--- a/sloepond/core/forwarding/assembly.py
+++ b/sloepond/core/forwarding/assembly.py
@@ -51,7 +51,7 @@
     :ivar seeds: addresses of balancers that may be up.
     :ivar places: halls to which flows of each service may go.
     :ivar capacity: share of a core that the process may use.
-    :ivar slow_start_limit: limit of new flows to back ends that are slow after their start.
+    :ivar slow_start_limit: limit on new flows to cold back ends; None for no limit.
     :ivar kill_after_s: seconds from the request to stop until the process is killed.
     :ivar change_limit_s: seconds within which a change must be in force; 0 if the settings name no
         limit, then `CHANGE_LIMIT_S` applies.
--- a/sloepond/core/forwarding/commands.py
+++ b/sloepond/core/forwarding/commands.py
@@ -78,7 +78,7 @@
 
 
 class ReprocessPackets(msgspec.Struct, frozen=True):
-    """Decide again on packets that were buffered for a token lookup, or queued for routes or capacity."""
+    """Decide again on packets buffered for a token lookup, and on queued opening packets."""
 
     datagrams: tuple[bytes, ...]
 
--- a/sloepond/core/forwarding/counters.py
+++ b/sloepond/core/forwarding/counters.py
@@ -37,9 +37,10 @@
 
     :ivar backends_checked: checks whether a back end can be reached.
     :ivar backends_unreachable: checks that found it unreachable.
-    :ivar failure_reports_sent: reports of unanswered requests sent to the evaluators of a back end.
-    :ivar failure_reports_received: reports received by this balancer as an evaluator.
-    :ivar backends_judged_failing: back ends that this balancer, as an evaluator, found failing.
+    :ivar failure_reports_sent: reports of unanswered requests sent to the balancers assigned to
+        a back end.
+    :ivar failure_reports_received: reports received as a balancer assigned to a back end.
+    :ivar backends_judged_failing: ejections that this balancer has decided, as one assigned to the back end.
 
     Tokens:
 
--- a/sloepond/core/forwarding/lifecycle/bootstrap.py
+++ b/sloepond/core/forwarding/lifecycle/bootstrap.py
@@ -39,8 +39,8 @@
 OTHER_HALLS_AFTER_S = 1.2
 """Seconds after the start from which peers in other halls are tried too: traffic between halls has a cost."""
 HEARTBEAT_REPLY_S = 0.1
-"""Seconds within which peers may answer the first heartbeats; many times the latency between halls of about
-2 ms."""
+"""Seconds within which peers may answer the first heartbeats, and calls in flight may still be answered; many
+times the latency between halls of about 2 ms."""
 MAXIMUM_STORE_READ_S = 2.5
 """Seconds after the start during which pages from the store postpone requests to peers.  A configuration of
 2,588 routes takes about 1 s on a 10 Mbit/s link."""
--- a/sloepond/core/forwarding/lifecycle/planned_stop.py
+++ b/sloepond/core/forwarding/lifecycle/planned_stop.py
@@ -28,8 +28,8 @@
 machines 5.5 times slower than usual were killed before they had ended."""
 MAXIMUM_READY_S = 2.4
 """Maximum seconds for which a stopping balancer still reports that it is ready.  Routers must have dropped it
-4 s after the request to stop, and take up to 1.0 s for that, more on a slow machine.  With 3.2 s routers
-still counted it as ready after the 4 s."""
+4 s after the request to stop, and take up to 1.0 s for that, more on a slow machine.  A longer time loses
+fewer requests, but with 3.2 s routers still counted it as ready after the 4 s."""
 READY_SHARE = 0.5
 """Share of a hall's balancers that must be ready, else routers use all of them; defined by the routers."""
 
--- a/sloepond/core/forwarding/load/flow_observer.py
+++ b/sloepond/core/forwarding/load/flow_observer.py
@@ -113,12 +113,12 @@
 
     def take_unanswered_openings(self, before: float) -> list[ForwardingBackend]:
         """Remove opening packets forwarded up to a time that no packet followed; return their back ends."""
-        silent: list[ForwardingBackend] = []
+        backends: list[ForwardingBackend] = []
         while self.oldest_unanswered_opening() <= before:
             flow = self._opening.popleft()
-            if flow.backend not in silent:
-                silent.append(flow.backend)
-        return silent
+            if flow.backend not in backends:
+                backends.append(flow.backend)
+        return backends
 
     def flows_of(self, backend: ForwardingBackend) -> tuple[FlowToReset, ...]:
         """Return all observed flows of a back end."""
--- a/sloepond/core/forwarding/placement/selection.py
+++ b/sloepond/core/forwarding/placement/selection.py
@@ -16,7 +16,7 @@
 """Back ends compared for one choice; of more, a random sample is compared.  Bounds the time of a choice in a
 large fleet."""
 COLD_SLOTS_FACTOR = 0.4
-"""Share of a back end's slots that counts while it is still slow after its start."""
+"""Share of a back end's slots that counts while it is cold, i.e. still slow after its start."""
 FLOW_WEIGHT = 0.15
 """Load of an open flow, in requests; added to the load of its requests in flight."""
 OTHER_HALL_LOAD = 0.5
--- a/sloepond/core/forwarding/store/staleness_bound.py
+++ b/sloepond/core/forwarding/store/staleness_bound.py
@@ -15,7 +15,8 @@
 from sloepond.core.deadlines import NEVER
 
 CHANGE_LIMIT_S = 3.0
-"""Seconds within which a change must be in force where the settings name no limit."""
+"""Seconds within which a change must be in force if the settings name no limit: the shortest limit of any
+deployment."""
 PROBE_AFTER_SHARE = 0.55
 """Share of the change limit after which the store is probed.  Without this probe, the only balancer that the
 store serves may receive a change after the limit."""
