--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -269,7 +269,7 @@
 
     def toggle_store_outage(self) -> None:
         """Disconnect some balancers from the store, or reconnect them."""
-        self.without_store = set() if self.without_store else set(self.fault_random.sample(self.ips, 5))
+        self.storeless = set() if self.storeless else set(self.fault_random.sample(self.ips, 5))
 
     def toggle_throttling(self) -> None:
         """Let the store refuse the calls of some balancers, or accept them again."""
--- a/features/steps/forwarding_bootstrap_steps.py
+++ b/features/steps/forwarding_bootstrap_steps.py
@@ -72,7 +72,7 @@
 @given("the store refuses the calls of a third of the fleet")
 def store_refuses_third(context):
     fleet = context.fleet
-    fleet.without_store = set(fleet.ips[::3])
+    fleet.storeless = set(fleet.ips[::3])
     fleet.run(SETTLED_S)
 
 
--- a/features/steps/forwarding_evacuation_steps.py
+++ b/features/steps/forwarding_evacuation_steps.py
@@ -80,7 +80,7 @@
         fleet = Fleet(24, seed, loss=0.1)
         fleet.run(6.0)
         chance = random.Random(seed)
-        fleet.without_store = {*fleet.readers()[:2], *chance.sample(fleet.ips, 6)}
+        fleet.storeless = {*fleet.readers()[:2], *chance.sample(fleet.ips, 6)}
         fleet.store.evacuate(first, fleet.now)
         fleet.store.evacuate(second, fleet.now)
         for ip in chance.sample(fleet.ips, 4):
--- a/features/steps/forwarding_fleet.py
+++ b/features/steps/forwarding_fleet.py
@@ -133,7 +133,7 @@
 
     :ivar loss: share of the datagrams that are lost.
     :ivar group: partition of each address, if any; no message passes between partitions.
-    :ivar without_store: addresses whose calls to the store time out.
+    :ivar storeless: addresses whose calls to the store time out.
     :ivar loses_answers: whether the answers of watches are lost, so that they time out.
     :ivar refused: addresses whose calls the store refuses.
     """
@@ -145,7 +145,7 @@
         self.store = SimulatedStore()
         self.loss = loss
         self.group = {}
-        self.without_store = set()
+        self.storeless = set()
         self.refused = set()
         self.loses_answers = False
         self.nodes = {}
@@ -232,7 +232,7 @@
         self.store.calls += 1
         if isinstance(command, ReadSubject) and command.subject is Subject.ROUTES:
             self.store.route_reads += 1
-        if ip in self.without_store:
+        if ip in self.storeless:
             self.later(TIMEOUT_S, ip, node, self.failure(command, StoreFailure.TIMED_OUT))
         elif ip in self.refused:
             self.later(ANSWER_S, ip, node, self.failure(command, StoreFailure.THROTTLED))
@@ -252,9 +252,9 @@
         return StoreCallFailed(command.subject, reason, isinstance(command, WatchSubject))
 
     def answer_watches(self):
-        """Answer the watches for which there are changes; those of `without_store` nodes get no answer."""
+        """Answer the watches for which there are changes; those of `storeless` nodes get no answer."""
         for key, (node, command) in list(self.watches.items()):
-            if key[0] in self.without_store:
+            if key[0] in self.storeless:
                 continue
             answer = self.store.changes(command)
             if answer is not None:
--- a/features/steps/forwarding_readers_steps.py
+++ b/features/steps/forwarding_readers_steps.py
@@ -128,8 +128,8 @@
     def check(wait_s, seed):
         fleet = Fleet(25, seed)
         fleet.run(SETTLED_S + wait_s)
-        fleet.without_store = set(fleet.readers())
-        assert len(fleet.without_store) == READERS
+        fleet.storeless = set(fleet.readers())
+        assert len(fleet.storeless) == READERS
         change_something(fleet, 0)
         change_something(fleet, 3)
         fleet.run_until_known(3.0)
@@ -160,7 +160,7 @@
 @when("the forwarding fleet gets no answer from the store for {seconds:d} seconds")
 def store_silent(context, seconds):
     fleet = context.fleet
-    fleet.without_store = set(fleet.ips)
+    fleet.storeless = set(fleet.ips)
     before = fleet.store.calls
     fleet.run(seconds)
     context.calls_per_s = (fleet.store.calls - before) / seconds
@@ -173,7 +173,7 @@
 
 @when("the store answers again and the operator changes a route")
 def store_back(context):
-    context.fleet.without_store = set()
+    context.fleet.storeless = set()
     change_something(context.fleet, 0)
 
 
@@ -181,7 +181,7 @@
 def store_silent_for_some(context):
     fleet = context.fleet
     others = [ip for ip in fleet.ips if ip not in fleet.readers()]
-    fleet.without_store = set((fleet.readers() + others)[: len(fleet.ips) // 3])
+    fleet.storeless = set((fleet.readers() + others)[: len(fleet.ips) // 3])
     change_something(fleet, 0)
     change_something(fleet, 2)
 
