--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -557,9 +557,9 @@
 @then("all configuration stores had each generation in force within {seconds:d} seconds")
 def step_in_time(context, seconds):
     for process in context.network.processes.values():
-        applied = dict(process.generations)
+        in_force_at = dict(process.generations)
         for generation, changed_at in context.read_at.items():
-            assert applied[generation] - changed_at <= seconds, process.generations
+            assert in_force_at[generation] - changed_at <= seconds, process.generations
 
 
 @then("all configuration stores had each generation or a later one in force within {seconds:d} seconds")
--- a/sloepond/runtime/forwarding/peer_channel.py
+++ b/sloepond/runtime/forwarding/peer_channel.py
@@ -51,7 +51,7 @@
 from sloepond.runtime.forwarding.streams import Acceptor, connect, keep_alive, read_to_end, send_all
 
 STREAM_TIMEOUT_S = 2.5
-"""Timeout of one exchange on a stream, in seconds; after it the node asks another peer.
+"""Timeout of one exchange on a stream, in seconds; after it the node tries another peer.
 
 A snapshot of 3,000 back ends has about 0.3 MB, which takes 0.3 s on a link of 10 Mbit/s.
 """
@@ -63,7 +63,7 @@
 MAXIMUM_REQUEST_BYTES = 256
 """Largest request that is read from a stream, in bytes; a request is a tag and at most one number."""
 MAXIMUM_STREAMS = 8
-"""Concurrent streams of peers; a further one is closed, and its peer asks another balancer.
+"""Concurrent streams of peers; a further one is closed, and its peer tries another balancer.
 
 It bounds the encoded snapshots in memory and the load on the link while a whole hall starts.
 """
@@ -127,7 +127,7 @@
         setattr(counters, counter, getattr(counters, counter) + len(datagram))
 
     async def fetch(self, command: FetchSnapshot | FetchRoutes) -> None:
-        """Fetch routes or a snapshot from a peer; after a failure the node asks another one later."""
+        """Fetch routes or a snapshot from a peer; after a failure the node tries another one later."""
         try:
             event = await self._fetch(command)
         except (OSError, msgspec.MsgspecError) as error:
--- a/sloepond/runtime/forwarding/store_client.py
+++ b/sloepond/runtime/forwarding/store_client.py
@@ -35,7 +35,10 @@
 arrived on links of 10 Mbit/s.  It is well above a round trip between halls of 3 ms.
 """
 WATCH_MARGIN_S = 0.7
-"""Time by which the timeout of a watch exceeds the wait that it requests, in seconds."""
+"""Time by which the timeout of a watch exceeds the wait that it requests, in seconds.
+
+As long as `SILENCE_TIMEOUT_S`, since both leave time for a response to arrive.
+"""
 MINIMUM_JITTER = 0.5
 """Minimum random factor of the delay before a page is requested again; the maximum is 1 more.
 
--- a/sloepond/wire/replay.py
+++ b/sloepond/wire/replay.py
@@ -13,7 +13,7 @@
 """Number of sequence numbers, up to the highest, in which a late datagram is accepted."""
 
 MAXIMUM_SENDERS = 4_096
-"""Maximum number of senders with a window; the least recently received one is removed first.
+"""Maximum number of senders with a window; the one whose last datagram is the oldest is removed first.
 
 Only holders of a key get a window, so the limit bounds memory against misconfiguration and very large
 fleets rather than against attackers.
