--- a/sloepond/api/state.py
+++ b/sloepond/api/state.py
@@ -31,7 +31,7 @@
         """The configuration store."""
 
     def status(self) -> NodeStatus:
-        """Return the present state of the node and its peers."""
+        """Return the current state of the node and its peers."""
 
 
 class ApiState(Protocol):
--- a/sloepond/api/status.py
+++ b/sloepond/api/status.py
@@ -19,6 +19,6 @@
 
 
 def build_status(state: ApiState) -> BalancerStatus:
-    """Return the present status."""
+    """Return the current status."""
     fields = msgspec.structs.asdict(state.node.status())
     return BalancerStatus(**fields, traffic=state.traffic_rates())
--- a/sloepond/core/forwarding/lifecycle/stop_procedure.py
+++ b/sloepond/core/forwarding/lifecycle/stop_procedure.py
@@ -37,7 +37,7 @@
         """
         peers = self._peers.count_hall_peers(now)
         is_ready = is_configured and not self.is_requested
-        return HallBalancers(peers.ready + is_ready, peers.others + (not is_ready))
+        return HallBalancers(peers.ready + is_ready, peers.not_ready + (not is_ready))
 
     def reports_ready(self, is_configured: bool, now: float) -> bool:
         """Return the answer to the routers' readiness check."""
--- a/sloepond/core/forwarding/peers/peer_table.py
+++ b/sloepond/core/forwarding/peers/peer_table.py
@@ -65,11 +65,11 @@
     """Number of peers of the hall that have sent a message recently.
 
     :ivar ready: those that are alive and have reported that they are ready.
-    :ivar others: those that are stopping, are silent, or have no routes yet.
+    :ivar not_ready: those that are stopping, are silent, or have no routes yet.
     """
 
     ready: int
-    others: int
+    not_ready: int
 
 
 class PeerTable:
