--- a/sloepond/core/forwarding_input.py
+++ b/sloepond/core/forwarding_input.py
@@ -137,7 +137,7 @@
 def _host_key(host: str) -> int:
     """Return 32 bits for a host: its IPv4 address, or a hash of its IPv6 address.
 
-    Two hosts with the same hash and port cannot be told apart; among n services with IPv6 addresses the
+    Two hosts with the same hash and port cannot be distinguished; among n services with IPv6 addresses the
     probability of this is n^2 / 2^33.
     """
     if not host.startswith("["):
--- a/sloepond/core/packets.py
+++ b/sloepond/core/packets.py
@@ -15,7 +15,7 @@
 
 
 class FlowKey(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Identity of a flow: its two addresses and a number that tells flows of the same addresses apart.
+    """Identity of a flow: its two addresses and a number that distinguishes flows of the same addresses.
 
     :ivar service_address: virtual address `ip:port` the caller sent to.
     :ivar caller_address: address `ip:port` the caller sent from.
--- a/sloepond/wire/describe.py
+++ b/sloepond/wire/describe.py
@@ -109,7 +109,7 @@
     yield (
         "## Packets of callers and back ends\n\n"
         "The formats of the stand-ins; a deployment with other formats replaces `sloepond.wire.edge`.\n\n"
-        f"Limits: {edge.MAXIMUM_PACKET_BYTES} bytes a datagram, request ids from 0 to "
+        f"Limits: {edge.MAXIMUM_PACKET_BYTES} bytes per datagram, request ids from 0 to "
         f"{packets.MAXIMUM_REQUEST_ID}, attempts up to {edge.MAXIMUM_ATTEMPT}, parts up to "
         f"{edge.MAXIMUM_PARTS}, addresses up to {edge.MAXIMUM_ADDRESS_CHARACTERS} characters.\n"
     )
