--- a/sloepond/api/metrics.py
+++ b/sloepond/api/metrics.py
@@ -65,12 +65,12 @@
 def _gauges(status: NodeStatus) -> Iterator[Metric]:
     suspected = sum(peer.suspected for peer in status.peers)
     gauges = (
-        ("flows", "Flows whose packets this balancer has seen recently.", status.flows),
-        ("requests_in_flight", "Requests forwarded to back ends and not yet answered.", status.in_flight),
+        ("flows", "Flows whose packets this balancer has seen lately.", status.flows),
+        ("requests_in_flight", "Requests handed to back ends and not yet answered.", status.in_flight),
         ("has_lease", "Always 0: balancers need no lease.", int(status.has_lease)),
         ("epoch", "Always 0: balancers agree on no view.", status.epoch),
-        ("members", "Balancers in the platform's list of machines.", len(status.members)),
-        ("peers_suspected", "Always 0: balancers do not monitor each other.", suspected),
+        ("members", "Balancers in the list of machines of the platform.", len(status.members)),
+        ("peers_suspected", "Always 0: balancers do not watch each other.", suspected),
         ("generation", "Configuration generation in force.", status.generation),
     )
     for name, help_text, value in gauges:
@@ -78,7 +78,7 @@
 
 
 def _state_gauge(status: NodeStatus) -> Metric:
-    gauge = GaugeMetricFamily(f"{PREFIX}_state", "1 for the current state.", labels=("state",))
+    gauge = GaugeMetricFamily(f"{PREFIX}_state", "1 for the present state.", labels=("state",))
     for state in BalancerState:
         gauge.add_metric((state.value,), int(state == status.state))
     return gauge
